--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -11,7 +11,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone
 
-from .flow import PIECE, Flow
+from .flow import PIECE, STALLED, Flow
 from .http import ANSWER, BadMessage, Reader, request
 from .sockets import Outgoing, connect, push, quiet
 from .tables import Table
@@ -37,10 +37,11 @@
 class Trip:
     """One hop under way: the client's request, until when it is waited for, and where it is."""
 
-    __slots__ = ('pool', 'message', 'until', 'wanted', 'by', 'link', 'done')
+    __slots__ = ('pool', 'message', 'until', 'wanted', 'by', 'link', 'done', 'in_part')
 
     def __init__(self, pool, message, until, wanted, by):
         self.pool, self.message, self.until = pool, message, until
+        self.in_part = None             # called with each piece of an answer whose length is not told, while it is held
         self.wanted, self.by = wanted, by       # whether it may still leave; when it has to have left, None: at any time
         self.link = None                # the connection, once there is one
         self.done = Deferred()          # fires once, with (ending, answer or None)
@@ -78,6 +79,7 @@
         self.number, self.idle_until, self.timed = None, None, 0     # timed: when its deadline is; 0: none
         self.settled = 0                # when it may carry the next hop
         self.used = False               # whether it has carried one
+        self.piece_came = 0             # when the latest piece of a held answer of no told length came
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -146,6 +148,25 @@
             self.answered(answer)
         elif self.reader.large:
             self.begin(self.reader.message)
+        elif self.holds_part:
+            self.piece_came = self.pool.caches.clock()
+            if self.trip.in_part:
+                self.trip.in_part()
+
+    @property
+    def holds_part(self):
+        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a large one. One
+        that comes before its request has left is of no use."""
+        message = self.reader.message
+        return self.trip is not None and self.left and message is not None and message.length is None and ending(message) == 'committed'
+
+    def still_gives(self, now):
+        """Whether its server has gone silent only lately, or what it gave lies unread."""
+        return now < self.piece_came + STALLED or not quiet(self.transport)
+
+    def pass_on_part(self):
+        """Treat the answer that is held in part as a large one: it goes on as it comes."""
+        self.begin(self.reader.message)
 
     def answered(self, answer):
         """All of an answer is here."""
--- a/lilacdyke/net/flow.py
+++ b/lilacdyke/net/flow.py
@@ -5,6 +5,7 @@
 """
 
 PIECE = 32_768                          # bytes read at a time, and held in a transport before the source pauses
+STALLED = 20_000                        # ticks of silence after which a source is taken to give no more
 
 
 class Flow:
--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, Protocol
 
 from . import http
-from .flow import Flow
+from .flow import STALLED, Flow
 from .http import MAX_BODY, BadMessage, Reader
 from .logs import LOG
 from .sockets import guard, left, push, quiet, unread_for, waiting
@@ -28,7 +28,6 @@
 CALM, BUSY, FULL = range(3)
 PACED = (HALF, POURING)                 # bytes that come or go give them time
 SLOW = 16_384                           # bytes of a body that give a client a second more for the rest of it
-STALLED = 20_000                        # of a large answer nothing has come for so long: beyond its limit no more is waited for
 LOOK = 1_000                            # between two looks at who has stayed for too long; a tenth while full
 AMPLE = 0.5                             # part of the budget from which a new connection has an idle one make way
 QUIET = 2_500                           # nobody has come for so long: nobody is on the way
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -19,7 +19,7 @@
 from .discovery import Discovery, read_list, started
 from .front import Front
 from .logs import LOG, say, warn
-from .sockets import Reactor
+from .sockets import Reactor, unread_for
 from .system import System
 from .tables import Deadlines, Table
 from ..decode import page
@@ -33,6 +33,7 @@
 FIRST_WORD = 10_000                     # so long clients wait at the door for discovery's first word
 GRACE = 30_000                          # SIGKILL may come so long and a little more after SIGTERM, however long clients would wait
 RESTED = 2_500                          # idle so long, a connection is unlikely to be asked on while it closes
+HEAD_START = 4                          # of an attempt's time the last part, 1 to this, is kept for passing on an answer held in part
 FIGURES = 10 * SECOND                   # between two lines of figures
 
 
@@ -52,11 +53,12 @@
 class Passage:
     """A hop under way for an errand."""
 
-    __slots__ = ('number', 'errand', 'hop', 'trip')
+    __slots__ = ('number', 'errand', 'hop', 'trip', 'begin_at')
 
     def __init__(self, errand, hop):
         self.errand, self.hop = errand, hop
         self.number = self.trip = None
+        self.begin_at = None            # from when on an answer that is here in part is passed on
 
 
 class Node:
@@ -511,6 +513,30 @@
         """A fault in the node itself."""
         LOG.error('fault', exc_info=(failure.type, failure.value, failure.getTracebackObject()))
 
+    def answer_in_part(self, passage):
+        """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further attempts and its race; but
+        should it be a large one it is timed by its first bytes, and cut off at the limit it would be lost while its server
+        gives it. So it is held for three quarters of the attempt's time, less what this node was late in reading it."""
+        now = self.clock()
+        if passage.begin_at is None:
+            late = unread_for(passage.trip.link.transport)
+            passage.begin_at = passage.trip.until - (passage.trip.until - passage.hop.sent) // HEAD_START - late
+            self.deadlines.at(max(now, passage.begin_at), self.begin_due, passage.number)
+        elif now >= passage.begin_at:
+            self.begin_due(passage.number)
+
+    def begin_due(self, number):
+        """An answer held in part is passed on from here: of several attempts', the one of which most is here. A silent server's
+        stays held: should no more come, its client is better told at the limit to try again."""
+        passage = self.passages.get(number)
+        if passage is None or self.errands.get(passage.errand.number) is not passage.errand:
+            return
+        now = self.clock()
+        links = [other.trip.link for other in passage.errand.passages if other.trip.link]
+        links = [link for link in links if link.holds_part and link.still_gives(now)]
+        if links:
+            max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
+
     # --- the list ---------------------------------------------------------------------------------------
 
     def listed(self, whole, entries):
@@ -584,6 +610,7 @@
         if self.fleet:
             self.router.shares.sent(now, hop.server, self.router.presence(now, hop.server) < 1)
         passage.trip = self.caches.send(hop.server, errand.message, until, lambda: self.wanted(errand), hop.index > 0)
+        passage.trip.in_part = lambda: self.answer_in_part(passage)
         passage.trip.done.addCallback(self.arrived, passage.number).addErrback(self.fault)
         if hop.tx.limit is not None and (until < limit or not self.place.terms.may_cancel):    # else it ends with its errand
             self.deadlines.at(until, self.patience_due, passage.number)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -5,6 +5,7 @@
 import select
 import signal
 import socket
+import threading
 import time
 
 from .crossings import HEAD, PATIENCE, Crossing, Line, Stand, chunk, told
@@ -564,3 +565,50 @@
         self.assertNotIn(b'0\r\n\r\n', client.buffer[-16:])
         self.assertLess(time.monotonic() - begun, 3.0)
         self.assertTrue(hop.ended())
+
+    def unmeasured_answer(self, in_chunks, minor=1, pause=0.1):
+        """A read with a limit of 0.5 s, whose server gives 200 kB of no told length, 10 kB at a time: all that the client
+        was sent, its head left out, and how long its first bytes took (seconds)."""
+        client = self.client()
+        begun = time.monotonic()
+        client.say(b'GET /read/k HTTP/1.%d\r\nHost: x\r\nReq-Id: a\r\nReq-Deadline: 0.5\r\n\r\n' % minor)
+        hop = self.servers['c0'].take()
+        hop.request()
+        hop.say(HEAD if in_chunks else b'HTTP/1.1 200 X\r\nConnection: close\r\n\r\n')
+        piece = b'x' * 10_000
+
+        def give():
+            try:
+                for _ in range(20):
+                    time.sleep(pause)
+                    hop.say(chunk(piece) if in_chunks else piece)
+                if in_chunks:
+                    hop.say(b'0\r\n\r\n')
+                else:
+                    hop.socket.shutdown(socket.SHUT_WR)
+            except OSError:
+                pass                    # the node gave it up, as what the client got shows
+        server = threading.Thread(target=give)
+        server.start()
+        self.addCleanup(server.join)
+        status = client.head()[9:12]
+        first = time.monotonic() - begun
+        while not client.buffer.endswith(b'0\r\n\r\n') and client.more():
+            pass
+        self.assertEqual(status, b'200')
+        return client, first
+
+    def test_an_answer_of_no_told_length_that_comes_slowly_is_passed_on_in_time_and_whole(self):
+        client, first = self.unmeasured_answer(True)
+        self.assertEqual((client.buffer.count(b'x'), client.buffer[-5:]), (200_000, b'0\r\n\r\n'))
+        self.assertLess(first, 0.5)
+
+    def test_one_that_lasts_until_the_connection_ends_is_too(self):
+        client, first = self.unmeasured_answer(False)
+        self.assertEqual((client.buffer.count(b'x'), client.buffer[-5:]), (200_000, b'0\r\n\r\n'))
+        self.assertLess(first, 0.5)
+
+    def test_a_client_of_http_1_0_gets_it_whole_too_and_an_orderly_end(self):
+        client, first = self.unmeasured_answer(True, minor=0)
+        self.assertEqual((len(client.buffer), client.was_reset), (200_000, False))
+        self.assertLess(first, 0.5)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,12 +10,13 @@
 
 from lilacdyke.net.front import HALF, RESTING
 
-from .helpers import SETTINGS, asked, dialled, grown, lost, node, refused, sent
+from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, sent
 from .test_net import Quiet, status
 from .test_upgrade import Processes
 
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 LARGE = b'HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n'
+TWO_CACHES = {'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('c1'), entry('o', 'origin')]}
 PUT = 'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\nContent-Length: 100000\r\n\r\n'
 
 
@@ -110,6 +111,105 @@
         self.assertEqual((wire.aborted, cache.ended), (True, True))
 
 
+class AnswersOfNoToldLength(Quiet):
+    """Whether such an answer will be a large one shows only as it comes. The limit is 2 s; each ends otherwise than it begins."""
+
+    UNTIL_THE_END = b'HTTP/1.1 200 OK\r\n\r\n'
+
+    def test_it_is_held_for_three_quarters_of_its_time_and_then_passed_on_in_time(self):
+        for head, piece in ((CHUNKED, b'4\r\nabcd\r\n'), (self.UNTIL_THE_END, b'abcd')):
+            with self.subTest(head=head):
+                made = node()
+                wire, cache = sent(made)
+                cache.protocol.dataReceived(head + piece)
+                made.reactor.pump([0.1] * 14)
+                before = wire.value()
+                made.reactor.pump([0.1] * 2)
+                self.assertEqual((before, status(wire), wire.value().endswith(b'4\r\nabcd\r\n')), (b'', 200, True))
+                self.assertEqual((len(made.errands), made.counts['hops_committed']), (0, 1))
+
+    def test_it_is_begun_sooner_where_the_node_reads_late(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.age = 500                 # milliseconds for which the bytes lay unread
+        cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
+        made.reactor.pump([0.1] * 11)
+        self.assertEqual(status(wire), 200)
+
+    def test_a_small_one_that_comes_whole_in_time_is_written_at_once_with_its_length(self):
+        made = node()
+        wire, cache = sent(made)
+        for piece in (CHUNKED, b'4\r\nab', b'cd\r\n', b'0\r\n\r\n'):
+            self.assertEqual(wire.value(), b'')
+            cache.protocol.dataReceived(piece)
+            made.reactor.advance(0.1)
+        self.assertTrue(wire.value().endswith(b'Content-Length: 4\r\n\r\nabcd'))
+
+    def test_one_that_breaks_off_while_it_is_held_is_tried_again(self):
+        made = node(known=TWO_CACHES)
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
+        dials = len(made.reactor.tcpClients)
+        broken(cache)
+        again = dialled(made)
+        again.protocol.dataReceived(CHUNKED + b'2\r\nef\r\n0\r\n\r\n')
+        self.assertEqual((len(made.reactor.tcpClients), status(wire), wire.value()[-2:]), (dials + 1, 200, b'ef'))
+
+    def test_one_that_breaks_off_afterwards_or_is_spoilt_shows_that_to_either_kind_of_client(self):
+        for minor in (1, 0):
+            for spoil in (broken, lambda cache: cache.protocol.dataReceived(b'noise\r\n')):
+                made = node()
+                wire, cache = sent(made, 'GET /read/k HTTP/1.%d\r\nHost: x\r\nReq-Id: %%d\r\n\r\n' % minor)
+                cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
+                made.reactor.pump([0.1] * 16)
+                spoil(cache)
+                self.assertEqual((status(wire), wire.aborted, wire.value().endswith(b'0\r\n\r\n')), (200, True, False))
+
+    def test_one_whose_server_fell_silent_is_answered_at_the_limit(self):
+        made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
+        made.reactor.pump([0.1] * 59)
+        before = wire.value()
+        made.reactor.pump([0.1] * 2)
+        self.assertEqual((before, status(wire), cache.ended), (b'', 503, True))
+
+    def test_and_passed_on_should_more_come_before_that(self):
+        made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
+        made.reactor.pump([0.1] * 55)
+        before = wire.value()
+        cache.protocol.dataReceived(b'2\r\nef\r\n')
+        self.assertEqual((before, status(wire), wire.value().endswith(b'6\r\nabcdef\r\n')), (b'', 200, True))
+
+    def test_of_two_attempts_the_one_of_which_more_is_here_is_passed_on(self):
+        made = node(known=TWO_CACHES)
+        wire, cache = sent(made)
+        made.reactor.advance(0.6)       # its copy is due
+        copy = dialled(made)
+        self.assertIsNot(copy.protocol, cache.protocol)
+        cache.protocol.dataReceived(CHUNKED + b'2\r\nab\r\n')
+        copy.protocol.dataReceived(CHUNKED + b'5\r\nABCDE\r\n')
+        made.reactor.pump([0.1] * 10)
+        self.assertEqual((status(wire), wire.value().endswith(b'ABCDE\r\n'), cache.ended, copy.ended), (200, True, True, False))
+
+    def test_a_failure_or_a_miss_is_not_passed_on(self):
+        for code in (404, 500, 503):
+            made = node()
+            wire, cache = sent(made)
+            cache.protocol.dataReceived(CHUNKED.replace(b'200 OK', b'%d X' % code) + b'4\r\nabcd\r\n')
+            made.reactor.pump([0.1] * 19)
+            self.assertEqual(wire.value(), b'')
+
+    def test_a_small_one_of_told_length_waits_for_its_last_byte(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nabcd')
+        made.reactor.pump([0.1] * 19)
+        self.assertEqual(wire.value(), b'')
+
+
 class Requests(Quiet):
     def test_the_body_follows_its_head_and_its_time_runs_from_the_last_byte(self):
         made = node()
