--- a/lilacdyke/lab/judges.py
+++ b/lilacdyke/lab/judges.py
@@ -83,6 +83,8 @@
     for row in case.by['made']:
         made[row[3]].add(row[4])
     begun = {row[2]: row[3] for row in case.by['begun']}        # a large answer is timed by its first bytes
+    giving = {row[3]: row[1] for row in reversed(case.by['giving'])}
+    broke = {row[3] for row in case.by['broke']}
     for kind in ('answer', 'left', 'cut'):
         for row in case.by[kind]:
             ends[row[2]].append(row)
@@ -98,7 +100,8 @@
         if not answers or answers[0][0] == 'cut':
             when = answers[0][1] if answers else last
             excused = (case.killed(node, at - 2_000_000, max(when, last)) or case.troubled(STILL, at, last, node_number)
-                       or client_apart(case, at, last))
+                       or client_apart(case, at, last)
+                       or id_ in giving and (id_ in broke or case.troubled(NETWORK, giving[id_], when)))
             if not excused:
                 found.append(Broken('answered', when, '%s at %s %s' % (
                     id_, node, 'lost: its connection ended' if answers else 'never answered')))
@@ -110,6 +113,10 @@
         when = begun.get(id_, when)
         if when > last and not case.troubled(STILL, at, last, node_number) and not client_apart(case, at, last):
             found.append(Broken('answered', when, '%s at %s answered %d ms late' % (id_, node, (when - last) // 1_000)))
+        if status != 200 and id_ in giving and id_ not in broke and not case.troubled(NETWORK | STILL, at, when):
+            # Its first bytes are owed in time, and the rest of it for as long as the server gives it.
+            if giving[id_] + case.slack + case.travel < when:
+                found.append(Broken('answered', when, '%s at %s answered %d while a server gave it a large answer' % (id_, node, status)))
         if status == 200 and digest not in made[id_]:
             found.append(Broken('answered', when, '%s at %s served with what no server made for it' % (id_, node)))
     for _, at, node, why in case.by['stray']:
--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -209,6 +209,10 @@
     put(Front, 'pour_due', pour_due)
 
 
+def held_past_the_limit(put, chance):
+    put(Link, 'holds_part', property(lambda self: False))
+
+
 def held_without_limit(put, chance):
     put(Front, 'held_due', lambda self, number: None)
 
@@ -610,6 +614,12 @@
                    caches=replace(made.caches, mode='aside', give_ms=900.0), load=replace(made.load, rate=30.0, value_bytes=150_000))
 
 
+def long_answers_untold(made):
+    """The same, of no told length: less than 64 KiB of each are here at its limit."""
+    made = long_answers(made)
+    return replace(made, caches=replace(made.caches, untold=1.0, give_ms=2_400.0))
+
+
 def long_requests(made):
     """Writes of 150 kB, to servers of which none takes a connection for a while."""
     rows = [replace(p, goal_s=0.3, limit_s=0.6, work_ms=5.0) for p in made.profiles]
@@ -699,6 +709,7 @@
     ('versions_skipped', 'asks from too late a version after its watch broke', versions_skipped, (), unheard),
     ('asks_when_told_to', 'leaves it to the module when a lost watch is opened again', asks_when_told_to, (), unheard_where_asked),
     ('cut_at_the_limit', 'cuts off a large answer at its limit', cut_at_the_limit, (), long_answers),
+    ('held_past_the_limit', 'holds an answer of no told length until 64 KiB of it are here', held_past_the_limit, (), long_answers_untold),
     ('held_without_limit', 'holds a large request for as long as nothing takes it', held_without_limit, (), long_requests),
     ('wakeup_lost', 'loses a wake-up', wakeup_lost, ('hung', 'slow')),
     ('limit_ignored', 'does not look at the limit', limit_ignored, ('hung', 'vanish', 'cut')),
--- a/lilacdyke/lab/scenario.py
+++ b/lilacdyke/lab/scenario.py
@@ -56,6 +56,7 @@
     reports: bool = False                       # Srv-Load on answers
     ahead: Share = 0.0                          # answers with a 1xx before them
     give_ms: Amount = 0.0                       # over which an answer of more than 64 KiB is given, piece by piece
+    untold: Share = 0.0                         # good answers without a length: half in chunks, half until the connection ends
     coalesce: bool = True                       # a miss for a key that is being fetched is `pending`
 
 
@@ -109,6 +110,8 @@
     zipf: Amount = 1.0
     value_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 200
     write_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 100
+    large_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 0
+    large_share: Share = 0.0                    # of the keys, whose values are of large_bytes
 
 
 class Clients(Part):
--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/witness.py
@@ -26,6 +26,8 @@
     'effect': ('hop', 'id', 'mark'),            # it ran, and changed something (or was one more run of a read)
     'repeat': ('hop', 'id', 'mark'),            # known by its mark, and dropped
     'made': ('hop', 'id', 'digest'),
+    'giving': ('hop', 'id'),                    # a large answer, from now on
+    'broke': ('hop', 'id'),                     # off the large answer, which the server itself did
     'dropped': ('hop', 'ran'),                  # nobody waited any more
     'missed': ('hop', 'cold'),
     'worked': ('hop', 'took'),
--- a/tests/lab/test_judges.py
+++ b/tests/lab/test_judges.py
@@ -64,6 +64,24 @@
             with self.subTest(row=row):
                 self.assertEqual(self.broken(UP, away, active, row), told)
 
+    def test_a_large_answer_that_its_server_gives_is_not_refused_at_the_limit(self):
+        giving, refused = ('giving', SECOND + 500_000, 1, 'a'), answer(at=3 * SECOND, status=503)
+        for other, told in (((), ['answered']), ((('broke', 2 * SECOND, 1, 'a'),), []),
+                            ((('fault', 2 * SECOND, 'cut', '', 2 * SECOND + 10),), []),
+                            ((('fault', 2 * SECOND, 'standstill', '0', 2 * SECOND + 10),), [])):
+            with self.subTest(other=other):
+                self.assertEqual(self.broken(UP, ask(), hop(), giving, made(), *other, refused), told)
+        late = ('giving', 3 * SECOND - 1_000, 1, 'a')       # its first bytes may not have reached the node
+        self.assertEqual(self.broken(UP, ask(), hop(), late, made(), refused), [])
+
+    def test_a_large_answer_may_break_off_only_where_its_server_or_the_network_did_that(self):
+        giving, ended = ('giving', SECOND + 500_000, 1, 'a'), ('cut', 2 * SECOND, 'a')
+        for other, told in (((), ['answered']), ((('broke', 2 * SECOND - 10, 1, 'a'),), []),
+                            ((('fault', SECOND, 'resets', '', 2 * SECOND),), [])):
+            with self.subTest(other=other):
+                self.assertEqual(self.broken(UP, ask(), hop(), giving, made(), *other, ended), told)
+        self.assertEqual(self.broken(UP, ask(), hop(), ('broke', SECOND, 2, 'b'), ended), ['answered'])
+
     def test_never_answered(self):
         self.assertEqual(self.broken(UP, ask(), hop()), ['answered'])
 
