--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -61,6 +61,11 @@
         """Whether its last byte has left."""
         return bool(self.link) and self.link.left
 
+    @property
+    def unread(self):
+        """Whether something that its server said, or its end, lies unread."""
+        return self.link is not None and not quiet(self.link.transport)
+
     def over(self, how, answer=None):
         """The one ending."""
         self.link = None
--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -52,6 +52,7 @@
         self.flow, self.source = None, None     # a large answer on its way, and where it comes from
         self.until = None               # the limit of the request whose large answer is on its way
         self.skips = False              # the rest of a large body is read and forgotten
+        self.spared = False             # whether the look at who has stayed too long has let it be, as bytes lay unread
         self.held, self.timed = False, False    # whether this side keeps a large body unread; whether a deadline hangs for that
 
     def connectionMade(self):
@@ -209,7 +210,7 @@
             self.front.node.count('not_read')
             self.transport.abortConnection()
         elif self.phase == HALF:
-            if self.link and self.link.flow and self.link.flow.paused and self.stalls():
+            if self.link and self.link.flow and self.link.flow.paused and self.stalls() or self.spare():
                 return False
             self.give_up_upload()
             self.refuse(408, 'the request did not come')
@@ -226,12 +227,19 @@
         else:
             self.transport.loseConnection()
 
+    def spare(self):
+        """Whether more of its request lies unread, and will be read in this turn: once a request, as one that drips may always have
+        something there."""
+        spared, self.spared = self.spared, True
+        return not spared and not quiet(self.transport)
+
     def stalls(self):
-        """Whether it is the server that takes no more of the body, and not for too long."""
+        """While this side reads no more of its body: whether that is not for too long."""
         return self.front.clock() < self.since + STAYS[POURING][0]
 
     def begin(self):
         """The first byte of a request is here: its time runs from when it came."""
+        self.spared = False
         self.front.put(self, ASKED, self.came)
 
     def advance(self):
@@ -489,7 +497,8 @@
         tell that it is not whole. What its server still gives goes on, as cutting it off would lose it."""
         client = self.table.get(number_)
         if client and client.flow and client.until is not None and self.clock() >= client.until:
-            if not client.flow.paused and self.clock() >= client.since + STALLED:
+            silent = not client.flow.paused and self.clock() >= client.since + STALLED
+            if silent and quiet(client.source.transport):
                 self.cut_off(client)
             else:
                 self.deadlines.at(max(self.clock() + LOOK, client.since + STALLED), self.pour_due, number_)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -53,11 +53,12 @@
 class Passage:
     """A hop under way for an errand."""
 
-    __slots__ = ('number', 'errand', 'hop', 'trip', 'begin_at')
+    __slots__ = ('number', 'errand', 'hop', 'trip', 'begin_at', 'looked_at')
 
     def __init__(self, errand, hop):
         self.errand, self.hop = errand, hop
         self.number = self.trip = None
+        self.looked_at = False          # whether its deadline has waited for what lay unread
         self.begin_at = None            # from when on an answer that is here in part is passed on
 
 
@@ -434,7 +435,7 @@
     def limit_due(self, number):
         """The client's limit: hops end, and the module answers. Should it not, one is owed all the same."""
         errand = self.errands.get(number)
-        if errand is None:
+        if errand is None or self.read_first(errand.passages, self.limit_due, number):
             return
         for passage in errand.passages[:]:
             passage.trip.cut('expired')
@@ -444,6 +445,16 @@
             self.reply(errand, 504, 'out of time\n')
             self.router.client_gone(self.clock(), errand.tx)
 
+    def read_first(self, passages, due, number):
+        """Whether one of these attempts has something unread: it is read first, and the deadline comes again in the next turn; once for
+        each attempt. Guards against cutting off an answer whose last piece came before its time was up."""
+        unread = [passage for passage in passages if not passage.looked_at and passage.trip.unread]
+        for passage in unread:
+            passage.looked_at = True
+        if unread:
+            self.deadlines.at(self.clock(), due, number)
+        return bool(unread)
+
     def time_up(self, errand):
         """The limit of a large request whose body is held unread: no hop of it can have left whole."""
         errand.tx.limit = self.clock()
@@ -457,7 +468,7 @@
         """A hop's own limit. Guards also against one that nobody waits for at a site where hops may not be
         cancelled: with the server gone silent it would be out for ever."""
         passage = self.passages.get(number)
-        if passage:
+        if passage and not self.read_first([passage], self.patience_due, number):
             passage.trip.cut('expired')
             self.settle()
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -210,6 +210,61 @@
         self.assertEqual(wire.value(), b'')
 
 
+class UnreadAtADeadline(Quiet):
+    """A deadline and the bytes that it waits for come in one turn: the bytes were there first."""
+
+    @staticmethod
+    def unread(made, wire, data):
+        """These bytes lie unread, and are read in the reactor's next turn after somebody looked."""
+        def looked_at(count, flags):
+            made.reactor.callLater(0, wire.protocol.dataReceived, data)
+            del wire.recv
+            return data[:count]
+        wire.recv = looked_at
+
+    def test_the_last_piece_of_an_answer_at_the_limit(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab')
+        made.reactor.pump([0.1] * 19)
+        self.unread(made, cache, b'cd')
+        made.reactor.advance(0.1)
+        self.assertEqual((status(wire), wire.value()[-4:]), (200, b'abcd'))
+
+    def test_one_that_always_has_something_unread_is_cut_all_the_same(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.unread = b'x'
+        made.reactor.pump([0.1] * 21)
+        self.assertEqual((status(wire), cache.ended), (503, True))
+
+    def test_the_last_piece_of_a_request_as_it_has_stayed_too_long(self):
+        made = node(settings=grown(limits={'connectTimeoutS': 10.0}))
+        wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n')
+        made.reactor.pump([0.1] * 23)
+        self.unread(made, wire, b'\r\n')
+        made.reactor.pump([0.1] * 11)
+        self.assertEqual((wire.value(), len(made.errands)), (b'', 1))       # not a 408
+
+    def test_one_that_drips_so_that_something_is_always_unread_goes_at_the_next_look(self):
+        made = node()
+        wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n')
+        wire.unread = b'X'
+        made.reactor.pump([0.1] * 36)
+        self.assertEqual(status(wire), 408)
+
+    def test_the_next_piece_of_a_large_answer_that_was_silent_beyond_its_limit(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(LARGE)
+        cache.unread = b'x'             # as while this node stood still
+        made.reactor.pump([0.1] * 35)
+        before = wire.aborted
+        cache.unread = None
+        made.reactor.pump([0.1] * 2)
+        self.assertEqual((before, wire.aborted), (False, True))
+
+
 class Requests(Quiet):
     def test_the_body_follows_its_head_and_its_time_runs_from_the_last_byte(self):
         made = node()
