--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -207,10 +207,12 @@
                 return False            # its answer has not left yet
             self.leave()
         elif self.phase == POURING:
+            if self.until is not None and not self.flow.paused:
+                return False            # it is the server that gives no more: pour_due sees to that
             self.front.node.count('not_read')
             self.transport.abortConnection()
         elif self.phase == HALF:
-            if self.link and self.link.flow and self.link.flow.paused and self.stalls() or self.spare():
+            if self.held and self.stalls() or self.spare():
                 return False
             self.give_up_upload()
             self.refuse(408, 'the request did not come')
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -265,6 +265,37 @@
         self.assertEqual((before, wire.aborted), (False, True))
 
 
+class Silence(Quiet):
+    """Whose silence it is decides who is given up."""
+
+    LONG = [dict(row, hardLimitS=30.0) for row in SETTINGS['profiles']]
+
+    def test_a_server_silent_within_a_long_limit_is_not_taken_for_a_client_that_does_not_read(self):
+        made = node(settings=grown(profiles=self.LONG))
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(LARGE + b'x' * 50_000)
+        made.reactor.pump([0.1] * 150)
+        cache.protocol.dataReceived(b'x' * 50_000)
+        self.assertEqual((wire.aborted, wire.protocol.phase), (False, RESTING))
+
+    def test_a_client_that_does_not_read_is_given_up_there_too(self):
+        made = node(settings=grown(profiles=self.LONG))
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(LARGE)
+        wire.producer.pauseProducing()
+        made.reactor.pump([0.1] * 115)
+        self.assertTrue(wire.aborted)
+
+    def test_a_client_whose_body_nobody_reads_yet_is_not_told_that_it_did_not_come(self):
+        made = node(settings=grown(profiles=self.LONG, limits={'connectTimeoutS': 10.0}))
+        wire, dial = asked(made, PUT + 'z' * 70_000), len(made.reactor.tcpClients) - 1
+        made.reactor.pump([0.1] * 60)
+        before = wire.value()
+        origin = dialled(made, dial)
+        made.reactor.advance(0)
+        self.assertEqual((before, origin.value().count(b'z')), (b'', 70_000))
+
+
 class Requests(Quiet):
     def test_the_body_follows_its_head_and_its_time_runs_from_the_last_byte(self):
         made = node()
