--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -203,6 +203,8 @@
     def overdue(self):
         """It has stood where it is for too long. Whether it makes way."""
         if self.phase == PARTING:
+            if self.skips and self.front.clock() < self.since + STAYS[HALF][0]:
+                return False            # it still sends, slowly, and may read its answer only then
             if waiting(self.transport) and self.front.clock() < self.since + STAYS[POURING][0]:
                 return False            # its answer has not left yet
             self.leave()
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -10,7 +10,7 @@
 
 from lilacdyke.net.front import HALF, RESTING
 
-from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, sent
+from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, said, sent
 from .test_net import Quiet, status
 from .test_upgrade import Processes
 
@@ -295,6 +295,19 @@
         made.reactor.advance(0)
         self.assertEqual((before, origin.value().count(b'z')), (b'', 70_000))
 
+    def test_an_answer_that_came_before_the_body_is_not_taken_back_while_half_of_the_places_are_taken(self):
+        made = node(limits={'cores': 1.0, 'memory_mb': 192, 'sockets': 40})
+        wire = asked(made, PUT.replace('100000', '2000000') + 'abc')
+        origin = carried(made)
+        origin.protocol.dataReceived(said(503, 'full', 'Srv-Declined: 1\r\n'))
+        for _ in range(20):             # pieces 1.5 s apart, among clients that come
+            for _ in range(3):
+                asked(made, 'GET /read/k HTTP/1.1\r\n')
+            made.reactor.pump([0.1] * 15)
+            closed = wire.disconnecting or wire.aborted
+            wire.protocol.dataReceived(b'x' * 40_000)
+        self.assertEqual((status(wire), wire.half_closed, closed), (503, True, False))
+
 
 class Requests(Quiet):
     def test_the_body_follows_its_head_and_its_time_runs_from_the_last_byte(self):
