--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -155,6 +155,12 @@
         """When its limit is, should the bytes that came last be the last of its request."""
         return self.front.clock() - unread_for(self.transport) + (self.errand.wait if self.errand else 0)
 
+    def last_byte_missing(self):
+        """Whether the last byte of a large request that is held has surely not come: some of a body of told length is missing, and
+        nothing lies unread. Any unread byte may have closed the system's window, behind which the client's system holds the rest."""
+        reader = self.reader
+        return not reader.chunks and reader.need > len(reader.buffer) and quiet(self.transport)
+
     def go_on(self):
         self.held = False
         self.transport.resumeProducing()
@@ -528,11 +534,12 @@
             return
         client.timed = False
         if client.held and client.flows and client.errand:
-            if self.clock() >= client.time_up():
+            due = self.clock() + LOOK if client.last_byte_missing() else client.time_up()
+            if self.clock() >= due:
                 self.node.time_up(client.errand)
             else:
                 client.timed = True
-                self.deadlines.at(client.time_up(), self.held_due, number_)
+                self.deadlines.at(due, self.held_due, number_)
 
     def read_on(self, number_):
         client = self.table.get(number_)
--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -19,6 +19,7 @@
 OWN = frozenset((b'connection', b'keep-alive', b'proxy-connection', b'transfer-encoding', b'te', b'trailer',
                  b'upgrade', b'expect', b'content-length', b'req-deadline'))
 SINGLE = frozenset((b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined'))
+BODIED = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')     # a body may follow the head
 ABSOLUTE = re.compile(rb'(?i:https?)://[^/?#]*')
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
