--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -113,7 +113,7 @@
 
 def one_read(data):
     """Whether these bytes are, by their look, one whole request for a read and nothing more."""
-    return data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4
+    return data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODIED.search(data)
 
 
 class Chunks:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -165,6 +165,19 @@
         self.ask(client, 'late', 'PUT', '/once/k', b'x' * 100_000, 'Req-Deadline: 0.5\r\n')
         self.in_time(client, begun, (503,))             # it surely never left
 
+    def test_its_last_byte_has_not_come_and_no_time_runs(self):
+        client = self.client()
+        self.ask(client, 'slow', 'PUT', '/once/k', b'', 'Content-Length: 100000\r\nReq-Deadline: 0.4\r\n')
+        client.say(b'x' * 80_000)       # held, and the rest would be held unread
+        time.sleep(1.2)
+        self.assertFalse(client.ended_yet() or client.buffer)
+        self.servers['o'].let()
+        hop = self.servers['o'].take()
+        client.say(b'x' * 20_000)
+        self.assertEqual(hop.request(), 'slow')
+        hop.answer()
+        self.assertEqual(client.answered()[0], 200)
+
     def test_its_last_byte_lies_unread_while_the_server_takes_no_more(self):
         self.servers['o'].let()
         client, begun = self.client(), time.monotonic()
@@ -523,6 +536,32 @@
         self.assertEqual((status, len(body)), (200, 1_000_000))
 
 
+class Crowded(Crossing):
+    """Half of the places for clients are taken, so that who rests for a second makes way."""
+
+    sockets = 64
+
+    def comes_whole(self, more):
+        client = self.client()
+        self.ask(client, 'slow', more=more)
+        hop = self.servers['c0'].take()
+        hop.request()
+        hop.answer(body=b'x' * 800_000)
+        others = [self.client() for _ in range(14)]
+        for number in range(25):        # over two seconds
+            others[number % 14].say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
+            time.sleep(0.1)
+        status, body = client.answered()
+        self.assertEqual((status, len(body)), (200, 800_000))
+        self.assertEqual((client.ended(), client.was_reset), (True, False))
+
+    def test_an_answer_still_on_its_way_to_a_slow_client_that_rests_comes_whole(self):
+        self.comes_whole('')
+
+    def test_and_to_one_that_is_to_close(self):
+        self.comes_whole('Connection: close\r\n')
+
+
 class Flows(Crossing):
     """Large answers, which are passed on as they come."""
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -146,6 +146,26 @@
                 wire = asked(node(), text)
                 self.assertEqual((status(wire), wire.half_closed), expected)
 
+    def test_a_read_that_may_have_a_body_is_not_taken_for_a_whole_one_by_its_head(self):
+        start = b'GET /read/k HTTP/1.1\r\nHost: x\r\n'
+        for more in (b'Content-Length: 3\r\n', b'TRANSFER-ENCODING : chunked\r\n', b'content-length:3\r\nA: b\r\n'):
+            with self.subTest(more=more):
+                self.assertFalse(one_read(start + more + b'\r\n'))
+        for more in (b'', b'X-Content-Length: 3\r\n', b'A: content-length: 3\r\n'):
+            self.assertTrue(one_read(start + more + b'\r\n'))
+
+    def test_a_request_cut_at_any_byte_is_the_same_request(self):
+        text = (b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: 9\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n'
+                b'3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n')
+        for at in range(1, len(text)):
+            made = node()
+            wire = asked(made, text[:at].decode())
+            made.reactor.pump([0.1] * 22)
+            self.assertEqual(len(made.errands), 0)
+            wire.protocol.dataReceived(text[at:])
+            origin = dialled(made)
+            self.assertTrue(origin.value().endswith(b'Content-Length: 5\r\n\r\nabcde'), at)
+
     def test_the_limit_runs_from_the_last_byte_and_not_beyond_the_profiles(self):
         made = node()
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Deadline: 99\r\n')
