--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -52,6 +52,7 @@
         self.flow, self.source = None, None     # a large answer on its way, and where it comes from
         self.until = None               # the limit of the request whose large answer is on its way
         self.skips = False              # the rest of a large body is read and forgotten
+        self.spared = False             # whether the look at who has stayed too long has let it be, as bytes lay unread
         self.held, self.timed = False, False    # whether this side keeps a large body unread; whether a deadline hangs for that
 
     def connectionMade(self):
@@ -154,6 +155,12 @@
         """When its limit is, should the bytes that came last be the last of its request."""
         return self.front.clock() - unread_for(self.transport) + (self.errand.wait if self.errand else 0)
 
+    def last_byte_missing(self):
+        """Whether the last byte of a large request that is held has surely not come: some of a body of told length is missing, and
+        nothing lies unread. Any unread byte may have closed the system's window, behind which the client's system holds the rest."""
+        reader = self.reader
+        return not reader.chunks and reader.need > len(reader.buffer) and quiet(self.transport)
+
     def go_on(self):
         self.held = False
         self.transport.resumeProducing()
@@ -202,14 +209,18 @@
     def overdue(self):
         """It has stood where it is for too long. Whether it makes way."""
         if self.phase == PARTING:
+            if self.skips and self.front.clock() < self.since + STAYS[HALF][0]:
+                return False            # it still sends, slowly, and may read its answer only then
             if waiting(self.transport) and self.front.clock() < self.since + STAYS[POURING][0]:
                 return False            # its answer has not left yet
             self.leave()
         elif self.phase == POURING:
+            if self.until is not None and not self.flow.paused:
+                return False            # it is the server that gives no more: pour_due sees to that
             self.front.node.count('not_read')
             self.transport.abortConnection()
         elif self.phase == HALF:
-            if self.link and self.link.flow and self.link.flow.paused and self.stalls():
+            if self.held and self.stalls() or self.spare():
                 return False
             self.give_up_upload()
             self.refuse(408, 'the request did not come')
@@ -226,12 +237,19 @@
         else:
             self.transport.loseConnection()
 
+    def spare(self):
+        """Whether more of its request lies unread, and will be read in this turn: once a request, as one that drips may always have
+        something there."""
+        spared, self.spared = self.spared, True
+        return not spared and not quiet(self.transport)
+
     def stalls(self):
-        """Whether it is the server that takes no more of the body, and not for too long."""
+        """While this side reads no more of its body: whether that is not for too long."""
         return self.front.clock() < self.since + STAYS[POURING][0]
 
     def begin(self):
         """The first byte of a request is here: its time runs from when it came."""
+        self.spared = False
         self.front.put(self, ASKED, self.came)
 
     def advance(self):
@@ -489,7 +507,8 @@
         tell that it is not whole. What its server still gives goes on, as cutting it off would lose it."""
         client = self.table.get(number_)
         if client and client.flow and client.until is not None and self.clock() >= client.until:
-            if not client.flow.paused and self.clock() >= client.since + STALLED:
+            silent = not client.flow.paused and self.clock() >= client.since + STALLED
+            if silent and quiet(client.source.transport):
                 self.cut_off(client)
             else:
                 self.deadlines.at(max(self.clock() + LOOK, client.since + STALLED), self.pour_due, number_)
@@ -515,11 +534,12 @@
             return
         client.timed = False
         if client.held and client.flows and client.errand:
-            if self.clock() >= client.time_up():
+            due = self.clock() + LOOK if client.last_byte_missing() else client.time_up()
+            if self.clock() >= due:
                 self.node.time_up(client.errand)
             else:
                 client.timed = True
-                self.deadlines.at(client.time_up(), self.held_due, number_)
+                self.deadlines.at(due, self.held_due, number_)
 
     def read_on(self, number_):
         client = self.table.get(number_)
