--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -278,6 +278,30 @@
         cache.protocol.dataReceived(b'x' * 50_000)
         self.assertEqual((wire.aborted, wire.protocol.phase), (False, RESTING))
 
+    def test_a_pause_of_its_server_across_the_limit_and_beyond(self):
+        for pause, ended in ((19, False), (22, True)):
+            made = node()
+            wire, cache = sent(made)
+            cache.protocol.dataReceived(LARGE)
+            made.reactor.pump([0.1] * 19)
+            for _ in range(3):          # each pause begins with a piece
+                cache.protocol.dataReceived(b'x' * 1_000)
+                made.reactor.pump([0.1] * pause)
+            self.assertEqual((pause, wire.aborted), (pause, ended))
+
+    def test_a_pause_that_is_its_clients_counts_from_when_that_reads_on(self):
+        made = node()
+        wire, cache = sent(made)
+        cache.protocol.dataReceived(LARGE)
+        made.reactor.pump([0.1] * 15)
+        wire.producer.pauseProducing()
+        made.reactor.pump([0.1] * 50)   # beyond the limit, far longer than a server may be silent
+        wire.producer.resumeProducing()
+        made.reactor.pump([0.1] * 19)
+        before = wire.aborted
+        made.reactor.pump([0.1] * 3)
+        self.assertEqual((before, wire.aborted), (False, True))
+
     def test_a_client_that_does_not_read_is_given_up_there_too(self):
         made = node(settings=grown(profiles=self.LONG))
         wire, cache = sent(made)
