--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -23,17 +23,22 @@
 FRESH, RESTING, HALF, ASKED, PARTING, POURING = 'fresh', 'resting', 'half', 'asked', 'parting', 'pouring'
 # How long it may stand there; while over half of the places are taken; and while nobody is accepted any more. In the order
 # in which they make way.
-STAYS = {FRESH: (15_000, 500, 500), PARTING: (10_000, 1_000, 1_000), HALF: (24_000, 24_000, 5_000),
-         POURING: (100_000, 100_000, 100_000), RESTING: (25_000, 1_000, 1_000)}
+STAYS = {
+    FRESH: (15_000, 500, 500),
+    PARTING: (10_000, 1_000, 1_000),
+    HALF: (24_000, 24_000, 5_000),
+    POURING: (100_000, 100_000, 100_000),
+    RESTING: (25_000, 1_000, 1_000),
+}
 CALM, BUSY, FULL = range(3)
-PACED = (HALF, POURING)                 # bytes that come or go give them time
-SLOW = 16_384                           # bytes of a body that give a client a second more for the rest of it
-LOOK = 1_000                            # between two looks at who has stayed for too long; a tenth while full
-AMPLE = 0.5                             # part of the budget from which a new connection has an idle one make way
-QUIET = 2_500                           # nobody has come for so long: nobody is on the way
-NEARLY = 2                              # places left when a connection is not kept after its answer
-WRONG = 4                               # requests for what does not exist, until a client's connection ends
-HELD = 2 * http.MAX_BODY                # read ahead of the answer that is owed; then the client is paused
+PACED = (HALF, POURING)  # bytes that come or go give them time
+SLOW = 16_384  # bytes of a body that give a client a second more for the rest of it
+LOOK = 1_000  # between two looks at who has stayed for too long; a tenth while full
+AMPLE = 0.5  # part of the budget from which a new connection has an idle one make way
+QUIET = 2_500  # nobody has come for so long: nobody is on the way
+NEARLY = 2  # places left when a connection is not kept after its answer
+WRONG = 4  # requests for what does not exist, until a client's connection ends
+HELD = 2 * http.MAX_BODY  # read ahead of the answer that is owed; then the client is paused
 
 
 class Client(Protocol):
@@ -41,19 +46,22 @@
 
     def __init__(self, front):
         self.front, self.reader = front, Reader(http.REQUEST)
-        self.number = self.errand = None        # errand: what the node makes of the present request
-        self.phase = None               # one of those above, None once the connection has ended
-        self.since = 0                  # when its phase began; for a request, when its first byte came
-        self.came = 0                   # when the last bytes read came to this machine
+        self.number = self.errand = None  # errand: what the node makes of the present request
+        self.phase = None  # one of those above, None once the connection has ended
+        self.since = 0  # when its phase began; for a request, when its first byte came
+        self.came = 0  # when the last bytes read came to this machine
         self.lasting, self.answered = True, False
-        self.wrong, self.dropped = 0, 0         # requests for nothing there is; bytes read since the last answer
-        self.flows = None               # the request whose large body still comes
-        self.link = None                # the connection that it goes to, once there is one
-        self.flow, self.source = None, None     # a large answer on its way, and where it comes from
-        self.until = None               # the limit of the request whose large answer is on its way
-        self.skips = False              # the rest of a large body is read and forgotten
-        self.spared = False             # whether the look at who has stayed too long has let it be, as bytes lay unread
-        self.held, self.timed = False, False    # whether this side keeps a large body unread; whether a deadline hangs for that
+        self.wrong, self.dropped = 0, 0  # requests for nothing there is; bytes read since the last answer
+        self.flows = None  # the request whose large body still comes
+        self.link = None  # the connection that it goes to, once there is one
+        self.flow, self.source = None, None  # a large answer on its way, and where it comes from
+        self.until = None  # the limit of the request whose large answer is on its way
+        self.skips = False  # the rest of a large body is read and forgotten
+        self.spared = False  # whether the look at who has stayed too long has let it be, as bytes lay unread
+        self.held, self.timed = (
+            False,
+            False,
+        )  # whether this side keeps a large body unread; whether a deadline hangs for that
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -202,7 +210,7 @@
         no cost, and the answer that was written still reaches it."""
         self.dropped += len(data)
         if self.skips and self.dropped <= http.MAX_FLOW:
-            self.paced(len(data))       # it may read its answer only once all is sent
+            self.paced(len(data))  # it may read its answer only once all is sent
         elif self.dropped > HELD:
             self.transport.pauseProducing()
 
@@ -210,13 +218,13 @@
         """It has stood where it is for too long. Whether it makes way."""
         if self.phase == PARTING:
             if self.skips and self.front.clock() < self.since + STAYS[HALF][0]:
-                return False            # it still sends, slowly, and may read its answer only then
+                return False  # it still sends, slowly, and may read its answer only then
             if waiting(self.transport) and self.front.clock() < self.since + STAYS[POURING][0]:
-                return False            # its answer has not left yet
+                return False  # its answer has not left yet
             self.leave()
         elif self.phase == POURING:
             if self.until is not None and not self.flow.paused:
-                return False            # it is the server that gives no more: pour_due sees to that
+                return False  # it is the server that gives no more: pour_due sees to that
             self.front.node.count('not_read')
             self.transport.abortConnection()
         elif self.phase == HALF:
@@ -313,7 +321,7 @@
         self.errand, self.answered = None, True
         data = b''.join(pieces)
         if not waiting(self.transport):
-            data = data[push(self.transport, data):]
+            data = data[push(self.transport, data) :]
         self.replied(data)
 
     def replied(self, data):
@@ -328,7 +336,7 @@
         elif self.reader.begun:
             self.came = self.front.clock()
             self.begin()
-            self.front.again(self)      # in a turn of its own: many small requests may stand here
+            self.front.again(self)  # in a turn of its own: many small requests may stand here
         else:
             self.front.put(self, RESTING)
         self.transport.resumeProducing()
@@ -366,11 +374,11 @@
         self.slowest = max(profile.hard for profile in terms.profiles)
         self.profiles = {p.name.encode(): row for row, p in enumerate(terms.profiles)}
         self.tenants = {t.name.encode() for t in terms.tenants}
-        self.phases = {phase: {} for phase in (*STAYS, ASKED)}      # the longest there first
+        self.phases = {phase: {} for phase in (*STAYS, ASKED)}  # the longest there first
         self.port, self.full, self.shut = None, False, False
-        self.yielded = False            # another process of this node accepts
-        self.came, self.met = 0, 0      # when the last client connected; how many have
-        self.parted = 0                 # when one that rested was last asked to go
+        self.yielded = False  # another process of this node accepts
+        self.came, self.met = 0, 0  # when the last client connected; how many have
+        self.parted = 0  # when one that rested was last asked to go
 
     def listen(self, reactor, host, port, given=None):
         """Accept clients from now on, at an address or at a listening socket that another process gave."""
@@ -384,7 +392,7 @@
         self.look()
 
     def buildProtocol(self, addr):
-        self.port.numberAccepts = 0     # keeps it at one a turn: more at once could overrun the budget
+        self.port.numberAccepts = 0  # keeps it at one a turn: more at once could overrun the budget
         return Client(self)
 
     def too_late(self, came, data):
@@ -437,7 +445,7 @@
             for client in list(self.phases[phase].values()):
                 if now < client.since + stays[need] or phase == RESTING and freed >= places:
                     if phase in PACED:
-                        continue        # these are not in the order of their times
+                        continue  # these are not in the order of their times
                     break
                 freed += client.overdue()
 
@@ -586,7 +594,13 @@
                 wait = min(hard, down(number(told.decode('latin-1'))))
         except BadLine:
             wait = -1
-        if wait < 0 or owner and owner not in self.tenants or not message.field(b'req-id') or not message.field(b'host'):
+        if (
+            wait < 0
+            or owner
+            and owner not in self.tenants
+            or not message.field(b'req-id')
+            or not message.field(b'host')
+        ):
             self.node.count('malformed')
             client.refuse(400, 'Host, Req-Id, Req-Deadline or Req-Owner out of form')
             return
--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -22,14 +22,14 @@
 from ..values import SECOND, BadLine
 
 VERSION = 1
-PREFIX = 'lilacdyke-%08x-'              # of the sockets' names: whose, and then the process
-ANSWERS = 10_000                        # within this an elder has given what it has
-BINDS = 4_000                           # within this the other has said that a call binds it
-TELLS = 1_000                           # between two words on what is held
-BEATS, QUIET = 250, 1_000               # between two beats of an heir; after which it counts as standing still
-MOST = 4 << 20                          # the longest line
-MOST_ASKED = 8                          # sockets that are asked; a node killed again and again leaves stale ones
-PATH_MOST = 100                         # the longest path that a Unix socket may have, with some to spare
+PREFIX = 'lilacdyke-%08x-'  # of the sockets' names: whose, and then the process
+ANSWERS = 10_000  # within this an elder has given what it has
+BINDS = 4_000  # within this the other has said that a call binds it
+TELLS = 1_000  # between two words on what is held
+BEATS, QUIET = 250, 1_000  # between two beats of an heir; after which it counts as standing still
+MOST = 4 << 20  # the longest line
+MOST_ASKED = 8  # sockets that are asked; a node killed again and again leaves stale ones
+PATH_MOST = 100  # the longest path that a Unix socket may have, with some to spare
 CALLS = ('suspend', 'resume', 'empty', 'activate')
 
 
@@ -40,9 +40,9 @@
     urgent = True
 
     def __init__(self, kin, elder):
-        self.kin, self.elder = kin, elder       # elder: whether the other side is it
+        self.kin, self.elder = kin, elder  # elder: whether the other side is it
         self.buffer, self.fd, self.sent, self.over = bytearray(), None, 0, False
-        self.waits = {}                 # calls that the other side has not answered, by number: what is then done
+        self.waits = {}  # calls that the other side has not answered, by number: what is then done
 
     def fileDescriptorReceived(self, descriptor):
         if self.fd is not None:
@@ -59,7 +59,7 @@
         try:
             while not self.over and (end := self.buffer.find(b'\n')) >= 0:
                 line = bytes(self.buffer[:end])
-                del self.buffer[:end + 1]
+                del self.buffer[: end + 1]
                 self.told(json.loads(line))
             if len(self.buffer) > MOST:
                 raise BadLine('line too long')
@@ -82,7 +82,12 @@
             self.kin.heir_beats()
         elif 'holds' in line and self.elder and isinstance(line['holds'], int):
             self.kin.elder_holds(line['holds'])
-        elif 'call' in line and isinstance(line['call'], list) and line['call'][:1] and line['call'][0] in CALLS:
+        elif (
+            'call' in line
+            and isinstance(line['call'], list)
+            and line['call'][:1]
+            and line['call'][0] in CALLS
+        ):
             self.kin.node.bound(*line['call'])
             self.say(done=line.get('n'))
         elif 'done' in line:
@@ -159,11 +164,14 @@
     def __init__(self, node, reactor, deadlines, clock, folder, limit, spare):
         self.node, self.reactor, self.deadlines, self.clock = node, reactor, deadlines, clock
         self.prefix = PREFIX % crc32(repr((node.place.name, node.place.listen)).encode())
-        self.folder, self.held = folder, None       # held: a descriptor of the folder, if its path is long
+        self.folder, self.held = folder, None  # held: a descriptor of the folder, if its path is long
         self.succession = Succession(limit, spare)
         self.elder, self.heir, self.port = None, None, None
-        self.names, self.begin = [], None       # sockets still to be asked; what the start goes on with
-        self.beats, self.heard = False, None    # whether the elder wants beats; when the heir was last heard to beat
+        self.names, self.begin = [], None  # sockets still to be asked; what the start goes on with
+        self.beats, self.heard = (
+            False,
+            None,
+        )  # whether the elder wants beats; when the heir was last heard to beat
 
     # --- the start --------------------------------------------------------------------------------------
 
@@ -177,7 +185,7 @@
             warn('no look into the private folder', reason=err)
             found = []
         found = [(told.st_mtime_ns, name) for told, name in found if stat.S_ISSOCK(told.st_mode)]
-        self.names = [name for _, name in sorted(found)][-MOST_ASKED:]      # the latest is asked first
+        self.names = [name for _, name in sorted(found)][-MOST_ASKED:]  # the latest is asked first
         self.deadlines.at(self.clock() + ANSWERS, self.silent, 0)
         self.next_elder()
 
@@ -215,7 +223,7 @@
         self.beats = told.get('beats') is True
         fd, link.fd = link.fd, None
         self.decided(told, fd)
-        os.close(fd)                    # the reactor has its own by now
+        os.close(fd)  # the reactor has its own by now
 
     def decided(self, told, fd):
         """The start goes on."""
@@ -225,14 +233,14 @@
     def serves(self):
         """This process takes clients now, and may be asked by an heir."""
         if self.elder:
-            self.beat(0)                # before the word that it answers for
+            self.beat(0)  # before the word that it answers for
             self.elder.say(serves=True)
         name = '%s%d' % (self.prefix, os.getpid())
         try:
             if os.path.exists(os.path.join(self.folder, name)):
-                os.unlink(os.path.join(self.folder, name))          # of one with this number that was killed
+                os.unlink(os.path.join(self.folder, name))  # of one with this number that was killed
             self.port = self.reactor.listenUNIX(self.short(name), Listen(self), backlog=8, mode=0o600)
-        except Exception as err:        # the node serves without it; an upgrade is then a plain start
+        except Exception as err:  # the node serves without it; an upgrade is then a plain start
             warn('no hand-over possible', reason=err)
 
     def beat(self, _):
@@ -319,6 +327,7 @@
             left[0] -= 1
             if left[0] <= 0:
                 done()
+
         if not links:
             done()
         for link in links:
--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -7,25 +7,49 @@
 
 import re
 
-MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024        # bodies up to that are held whole
-MAX_FLOW = 32 << 20                     # others are passed on as they come, up to that
-REQUEST = re.compile(rb"([A-Za-z]+) ([!-~]+) HTTP/1\.([01])\r\n")
+MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # bodies up to that are held whole
+MAX_FLOW = 32 << 20  # others are passed on as they come, up to that
+REQUEST = re.compile(rb'([A-Za-z]+) ([!-~]+) HTTP/1\.([01])\r\n')
 ANSWER = re.compile(rb'HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n\0]*)?\r\n')
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):([^\r\n\0]*)\r\n")
 SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n\0]*)?\r\n')
-BARE = re.compile(rb'1|204|304')        # answers that have no body
+BARE = re.compile(rb'1|204|304')  # answers that have no body
 DIGITS = re.compile(rb'[0-9]{1,12}\Z')
 # Lines that concern one connection only, or that every sender writes anew.
-OWN = frozenset((b'connection', b'keep-alive', b'proxy-connection', b'transfer-encoding', b'te', b'trailer',
-                 b'upgrade', b'expect', b'content-length', b'req-deadline'))
+OWN = frozenset(
+    (
+        b'connection',
+        b'keep-alive',
+        b'proxy-connection',
+        b'transfer-encoding',
+        b'te',
+        b'trailer',
+        b'upgrade',
+        b'expect',
+        b'content-length',
+        b'req-deadline',
+    )
+)
 SINGLE = frozenset((b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined'))
-BODIED = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')     # a body may follow the head
+BODIED = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # a body may follow the head
 ABSOLUTE = re.compile(rb'(?i:https?)://[^/?#]*')
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
-REASONS = {200: 'OK', 400: 'Bad Request', 404: 'Not Found', 405: 'Method Not Allowed', 408: 'Request Timeout',
-           409: 'Conflict', 413: 'Content Too Large', 429: 'Too Many Requests', 431: 'Request Header Fields Too Large',
-           500: 'Internal Server Error', 502: 'Bad Gateway', 503: 'Service Unavailable', 504: 'Gateway Timeout'}
+REASONS = {
+    200: 'OK',
+    400: 'Bad Request',
+    404: 'Not Found',
+    405: 'Method Not Allowed',
+    408: 'Request Timeout',
+    409: 'Conflict',
+    413: 'Content Too Large',
+    429: 'Too Many Requests',
+    431: 'Request Header Fields Too Large',
+    500: 'Internal Server Error',
+    502: 'Bad Gateway',
+    503: 'Service Unavailable',
+    504: 'Gateway Timeout',
+}
 
 
 class BadMessage(Exception):
@@ -44,11 +68,11 @@
     def __init__(self, head, first):
         self.head = head
         self.parts = first.groups()
-        self.begun = first.end(2)       # where the second part ends
+        self.begun = first.end(2)  # where the second part ends
         self.lines, self.fields = [], {}
         self.body = b''
-        self.length = 0                 # of the body; None: it is not told
-        self.source = None              # the connection from which the body still comes, where it flows
+        self.length = 0  # of the body; None: it is not told
+        self.source = None  # the connection from which the body still comes, where it flows
 
     def field(self, name):
         """The value of a header field, or None."""
@@ -122,7 +146,7 @@
     __slots__ = ('left', 'size', 'most', 'trailer', 'ended')
 
     def __init__(self, most):
-        self.left, self.size, self.most = 0, 0, most    # left: of this chunk, with its line end; most: of all
+        self.left, self.size, self.most = 0, 0, most  # left: of this chunk, with its line end; most: of all
         self.trailer, self.ended = 0, False
 
     def read(self, buffer):
@@ -130,9 +154,9 @@
         data = bytearray()
         while not self.ended:
             if self.left > 2:
-                piece = buffer[:self.left - 2]
+                piece = buffer[: self.left - 2]
                 data += piece
-                del buffer[:len(piece)]
+                del buffer[: len(piece)]
                 self.left -= len(piece)
                 if self.left > 2:
                     break
@@ -178,13 +202,13 @@
     __slots__ = ('first', 'most', 'buffer', 'scanned', 'message', 'need', 'chunks', 'lasts')
 
     def __init__(self, first, most=MAX_FLOW):
-        self.first, self.most = first, most     # REQUEST or ANSWER; the largest body
+        self.first, self.most = first, most  # REQUEST or ANSWER; the largest body
         self.buffer = bytearray()
         self.reset()
 
     def reset(self):
         self.scanned, self.message, self.need, self.chunks = 0, None, 0, None
-        self.lasts = False              # whether the body lasts until the connection ends
+        self.lasts = False  # whether the body lasts until the connection ends
 
     @property
     def begun(self):
@@ -212,8 +236,8 @@
             self.count(len(self.buffer))
             self.buffer.clear()
         elif self.need:
-            data += bytes(memoryview(self.buffer)[:self.need])
-            del self.buffer[:self.need]
+            data += bytes(memoryview(self.buffer)[: self.need])
+            del self.buffer[: self.need]
             self.need -= len(data)
         return data
 
@@ -256,15 +280,15 @@
         else:
             if len(self.buffer) < self.need:
                 return None
-            message.body = bytes(memoryview(self.buffer)[:self.need])
-            del self.buffer[:self.need]
+            message.body = bytes(memoryview(self.buffer)[: self.need])
+            del self.buffer[: self.need]
         self.reset()
         return message
 
     def take_head(self):
         """Read the head once it is whole; the message without its body, or None."""
         while self.buffer[:2] == b'\r\n' and self.first is REQUEST:
-            del self.buffer[:2]         # an empty line before a request is to be passed over
+            del self.buffer[:2]  # an empty line before a request is to be passed over
         end = self.buffer.find(b'\r\n\r\n', max(0, self.scanned - 3)) + 4
         self.scanned = len(self.buffer)
         if (end if end > 3 else self.scanned) > MAX_HEAD:
@@ -306,10 +330,16 @@
     tail = b'Req-Deadline: %d.%04d\r\n' % divmod(wait, 10_000)
     if message.source:
         tail += framing(message)
-        return [message.head[:message.begun], b' HTTP/1.1\r\n', *message.passed(), tail + b'\r\n']
+        return [message.head[: message.begun], b' HTTP/1.1\r\n', *message.passed(), tail + b'\r\n']
     if message.body or message.parts[0] != b'GET':
         tail += b'Content-Length: %d\r\n' % len(message.body)
-    return [message.head[:message.begun], b' HTTP/1.1\r\n', *message.passed(), tail + b'\r\n', bytes(message.body)]
+    return [
+        message.head[: message.begun],
+        b' HTTP/1.1\r\n',
+        *message.passed(),
+        tail + b'\r\n',
+        bytes(message.body),
+    ]
 
 
 def relayed(message, lasting):
@@ -336,5 +366,10 @@
 def answer(status, lasting, text='', more=''):
     """An answer of the node's own."""
     body = text.encode()
-    return [('HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n%s%s\r\n' % (
-        status, REASONS[status], len(body), more, '' if lasting else 'Connection: close\r\n')).encode(), body]
+    return [
+        (
+            'HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n%s%s\r\n'
+            % (status, REASONS[status], len(body), more, '' if lasting else 'Connection: close\r\n')
+        ).encode(),
+        body,
+    ]
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -28,13 +28,13 @@
 
 # away: an operator has had the node emptied; it lives on and takes whoever still comes.
 STARTING, SERVING, AWAY, DRAINING, STOPPED = 'starting', 'serving', 'away', 'draining', 'stopped'
-SPARE, LEAST = 32, 4                    # descriptors for all but clients and caches; what each has at least
-COMING = 5_000                          # after SIGTERM clients go on coming for less than this
-FIRST_WORD = 10_000                     # so long clients wait at the door for discovery's first word
-GRACE = 30_000                          # SIGKILL may come so long and a little more after SIGTERM, however long clients would wait
-RESTED = 2_500                          # idle so long, a connection is unlikely to be asked on while it closes
-HEAD_START = 4                          # of an attempt's time the last part, 1 to this, is kept for passing on an answer held in part
-FIGURES = 10 * SECOND                   # between two lines of figures
+SPARE, LEAST = 32, 4  # descriptors for all but clients and caches; what each has at least
+COMING = 5_000  # after SIGTERM clients go on coming for less than this
+FIRST_WORD = 10_000  # so long clients wait at the door for discovery's first word
+GRACE = 30_000  # SIGKILL may come so long and a little more after SIGTERM, however long clients would wait
+RESTED = 2_500  # idle so long, a connection is unlikely to be asked on while it closes
+HEAD_START = 4  # of an attempt's time the last part, 1 to this, is kept for passing on an answer held in part
+FIGURES = 10 * SECOND  # between two lines of figures
 
 
 class Errand:
@@ -46,8 +46,8 @@
         self.client, self.message, self.wait = client, message, wait
         self.name = message.field(b'req-id')
         self.number = self.tx = None
-        self.passages = []              # hops under way
-        self.shared = False             # whether it counts in the fleet's limits
+        self.passages = []  # hops under way
+        self.shared = False  # whether it counts in the fleet's limits
 
 
 class Passage:
@@ -58,8 +58,8 @@
     def __init__(self, errand, hop):
         self.errand, self.hop = errand, hop
         self.number = self.trip = None
-        self.looked_at = False          # whether its deadline has waited for what lay unread
-        self.begin_at = None            # from when on an answer that is here in part is passed on
+        self.looked_at = False  # whether its deadline has waited for what lay unread
+        self.begin_at = None  # from when on an answer that is here in part is passed on
 
 
 class Node:
@@ -68,25 +68,26 @@
     def __init__(self, place, reactor, system=System):
         self.place, self.reactor, self.system, self.elapsed = place, reactor, system, system.elapsed
         self.phase = STARTING
-        self.zero = self.elapsed() - 1       # the module's clock starts at one second
+        self.zero = self.elapsed() - 1  # the module's clock starts at one second
         self.offset = self.clock() - int(system.wall() * SECOND)
         self.chance = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
-        self.servers, self.entries = {}, {}         # by name: the module's objects; what the list last said
+        self.servers, self.entries = {}, {}  # by name: the module's objects; what the list last said
         self.errands, self.passages = Table(), Table()
-        self.ids = set()                # what clients call the transactions that are open
+        self.ids = set()  # what clients call the transactions that are open
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         budget = self.part(self.descriptors() - SPARE)
         self.front = Front(self, self.deadlines, self.clock, place.terms, budget)
-        self.caches = Caches(reactor, self.deadlines, self.clock, place, budget, self.broken, self.fault,
-                             self.returned)
+        self.caches = Caches(
+            reactor, self.deadlines, self.clock, place, budget, self.broken, self.fault, self.returned
+        )
         self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.chance, self)
-        self.desk = None                # operators' door
-        self.gone_away, self.emptied = False, 0     # whether operators have it emptied, and since when
-        self.kin, self.exit = None, 0   # links to other processes of this node; the exit code
-        self.fleet = None               # what this node shares with others, where a fleet file says so (plan/fleet.py)
-        self.last = None                # once it is to exit: until when all is answered
-        self.ending = None              # SIGTERM, and when it came, while that waits for discovery's first word
+        self.desk = None  # operators' door
+        self.gone_away, self.emptied = False, 0  # whether operators have it emptied, and since when
+        self.kin, self.exit = None, 0  # links to other processes of this node; the exit code
+        self.fleet = None  # what this node shares with others, where a fleet file says so (plan/fleet.py)
+        self.last = None  # once it is to exit: until when all is answered
+        self.ending = None  # SIGTERM, and when it came, while that waits for discovery's first word
         self.pulling = False
         self.counts = Counter()
 
@@ -103,11 +104,13 @@
     def start(self, folder=None):
         """Begin; where operators have a door, first ask in this folder whether a process of this node is there."""
         if self.place.operator:
-            from .operator import Desk      # what is off is not imported
+            from .operator import Desk  # what is off is not imported
+
             self.desk = Desk(self, self.deadlines, self.clock)
             self.desk.listen(self.reactor, *self.place.operator)
         if self.place.operator and folder:
             from .handover import Kin
+
             self.kin = Kin(self, self.reactor, self.deadlines, self.clock, folder, self.descriptors(), SPARE)
             self.kin.ask(self.begin_or_end)
         else:
@@ -126,7 +129,7 @@
         except Exception:
             if told is None:
                 raise
-            LOG.exception('hand-over failed')       # what was given is of no use: a plain start
+            LOG.exception('hand-over failed')  # what was given is of no use: a plain start
             self.begin_or_end(None, None)
 
     def begin(self, told, fd):
@@ -162,8 +165,13 @@
         if self.kin:
             self.share_out()
             self.kin.serves()
-        say('serving', node=self.place.name, address='%s:%d' % self.place.listen, servers=len(self.servers),
-            descriptors=self.descriptors())
+        say(
+            'serving',
+            node=self.place.name,
+            address='%s:%d' % self.place.listen,
+            servers=len(self.servers),
+            descriptors=self.descriptors(),
+        )
         if self.ending:
             self.drain(*self.ending)
 
@@ -195,10 +203,15 @@
             self.reactor.stop()
         elif self.can_serve():
             self.phase = DRAINING
-            if not self.handed:         # else the heir's door is the same
+            if not self.handed:  # else the heir's door is the same
                 self.front.show_all()
-            say('draining', signal=signum, open=len(self.errands), clients=len(self.front.table),
-                succeeded=self.succeeded)
+            say(
+                'draining',
+                signal=signum,
+                open=len(self.errands),
+                clients=len(self.front.table),
+                succeeded=self.succeeded,
+            )
             if self.kin:
                 self.kin.succession.end()
             self.last = since + min(self.front.slowest, GRACE) + COMING
@@ -236,7 +249,11 @@
         held = self.handed or self.holding
         if now >= self.last - COMING or not held and self.front.nobody_comes(since + COMING):
             self.front.shut_door()
-        if not len(self.front.table) and (self.front.shut or not self.holding and held) or now >= self.last + COMING // 5:
+        if (
+            not len(self.front.table)
+            and (self.front.shut or not self.holding and held)
+            or now >= self.last + COMING // 5
+        ):
             self.phase = STOPPED
             self.discovery.close()
             say('stopped', open=len(self.errands), **self.counts)
@@ -324,7 +341,7 @@
         if self.succeeded:
             self.front.budget = max(LEAST, len(self.front.table))
             self.caches.shrink(LEAST)
-        elif self.handed:               # what the heir was told of is all there is
+        elif self.handed:  # what the heir was told of is all there is
             self.front.budget = max(LEAST, self.kin.succession.kept // 2)
             self.caches.budget = max(LEAST, self.kin.succession.kept // 2, self.caches.open)
         else:
@@ -338,11 +355,18 @@
     def legacy(self):
         """What an heir must know, as plain values; times as ticks of Unix time."""
         usual, servers = self.router.legacy(self.clock())
-        hand = {name: [since - self.offset, back and back - self.offset]
-                for name, (since, back) in self.router.hand.items()}
+        hand = {
+            name: [since - self.offset, back and back - self.offset]
+            for name, (since, back) in self.router.hand.items()
+        }
         listed = [entry.row() for name, entry in self.entries.items() if name in self.router.known]
-        return {'away': self.gone_away, 'hand': hand, 'usual': usual, 'servers': servers,
-                'list': {'generation': self.discovery.version or 0, 'reset': True, 'instances': listed}}
+        return {
+            'away': self.gone_away,
+            'hand': hand,
+            'usual': usual,
+            'servers': servers,
+            'list': {'generation': self.discovery.version or 0, 'reset': True, 'instances': listed},
+        }
 
     def inherit(self, told):
         """Go on with what an elder gave."""
@@ -350,7 +374,9 @@
             self.gone_away = told['away'] is True
             for name, (since, back) in told['hand'].items():
                 self.router.hand[name] = (since + self.offset, back and back + self.offset)
-            self.router.list_remembered(self.clock(), [self.router.row(s) for s in self.router.known.values()])
+            self.router.list_remembered(
+                self.clock(), [self.router.row(s) for s in self.router.known.values()]
+            )
             self.router.inherit(self.clock(), told['usual'], told['servers'])
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             warn('hand-over not read', reason=repr(err))
@@ -393,8 +419,14 @@
         self.count('gone')
         self.router.client_gone(self.clock(), errand.tx)
         for passage in errand.passages[:]:
-            if passage.trip and not passage.trip.whole and (passage.trip.message.source or not self.place.terms.may_cancel):
-                passage.trip.cut('unsent')      # the rest of its body will not come, or need not leave: it never ran
+            if (
+                passage.trip
+                and not passage.trip.whole
+                and (passage.trip.message.source or not self.place.terms.may_cancel)
+            ):
+                passage.trip.cut(
+                    'unsent'
+                )  # the rest of its body will not come, or need not leave: it never ran
         self.settle()
 
     def wanted(self, errand):
@@ -483,7 +515,7 @@
         if open_ and how == 'unsent' and errand.client.left():
             errand.client.see_off()
             open_ = False
-        final = how in ('committed', 'rejected')        # rejected: it is the request that is bad, not the server
+        final = how in ('committed', 'rejected')  # rejected: it is the request that is bad, not the server
         if final and open_:
             minor = errand.message.parts[2]
             client = self.forget(errand)
@@ -518,7 +550,9 @@
             now = self.clock()
             self.count('returned')
             say('server returned', server=server.name)
-            self.router.list_remembered(now, [(server, 'ready', server.weight, now, server.zone, server.cell)])
+            self.router.list_remembered(
+                now, [(server, 'ready', server.weight, now, server.zone, server.cell)]
+            )
 
     def fault(self, failure):
         """A fault in the node itself."""
@@ -531,7 +565,9 @@
         now = self.clock()
         if passage.begin_at is None:
             late = unread_for(passage.trip.link.transport)
-            passage.begin_at = passage.trip.until - (passage.trip.until - passage.hop.sent) // HEAD_START - late
+            passage.begin_at = (
+                passage.trip.until - (passage.trip.until - passage.hop.sent) // HEAD_START - late
+            )
             self.deadlines.at(max(now, passage.begin_at), self.begin_due, passage.number)
         elif now >= passage.begin_at:
             self.begin_due(passage.number)
@@ -575,7 +611,7 @@
             server = self.servers[entry.name] = Server(entry.name, entry.kind == self.place.origin_kind)
         self.caches.listed(server, entry.address)
         self.entries[entry.name] = entry
-        zone = self.place.zones.get(entry.zone, entry.zone)     # one that the settings do not name is no other's
+        zone = self.place.zones.get(entry.zone, entry.zone)  # one that the settings do not name is no other's
         return (server, entry.state, entry.weight, started(entry, self.offset), zone, entry.cell)
 
     def list_lost(self):
@@ -590,7 +626,7 @@
     def settle(self):
         """Pull the module's decisions until none is left."""
         if self.pulling:
-            return                      # the pull that this came out of goes on
+            return  # the pull that this came out of goes on
         self.pulling, going = True, True
         while going:
             try:
@@ -620,10 +656,14 @@
         errand.passages.append(passage)
         if self.fleet:
             self.router.shares.sent(now, hop.server, self.router.presence(now, hop.server) < 1)
-        passage.trip = self.caches.send(hop.server, errand.message, until, lambda: self.wanted(errand), hop.index > 0)
+        passage.trip = self.caches.send(
+            hop.server, errand.message, until, lambda: self.wanted(errand), hop.index > 0
+        )
         passage.trip.in_part = lambda: self.answer_in_part(passage)
         passage.trip.done.addCallback(self.arrived, passage.number).addErrback(self.fault)
-        if hop.tx.limit is not None and (until < limit or not self.place.terms.may_cancel):    # else it ends with its errand
+        if hop.tx.limit is not None and (
+            until < limit or not self.place.terms.may_cancel
+        ):  # else it ends with its errand
             self.deadlines.at(until, self.patience_due, passage.number)
 
     def do_cancel(self, hop):
@@ -674,8 +714,14 @@
 
     def figures(self, _):
         """A line of counts since the start."""
-        say('figures', open=len(self.errands), clients=len(self.front.table), links=self.caches.open,
-            memory_kb=self.system.memory_kb(), **self.counts)
+        say(
+            'figures',
+            open=len(self.errands),
+            clients=len(self.front.table),
+            links=self.caches.open,
+            memory_kb=self.system.memory_kb(),
+            **self.counts,
+        )
         self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
 
 
@@ -684,13 +730,15 @@
     early: filled if SIGHUP came since before the page was read; it may have been read too soon."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
+
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     reactor.shared = place.operator is not None
     installReactor(reactor)
     node = Node(place, reactor)
     if fleet:
-        from ..plan.fleet import Share      # what is off is not imported
+        from ..plan.fleet import Share  # what is off is not imported
+
         node.fleet = Share(node, fleet)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda n, _: reactor.callFromThread(node.drain, n))
@@ -703,6 +751,6 @@
         warn('cannot listen', reason=err)
         return 1
     gc.collect()
-    gc.freeze()         # what the start has made stays for good: the collector need not go through it again
+    gc.freeze()  # what the start has made stays for good: the collector need not go through it again
     reactor.run(installSignalHandlers=False)
     return node.exit
--- a/lilacdyke/net/operator.py
+++ b/lilacdyke/net/operator.py
@@ -13,21 +13,29 @@
 from .logs import LOG
 from .tables import Table
 
-MOST = 12                               # callers at once; the longest there makes way for the next
-STAYS = 50_000                          # until a caller that has not finished its call is told to go
-PARTS = 10_000                          # until one that has its answer and does not close is cut
-CALLS = {(b'v1', b'readyz'): 'can_serve', (b'v1', b'node', b'drain'): 'empty', (b'v1', b'node', b'activate'): 'activate'}
+MOST = 12  # callers at once; the longest there makes way for the next
+STAYS = 50_000  # until a caller that has not finished its call is told to go
+PARTS = 10_000  # until one that has its answer and does not close is cut
+CALLS = {
+    (b'v1', b'readyz'): 'can_serve',
+    (b'v1', b'node', b'drain'): 'empty',
+    (b'v1', b'node', b'activate'): 'activate',
+}
 HANDS = {b'suspend': 'suspend', b'resume': 'resume'}
 # What a caller is told on a yes; on a no, with its status.
-WORDS = {'can_serve': ('ready', 503, 'not ready'), 'empty': ('clients are sent away', 503, 'not now'),
-         'activate': ('clients may come', 503, 'not now'), 'suspend': ('out', 404, 'no such cache server'),
-         'resume': ('in use', 404, 'no such cache server')}
+WORDS = {
+    'can_serve': ('ready', 503, 'not ready'),
+    'empty': ('clients are sent away', 503, 'not now'),
+    'activate': ('clients may come', 503, 'not now'),
+    'suspend': ('out', 404, 'no such cache server'),
+    'resume': ('in use', 404, 'no such cache server'),
+}
 
 
 class Caller(Protocol):
     """One caller's connection."""
 
-    urgent = True                       # read before all else in a turn of the reactor
+    urgent = True  # read before all else in a turn of the reactor
 
     def __init__(self, desk):
         self.desk, self.reader = desk, Reader(http.REQUEST)
@@ -39,7 +47,7 @@
 
     def dataReceived(self, data):
         if self.asked or self.answered:
-            return                      # one call to a connection: what follows it is not read
+            return  # one call to a connection: what follows it is not read
         try:
             self.reader.feed(data)
             message = self.reader.take()
@@ -58,7 +66,7 @@
         """The one answer."""
         if not self.answered and self.number is not None:
             self.answered = True
-            self.desk.line.pop(self.number, None)       # it has what it came for, and keeps nobody out
+            self.desk.line.pop(self.number, None)  # it has what it came for, and keeps nobody out
             self.transport.write(b''.join(http.answer(status, False, text + '\n', more)))
             self.transport.loseWriteConnection()
             self.desk.deadlines.at(self.desk.clock() + PARTS, self.desk.cut, self.number)
@@ -81,7 +89,7 @@
     def __init__(self, node, deadlines, clock):
         self.node, self.deadlines, self.clock = node, deadlines, clock
         self.table, self.port = Table(), None
-        self.line = {}                  # callers by number, the longest there first
+        self.line = {}  # callers by number, the longest there first
 
     @property
     def holds(self):
--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -14,8 +14,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.tcp import Client, Port
 
-LAST_RECEIVED = 52                      # where tcp_info tells when bytes last came, in bytes
-CLOSED = (7, 8)                         # states that it tells first: all is over, or the other side has closed
+LAST_RECEIVED = 52  # where tcp_info tells when bytes last came, in bytes
+CLOSED = (7, 8)  # states that it tells first: all is over, or the other side has closed
 
 
 class AnswersFirst:
@@ -46,14 +46,16 @@
 
 def urgent(selectable):
     """Whether a connection, or a listening socket, is one that comes before all others."""
-    return getattr(getattr(selectable, 'protocol', None) or getattr(selectable, 'factory', None), 'urgent', False)
+    return getattr(
+        getattr(selectable, 'protocol', None) or getattr(selectable, 'factory', None), 'urgent', False
+    )
 
 
 class Reactor(AnswersFirst, EPollReactor):
     """Twisted's own on epoll, with that order. It also spares each event the logging context that nobody here uses;
     what an event raises is caught and logged below this."""
 
-    shared = False                      # whether another process of this node may listen at the same address
+    shared = False  # whether another process of this node may listen at the same address
 
     def listenTCP(self, port, factory, backlog=50, interface=''):
         """Listen; with nothing shut down at the end, as another process may hold the same socket."""
@@ -66,7 +68,7 @@
 class Outgoing(Protocol):
     """One end of a connection that this side opens."""
 
-    up = None                           # fires once the connection is up, or will not come up
+    up = None  # fires once the connection is up, or will not come up
 
     def makeConnection(self, transport):
         super().makeConnection(transport)
@@ -86,7 +88,7 @@
         return self.made
 
     def clientConnectionFailed(self, connector, reason):
-        if not self.made.up.called:     # else it was given up, which ends it in this way too
+        if not self.made.up.called:  # else it was given up, which ends it in this way too
             self.made.up.errback(reason)
 
 
@@ -114,11 +116,17 @@
     feeds on itself: those that have waited for too long, or have gone, would cost as much as those in time, and make
     them late too. Here one costs a few calls to the system."""
 
-    MOST = 32                           # turned away in a row, until other sockets have their turn
-    LOOK = 16_384                       # bytes looked at of what lies unread on one
+    MOST = 32  # turned away in a row, until other sockets have their turn
+    LOOK = 16_384  # bytes looked at of what lies unread on one
 
     def __init__(self, listening, late, whole, answer, crowded):
-        self.listening, self.late, self.whole, self.answer, self.crowded = listening, late, whole, answer, crowded
+        self.listening, self.late, self.whole, self.answer, self.crowded = (
+            listening,
+            late,
+            whole,
+            answer,
+            crowded,
+        )
 
     def __getattr__(self, name):
         return getattr(self.listening, name)
@@ -136,7 +144,7 @@
                 raise BlockingIOError(EAGAIN, 'no descriptor') from None
             state, waited = tcp_info(came)
             if state in CLOSED:
-                came.close()            # nobody is there any more
+                came.close()  # nobody is there any more
             elif not self.late(waited) or not self.turn_away(came):
                 return came, address
         raise BlockingIOError(EAGAIN, 'others first')
@@ -148,9 +156,9 @@
             if not self.whole(came.recv(self.LOOK, socket.MSG_PEEK | socket.MSG_DONTWAIT)):
                 return False
         except BlockingIOError:
-            return False                # nothing lies there yet
+            return False  # nothing lies there yet
         except OSError:
-            pass                        # it went just now, as the next call finds
+            pass  # it went just now, as the next call finds
         try:
             came.recv(self.LOOK, socket.MSG_DONTWAIT)
             came.send(b''.join(self.answer()), socket.MSG_DONTWAIT)
--- a/lilacdyke/net/succession.py
+++ b/lilacdyke/net/succession.py
@@ -9,7 +9,7 @@
 
 # Where the heir stands: there is none; it has state and queue; it serves; it served, and has stood still since.
 NONE, GIVEN, SERVES, SILENT = 'none', 'given', 'serves', 'silent'
-KEPT = 4                                # one in so many descriptors stays an elder's, to take clients again
+KEPT = 4  # one in so many descriptors stays an elder's, to take clients again
 
 
 class Succession:
@@ -18,10 +18,10 @@
     __slots__ = ('limit', 'spare', 'heir', 'elder_holds', 'ending')
 
     def __init__(self, limit, spare):
-        self.limit, self.spare = limit, spare       # descriptors of the whole node; what each process sets aside
+        self.limit, self.spare = limit, spare  # descriptors of the whole node; what each process sets aside
         self.heir = NONE
-        self.elder_holds = 0            # descriptors of the process before this one, while there is one
-        self.ending = False             # SIGTERM has come
+        self.elder_holds = 0  # descriptors of the process before this one, while there is one
+        self.ending = False  # SIGTERM has come
 
     # --- inputs -----------------------------------------------------------------------------------------
 
@@ -46,7 +46,7 @@
     def heir_gone(self):
         """Its link has ended: it is dead, or another takes over from it."""
         if not (self.ending and self.heir in (SERVES, SILENT)):
-            self.heir = NONE            # else it has the node for good, as far as this process knows
+            self.heir = NONE  # else it has the node for good, as far as this process knows
 
     def elder_told(self, holds):
         """The elder holds so many descriptors now."""
--- a/lilacdyke/net/system.py
+++ b/lilacdyke/net/system.py
@@ -13,8 +13,8 @@
 class System:
     """This process on this machine, as its operating system tells. Times in seconds."""
 
-    elapsed = staticmethod(monotonic)       # goes on evenly, from anywhere
-    wall = staticmethod(time)               # Unix time
+    elapsed = staticmethod(monotonic)  # goes on evenly, from anywhere
+    wall = staticmethod(time)  # Unix time
 
     @staticmethod
     def descriptors():
--- a/lilacdyke/net/tables.py
+++ b/lilacdyke/net/tables.py
@@ -9,8 +9,8 @@
 
 from .logs import LOG
 
-LATE = 100                              # a timer this late says that the machine stood still
-INDEX = 20                              # bits of a number that tell the slot; the rest tells its age
+LATE = 100  # a timer this late says that the machine stood still
+INDEX = 20  # bits of a number that tell the slot; the rest tells its age
 
 
 class Table:
@@ -59,7 +59,7 @@
     __slots__ = ('clock', 'later', 'heap', 'turn', 'timer', 'due', 'stalled')
 
     def __init__(self, clock, later):
-        self.clock, self.later = clock, later       # the present time; the reactor's callLater
+        self.clock, self.later = clock, later  # the present time; the reactor's callLater
         self.heap, self.turn = [], 0
         self.timer, self.due, self.stalled = None, None, False
 
--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -10,15 +10,19 @@
 
 from .ledger import longer, shorter
 
-BINS, UNIT = 12, 10                     # of answer times: an octave each, the first up to a millisecond
-SERVERS = 1_024                         # in one report
-VERDICTS = 128                          # in one plan
+BINS, UNIT = 12, 10  # of answer times: an octave each, the first up to a millisecond
+SERVERS = 1_024  # in one report
+VERDICTS = 128  # in one plan
 WELL, SLOW, FAILING, SILENT, FULL = 'well', 'slow', 'failing', 'silent', 'full'
 KINDS = (WELL, SLOW, FAILING, SILENT, FULL)
 FIELDS = ('sent', 'well', 'failed', 'silent', 'refused')
-HARM_SITE, HARM = 0.25, 0.2             # parts of a site's servers, and of all, that verdicts may hold down at once
-LEFT = {SILENT: 1 / 32, FAILING: 1 / 32, FULL: 0.5}     # of its turns that a server keeps, at full weight; a slow one as it is slower
-BACK = 0.5                              # of its turns that one has at least that is well again
+HARM_SITE, HARM = 0.25, 0.2  # parts of a site's servers, and of all, that verdicts may hold down at once
+LEFT = {
+    SILENT: 1 / 32,
+    FAILING: 1 / 32,
+    FULL: 0.5,
+}  # of its turns that a server keeps, at full weight; a slow one as it is slower
+BACK = 0.5  # of its turns that one has at least that is well again
 
 
 class Row:
@@ -36,7 +40,11 @@
         for name in FIELDS:
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.times = [mine + more for mine, more in zip(self.times, other.times)]
-        self.fine, self.foul, self.heard = later(self.fine, other.fine), later(self.foul, other.foul), later(self.heard, other.heard)
+        self.fine, self.foul, self.heard = (
+            later(self.fine, other.fine),
+            later(self.foul, other.foul),
+            later(self.heard, other.heard),
+        )
         return self
 
     @property
@@ -65,9 +73,9 @@
     __slots__ = ('span', 'late', 'rows', 'before', 'since', 'runs')
 
     def __init__(self, now, span, late=1 << 40):
-        self.span, self.late = span // 4, late          # span: of a spell
+        self.span, self.late = span // 4, late  # span: of a spell
         self.rows, self.before, self.since = {}, {}, now
-        self.runs = {}                  # by server: how many hops on end have been bad
+        self.runs = {}  # by server: how many hops on end have been bad
 
     def turn(self, now):
         """Old spells end."""
@@ -110,8 +118,12 @@
             for rows in (self.rows, self.before):
                 if server in rows:
                     row.add(rows[server])
-            told[server] = [*(getattr(row, name) for name in FIELDS), list(row.times),
-                            *(None if when is None else now - when for when in (row.fine, row.foul, row.heard)), self.runs.get(server, 0)]
+            told[server] = [
+                *(getattr(row, name) for name in FIELDS),
+                list(row.times),
+                *(None if when is None else now - when for when in (row.fine, row.foul, row.heard)),
+                self.runs.get(server, 0),
+            ]
         self.runs = {server: count for server, count in self.runs.items() if server in told}
         return told
 
@@ -138,7 +150,7 @@
         if self.kind == WELL:
             return until, BACK * weight, 1, 0
         left = 1 / max(1.0, self.factor) if self.kind == SLOW else LEFT[self.kind]
-        return until, 0, left ** weight, int(self.took * weight) if self.kind == SLOW else 0
+        return until, 0, left**weight, int(self.took * weight) if self.kind == SLOW else 0
 
 
 class Belief:
@@ -149,8 +161,12 @@
     def __init__(self, span, chance, late=0):
         # Not all go back to their own view at once: guards against a fleet that turns as one when its planners are gone.
         self.span = int(shorter(span) * (0.75 + 0.25 * chance()))
-        self.late = late                # what answers must take for a slow server to be any trouble
-        self.held, self.good, self.bad = {}, {}, {}     # by server: what was told; when it last did well here, and badly
+        self.late = late  # what answers must take for a slow server to be any trouble
+        self.held, self.good, self.bad = (
+            {},
+            {},
+            {},
+        )  # by server: what was told; when it last did well here, and badly
 
     def saw(self, now, server, well):
         """This forwarder's own: a server did well, or badly."""
@@ -179,19 +195,29 @@
             del self.held[server]
             return None
         own = (self.good if had.harsh else self.bad).get(server)
-        return None if own is not None and own >= had.newest or had.kind == SLOW and had.took < self.late else had
+        return (
+            None
+            if own is not None and own >= had.newest or had.kind == SLOW and had.took < self.late
+            else had
+        )
 
     def words(self, now, servers):
         """{server: (verdict, word)} of those that act. servers: {server: site}, all of this forwarder's list: no more of them are held down than
         stated, of each site and in all, whoever said what; the least certain give way."""
-        acting = [(server, had) for server in list(self.held) if server in servers and (had := self.acts(now, server)) is not None]
+        acting = [
+            (server, had)
+            for server in list(self.held)
+            if server in servers and (had := self.acts(now, server)) is not None
+        ]
         sizes, down, found = {}, {}, {}
         for site in servers.values():
             sizes[site] = sizes.get(site, 0) + 1
         for server, had in sorted(acting, key=lambda pair: (pair[1].sure(), pair[0])):
             site = servers[server]
             if had.harsh:
-                if sum(down.values()) + 1 > HARM * len(servers) or down.get(site, 0) + 1 > max(1, HARM_SITE * sizes[site]):
+                if sum(down.values()) + 1 > HARM * len(servers) or down.get(site, 0) + 1 > max(
+                    1, HARM_SITE * sizes[site]
+                ):
                     continue
                 down[site] = down.get(site, 0) + 1
             until = had.newest + self.span
--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -24,7 +24,14 @@
             with open(self.path, encoding='utf-8') as file:
                 told = json.load(file)
             version, bound, voters, lease = told['version'], told['bound'], told['voters'], told['lease']
-            if version != VERSION or type(bound) is not int or bound < 0 or type(lease) is not int or lease < 0 or not all(type(name) is str for name in voters):
+            if (
+                version != VERSION
+                or type(bound) is not int
+                or bound < 0
+                or type(lease) is not int
+                or lease < 0
+                or not all(type(name) is str for name in voters)
+            ):
                 raise ValueError('no book of version %d' % VERSION)
         except FileNotFoundError:
             raise BadLine('%s: there is none: lilacdyke task voter makes one' % self.path) from None
--- a/lilacdyke/plan/check.py
+++ b/lilacdyke/plan/check.py
@@ -16,11 +16,11 @@
 from .ledger import DRIFT, Bank, Parts, Purse, longer
 
 OWN, LEASE, GIFT, TAIL = 12, 4, 12, 4
-POOLS = (6, 2)                          # what a planner may have of its own, now more, now less
-KEYS = ('a', 'b')                       # what is spent by coming, and by being open
+POOLS = (6, 2)  # what a planner may have of its own, now more, now less
+KEYS = ('a', 'b')  # what is spent by coming, and by being open
 TAILS = Parts(b=TAIL)
-LONGEST = GIFT + 2 * longer(TAIL)       # that a gift runs
-MOST = 4                                # messages under way in a searched world
+LONGEST = GIFT + 2 * longer(TAIL)  # that a gift runs
+MOST = 4  # messages under way in a searched world
 
 
 class Overspent(Exception):
@@ -33,17 +33,21 @@
     def __init__(self, forwarders, planners, rates=None, purse=Purse, bank=Bank, pools=POOLS, keep=0):
         self.purse, self.bank, self.lives, self.choice, self.keep = purse, bank, 0, pools, keep
         self.seats = Parts(dict.fromkeys(KEYS, OWN))
-        self.open = [{KEYS[1]: []} for _ in range(forwarders)]      # until when each that is open may be, by its clock
-        self.pools = [[(0, pools[0])] for _ in range(planners)]                 # since when each had what of its own
+        self.open = [
+            {KEYS[1]: []} for _ in range(forwarders)
+        ]  # until when each that is open may be, by its clock
+        self.pools = [[(0, pools[0])] for _ in range(planners)]  # since when each had what of its own
         self.offsets = [7 * number for number in range(forwarders + planners)]
-        self.rates = rates or [DRIFT] * (forwarders + planners)     # ticks in DRIFT of the world's
+        self.rates = rates or [DRIFT] * (forwarders + planners)  # ticks in DRIFT of the world's
         self.now, self.forwarders, self.planners = 0, forwarders, planners
         names = list(range(planners))
         # What has always been running owes nothing to a life before it.
-        self.purses = [purse(self.clock(number) - LONGEST - 1, self.life(), names, self.seats, LEASE, GIFT, TAILS)
-                       for number in range(forwarders)]
+        self.purses = [
+            purse(self.clock(number) - LONGEST - 1, self.life(), names, self.seats, LEASE, GIFT, TAILS)
+            for number in range(forwarders)
+        ]
         self.banks = [self.new_bank(number, self.bank_clock(number) - LONGEST) for number in names]
-        self.bag = []                   # (to a bank, number of the purse, number of the bank, message)
+        self.bag = []  # (to a bank, number of the purse, number of the bank, message)
 
     def life(self):
         self.lives += 1
@@ -57,7 +61,9 @@
         return self.clock(self.forwarders + number)
 
     def new_bank(self, number, now):
-        made = self.bank(self.life(), LEASE, GIFT, now, Parts(dict.fromkeys(KEYS, self.pools[number][-1][1])), TAILS)
+        made = self.bank(
+            self.life(), LEASE, GIFT, now, Parts(dict.fromkeys(KEYS, self.pools[number][-1][1])), TAILS
+        )
         made.keep = self.keep
         return made
 
@@ -90,8 +96,14 @@
         """A forwarder sends a digest: in one mood it spares what it lacks in the other."""
         spare, wants = ({KEYS[0]: OWN}, {KEYS[1]: 3 * OWN}) if mood else ({KEYS[1]: OWN}, {KEYS[0]: 3 * OWN})
         used = {key: len(open_) for key, open_ in self.open[forwarder].items() if open_}
-        self.bag.append((True, forwarder, planner, self.purses[forwarder].digest(
-            self.clock(forwarder), planner, spare, wants, used)))
+        self.bag.append(
+            (
+                True,
+                forwarder,
+                planner,
+                self.purses[forwarder].digest(self.clock(forwarder), planner, spare, wants, used),
+            )
+        )
 
     def deliver(self, index, keep):
         """A message comes; keep: and will come once more."""
@@ -109,8 +121,15 @@
     def restart_purse(self, number, seated=True):
         """It starts with nothing; the seat is its at once, or somebody else's still."""
         self.open[number] = {KEYS[1]: []}
-        self.purses[number] = self.purse(self.clock(number), self.life(), list(range(self.planners)),
-                                         self.seats if seated else Parts(), LEASE, GIFT, TAILS)
+        self.purses[number] = self.purse(
+            self.clock(number),
+            self.life(),
+            list(range(self.planners)),
+            self.seats if seated else Parts(),
+            LEASE,
+            GIFT,
+            TAILS,
+        )
 
     def restart_bank(self, number):
         self.banks[number] = self.new_bank(number, self.bank_clock(number))
@@ -120,22 +139,34 @@
     def whole(self):
         """What there is of each budget: what planners had of their own counts until all they can have lent has run out."""
         since = self.now - longer(longer(LEASE) + longer(TAIL)) - 1
-        return OWN * self.forwarders + sum(max(
-            pool for index, (_, pool) in enumerate(had) if index + 1 == len(had) or had[index + 1][0] >= since) for had in self.pools)
+        return OWN * self.forwarders + sum(
+            max(
+                pool
+                for index, (_, pool) in enumerate(had)
+                if index + 1 == len(had) or had[index + 1][0] >= since
+            )
+            for had in self.pools
+        )
 
     def judge(self):
         """Guards the whole."""
         whole = self.whole()
         for key in KEYS:
-            each = [max(purse.may(self.clock(number), key), len(self.open[number].get(key, ())))
-                    for number, purse in enumerate(self.purses)]
+            each = [
+                max(purse.may(self.clock(number), key), len(self.open[number].get(key, ())))
+                for number, purse in enumerate(self.purses)
+            ]
             least = min(purse.may(self.clock(number), key) for number, purse in enumerate(self.purses))
             if sum(each) > whole or least < 0:
                 raise Overspent('at %d: %s of %d may be spent of %s' % (self.now, each, whole, key))
 
     def lent(self):
         """What is borrowed in all: a world in which nothing ever is shows nothing."""
-        return sum(purse.borrowed(self.clock(number), key) for number, purse in enumerate(self.purses) for key in KEYS)
+        return sum(
+            purse.borrowed(self.clock(number), key)
+            for number, purse in enumerate(self.purses)
+            for key in KEYS
+        )
 
 
 def walk(seed, steps, purse=Purse, bank=Bank):
@@ -144,11 +175,11 @@
     rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(5)]
     pools, planners = chance.choice(((0, 0), POOLS)), chance.choice((1, 2))
     world, lent = World(3, planners, rates, purse, bank, pools, chance.choice((0, 2))), 0
-    prompt = chance.choice((0.2, 0.5, 0.9))         # how many messages come in their turn
-    busy = chance.choice((0.85, 0.7))   # how much is opened
-    steady = chance.random() < 0.5      # what planners have of their own stays as it is
-    still = chance.random() < 0.4       # nobody restarts, and moods last: what is lent is lent for long
-    hurry = chance.choice((1, 3, 8))    # how many messages move while time passes once
+    prompt = chance.choice((0.2, 0.5, 0.9))  # how many messages come in their turn
+    busy = chance.choice((0.85, 0.7))  # how much is opened
+    steady = chance.random() < 0.5  # what planners have of their own stays as it is
+    still = chance.random() < 0.4  # nobody restarts, and moods last: what is lent is lent for long
+    hurry = chance.choice((1, 3, 8))  # how many messages move while time passes once
     for _ in range(steps):
         drawn = chance.random()
         if drawn < 1 / (1 + hurry):
@@ -172,7 +203,11 @@
                 world.deliver(index, chance.random() < 0.1)
         else:
             forwarder = chance.randrange(3)
-            world.report(forwarder, chance.randrange(planners), chance.random() < 0.5 if not still else (forwarder + world.now // 20) % 2)
+            world.report(
+                forwarder,
+                chance.randrange(planners),
+                chance.random() < 0.5 if not still else (forwarder + world.now // 20) % 2,
+            )
         if len(world.bag) > 30:
             world.lose(0)
         world.judge()
@@ -200,8 +235,11 @@
         if len(world.bag) < MOST:
             steps.append(('deliver', index, True))
     if len(world.bag) < MOST:
-        steps += [('report', forwarder, planner, forwarder == 0) for forwarder in range(world.forwarders)
-                  for planner in range(world.planners)]
+        steps += [
+            ('report', forwarder, planner, forwarder == 0)
+            for forwarder in range(world.forwarders)
+            for planner in range(world.planners)
+        ]
     steps += [('restart_purse', number) for number in range(world.forwarders)]
     steps += [('begin', 1)] if world.forwarders > 1 else []
     steps += [('restart_bank', number) for number in range(world.planners)]
@@ -241,10 +279,15 @@
     """Search small worlds whole, then walk large ones by chance."""
     for forwarders, planners in ((2, 1), (3, 2)):
         seen, depth, lent = search(forwarders, planners, states)
-        click.echo('%d forwarders, %d planners: %d states, whole to depth %d, at most %d lent at once' % (
-            forwarders, planners, seen, depth, lent))
+        click.echo(
+            '%d forwarders, %d planners: %d states, whole to depth %d, at most %d lent at once'
+            % (forwarders, planners, seen, depth, lent)
+        )
     lent = sum(walk(number, steps) > 0 for number in range(seed, seed + walks))
-    click.echo('%d walks of %d steps, something lent in %d: the sum holds in all, what is open too' % (walks, steps, lent))
+    click.echo(
+        '%d walks of %d steps, something lent in %d: the sum holds in all, what is open too'
+        % (walks, steps, lent)
+    )
 
 
 if __name__ == '__main__':
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -14,8 +14,8 @@
 from ..net.logs import LOG, say, warn
 from ..net.sockets import connect
 
-TRIES = 10                              # looks at a seat that is another's, in a lease
-FIGURES = 5                             # leases between two lines
+TRIES = 10  # looks at a seat that is another's, in a lease
+FIGURES = 5  # leases between two lines
 
 
 class Share:
@@ -29,8 +29,17 @@
         # What keeps the seat's two halves: the one that answers for gifts, and the one that is left to an heir.
         self.held, self.left, self.seeking = None, None, False
         self.life = '%s-%x' % (node.place.name, int(node.chance() * (1 << 48)))
-        self.purse = Purse(now, self.life, seats, Parts(), fleet.lease, fleet.gift, fleet.tails(), fleet.units(),
-                           Parts(fleet.mosts()))
+        self.purse = Purse(
+            now,
+            self.life,
+            seats,
+            Parts(),
+            fleet.lease,
+            fleet.gift,
+            fleet.tails(),
+            fleet.units(),
+            Parts(fleet.mosts()),
+        )
         self.shares = node.router.shares = Shares(now, fleet, self.purse, node.place.terms.profiles)
         self.forwarder = Forwarder(now, fleet, self.purse, self.needs, self.shares.used, node.chance)
         self.view = None
@@ -77,8 +86,15 @@
     def has(self, anew=False):
         """What the purse may count on by the halves that are held."""
         half = self.told.half(self.full)
-        own = self.full if self.held and self.left else half if self.left else Parts(
-            {key: amount - half[key] for key, amount in self.full.items()}) if self.held else Parts()
+        own = (
+            self.full
+            if self.held and self.left
+            else half
+            if self.left
+            else Parts({key: amount - half[key] for key, amount in self.full.items()})
+            if self.held
+            else Parts()
+        )
         self.purse.seated(self.clock(), own, self.full, anew)
         say('seat', seat=self.rank, first=self.held is not None, second=self.left is not None)
 
@@ -89,13 +105,13 @@
         if not self.node.handed:
             self.take_seat(0)
             if self.held and self.left and self.purse.own != self.full:
-                self.has()              # it was to be left, and the heir is gone
+                self.has()  # it was to be left, and the heir is gone
         elif self.left is not None:
             left, self.left = self.left, None
             self.has()
             now = self.clock()
             if any(amount > self.purse.may(now, key) for key, amount in self.shares.used().items()):
-                self.left = left        # kept from others, and not spent
+                self.left = left  # kept from others, and not spent
                 self.deadlines.at(now + max(1, self.told.lease // TRIES), self.hand_over, 0)
             else:
                 self.node.system.let_go(left)
@@ -103,8 +119,16 @@
     def seek_canary(self):
         """Two forwarders of each site try servers that are held to be out, as it takes two to say that one answers again. Tries go through the gate
         as any hop; with no canary nobody tries until the verdict ends."""
-        self.canary = Lease(self.node.reactor, self.deadlines, self.clock, self.told, 'canary-%s-%d' % (self.view.site, int(2 * self.node.chance())),
-                            self.node.chance, lambda number: say('canary', number=number), lambda number: say('no canary', number=number))
+        self.canary = Lease(
+            self.node.reactor,
+            self.deadlines,
+            self.clock,
+            self.told,
+            'canary-%s-%d' % (self.view.site, int(2 * self.node.chance())),
+            self.node.chance,
+            lambda number: say('canary', number=number),
+            lambda number: say('no canary', number=number),
+        )
         self.shares.may_try = self.canary.held
         self.canary.acquire()
 
@@ -115,7 +139,9 @@
         router = self.node.router
         if self.shares.limits['links']:
             self.node.caches.trim(lambda server: self.shares.over(now, server))
-        return self.shares.needs(now, [server.name for server in router.caches if router.presence(now, server) < 1])
+        return self.shares.needs(
+            now, [server.name for server in router.caches if router.presence(now, server) < 1]
+        )
 
     def ended(self, now, hop, how, lasted):
         """A hop has ended: what it says of its server is evidence for all."""
@@ -160,14 +186,15 @@
         """Open a link; how long that may take is the forwarder's to say."""
         link = self.links[name] = ToPlanner(self, name)
         connect(self.node.reactor, self.addresses[name], link).addCallbacks(
-            self.up, lambda failure: self.lost(link)).addErrback(self.node.fault)
+            self.up, lambda failure: self.lost(link)
+        ).addErrback(self.node.fault)
 
     def up(self, link):
         if self.links.get(link.name) is link:
             self.forwarder.up(self.clock(), link.name)
             self.settle()
         else:
-            link.end()                  # it came up after it was given up
+            link.end()  # it came up after it was given up
 
     def do_say(self, name, digest):
         link = self.links.get(name)
@@ -191,5 +218,9 @@
         alone = self.forwarder.alone(now)
         if alone is not self.alone:
             self.alone = alone
-            say('alone' if alone else 'with planners', seat=self.rank if self.held or self.left else 'none', edition=self.forwarder.edition)
+            say(
+                'alone' if alone else 'with planners',
+                seat=self.rank if self.held or self.left else 'none',
+                edition=self.forwarder.edition,
+            )
         self.deadlines.at(now + FIGURES * self.told.lease // (5 if alone else 1), self.figures, 0)
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -8,9 +8,9 @@
 from .ledger import longer
 
 UP, DOWN, DIALLING = 'up', 'down', 'dialling'
-SAYS = 4                                # digests in a lease
-SILENT = 2                              # leases without a plan after which a link is given up
-FIRST, LAST = 4, 4                      # waits between dials begin at a part of a lease, and end at so many leases
+SAYS = 4  # digests in a lease
+SILENT = 2  # leases without a plan after which a link is given up
+FIRST, LAST = 4, 4  # waits between dials begin at a part of a lease, and end at so many leases
 
 
 class Contact:
@@ -19,10 +19,10 @@
     __slots__ = ('name', 'state', 'next', 'failures', 'since', 'came', 'asked', 'written')
 
     def __init__(self, name, now):
-        self.name, self.state, self.next = name, DOWN, now      # next: when to dial, or to say something
-        self.failures, self.since = 0, now                      # since: when its state began
-        self.came = self.asked = None   # when the newest plan came; when the digest that it answers was sent
-        self.written = True             # whether the system took all that was said
+        self.name, self.state, self.next = name, DOWN, now  # next: when to dial, or to say something
+        self.failures, self.since = 0, now  # since: when its state began
+        self.came = self.asked = None  # when the newest plan came; when the digest that it answers was sent
+        self.written = True  # whether the system took all that was said
 
 
 class Forwarder:
@@ -32,10 +32,15 @@
         self.purse, self.needs, self.used, self.chance = purse, needs, used, chance
         self.lease = fleet.lease
         self.fits, self.edition, self.mosts = fleet.fits, fleet.edition, fleet.mosts()
-        self.contacts = {row.name: Contact(row.name, now + int(self.lease * chance() / FIRST)) for row in fleet.planner}
-        self.asked = None               # the wake-up that was asked for
-        self.told, self.needed = None, ({}, {})         # when needs were last looked at, and what was found
-        self.view, self.seat = None, None       # what it has seen of servers, where the fleet has verdicts (view.py)
+        self.contacts = {
+            row.name: Contact(row.name, now + int(self.lease * chance() / FIRST)) for row in fleet.planner
+        }
+        self.asked = None  # the wake-up that was asked for
+        self.told, self.needed = None, ({}, {})  # when needs were last looked at, and what was found
+        self.view, self.seat = (
+            None,
+            None,
+        )  # what it has seen of servers, where the fleet has verdicts (view.py)
 
     # --- inputs -----------------------------------------------------------------------------------------
 
@@ -43,12 +48,16 @@
         """A link is there."""
         contact = self.contacts[name]
         contact.state, contact.since, contact.written = UP, now, True
-        contact.next = now + int(self.lease * self.chance() / SAYS)     # 300 that come at once do not speak at once
+        contact.next = now + int(
+            self.lease * self.chance() / SAYS
+        )  # 300 that come at once do not speak at once
 
     def down(self, now, name):
         """It has ended, or did not come up. The waits grow, and are drawn: guards against a herd at a planner that comes back."""
         contact = self.contacts[name]
-        lasted = contact.state == UP and contact.came is not None and contact.came >= contact.since + self.lease
+        lasted = (
+            contact.state == UP and contact.came is not None and contact.came >= contact.since + self.lease
+        )
         contact.failures = 0 if lasted else min(8, contact.failures + 1)
         wait = min(self.lease * LAST, (self.lease << contact.failures) // FIRST)
         contact.state, contact.since, contact.next = DOWN, now, now + int(wait * (0.5 + self.chance()))
@@ -80,18 +89,24 @@
 
     def alone(self, now):
         """Whether no planner has answered within a lease."""
-        return not any(contact.came is not None and now < contact.came + self.lease for contact in self.contacts.values())
+        return not any(
+            contact.came is not None and now < contact.came + self.lease for contact in self.contacts.values()
+        )
 
     def heard(self, now):
         """How long ago what each planner answered was sent."""
-        return {name: now - contact.asked for name, contact in self.contacts.items() if contact.asked is not None}
+        return {
+            name: now - contact.asked for name, contact in self.contacts.items() if contact.asked is not None
+        }
 
     def decide(self, now):
         """The next thing to do, or None."""
         if self.asked is not None and now >= self.asked:
             self.asked = None
         for contact in self.contacts.values():
-            if contact.state == UP and now >= max(contact.since, contact.came or 0) + SILENT * longer(self.lease):
+            if contact.state == UP and now >= max(contact.since, contact.came or 0) + SILENT * longer(
+                self.lease
+            ):
                 self.down(now, contact.name)
                 return 'end', contact.name, 'silent'
             if now < contact.next:
@@ -117,11 +132,25 @@
             self.told, self.needed = now, self.needs(now)
         spare, wants = self.needed
         used, mine = self.used(), self.purse.account(name)
-        lent = {} if mine is None else {key: amount for key, (until, amount) in mine.leases.items() if now < until}
+        lent = (
+            {}
+            if mine is None
+            else {key: amount for key, (until, amount) in mine.leases.items() if now < until}
+        )
         # What others lend already is not wanted of this one too.
-        lacks = {key: amount - self.purse.borrowed(now, key) + lent.get(key, 0) for key, amount in wants.items()}
-        made = self.purse.digest(now, name, spare, {key: amount for key, amount in lacks.items() if amount > 0}, used)
+        lacks = {
+            key: amount - self.purse.borrowed(now, key) + lent.get(key, 0) for key, amount in wants.items()
+        }
+        made = self.purse.digest(
+            now, name, spare, {key: amount for key, amount in lacks.items() if amount > 0}, used
+        )
         if self.view:
-            made.update(seat=self.seat, site=self.view.site, doubts=self.view.doubts(now),
-                        seen=self.view.report(now, name, made['seq'], made['life'] if made['stamp'] is not None else None))
+            made.update(
+                seat=self.seat,
+                site=self.view.site,
+                doubts=self.view.doubts(now),
+                seen=self.view.report(
+                    now, name, made['seq'], made['life'] if made['stamp'] is not None else None
+                ),
+            )
         return dict(made, edition=self.edition, mosts=self.mosts, heard=self.heard(now))
--- a/lilacdyke/plan/frames.py
+++ b/lilacdyke/plan/frames.py
@@ -13,11 +13,11 @@
 from .leases import VERBS
 
 MAJOR, MINOR = 1, 2
-MOST = 1 << 20                          # bytes of one frame
+MOST = 1 << 20  # bytes of one frame
 HEAD = Struct('>I')
-AMOUNT = 1 << 40                        # no grains, versions or spans beyond that
-NAME = 200                              # characters of a key or a life
-ROWS = 1_024                            # of evidence, or verdicts, in one frame
+AMOUNT = 1 << 40  # no grains, versions or spans beyond that
+NAME = 200  # characters of a key or a life
+ROWS = 1_024  # of evidence, or verdicts, in one frame
 
 
 class BadFrame(Exception):
@@ -69,10 +69,12 @@
 
 def word(*words):
     """One of these."""
+
     def read(value):
         if value not in words:
             raise BadFrame('none of %s: %.60r' % (', '.join(words), value))
         return value
+
     return read
 
 
@@ -85,6 +87,7 @@
 
 def rows(*reads):
     """Rows with a field for each of these; more fields, of a later minor version, are skipped."""
+
     def read(value):
         if type(value) is not list or len(value) > ROWS:
             raise BadFrame('no rows: %.60r' % (value,))
@@ -94,27 +97,66 @@
                 raise BadFrame('no row: %.60r' % (row,))
             found.append([each(field) for each, field in zip(reads, row)])
         return found
+
     return read
 
 
 # The fields of each kind, all of which must be there.
 DIGEST, PLAN, ASK, TOLD, SEEK, VOTE, FREE = 'digest', 'plan', 'ask', 'told', 'seek', 'vote', 'free'
-SEEN = rows(name, whole, whole, whole, whole, whole, whole, counts, maybe(whole), maybe(whole), maybe(whole), whole)      # a server, its start; belief.FIELDS; times; ages; run
-VERDICTS = rows(name, whole, word(*KINDS), part, whole, whole, whole, whole, part, truth)      # verdicts.Verdict.plain
-WITNESSES = rows(whole, name, name, whole)              # seat, site, life, servers seen
+SEEN = rows(
+    name, whole, whole, whole, whole, whole, whole, counts, maybe(whole), maybe(whole), maybe(whole), whole
+)  # a server, its start; belief.FIELDS; times; ages; run
+VERDICTS = rows(
+    name, whole, word(*KINDS), part, whole, whole, whole, whole, part, truth
+)  # verdicts.Verdict.plain
+WITNESSES = rows(whole, name, name, whole)  # seat, site, life, servers seen
 FIELDS = {
-    DIGEST: {'forwarder': name, 'seq': whole, 'holds': whole, 'life': maybe(name), 'stamp': maybe(whole), 'held': whole,
-             'gifts': amounts, 'wants': amounts},
-    PLAN: {'forwarder': name, 'seq': whole, 'life': name, 'version': whole, 'stamp': whole, 'leases': amounts,
-           'forwarders': whole},
+    DIGEST: {
+        'forwarder': name,
+        'seq': whole,
+        'holds': whole,
+        'life': maybe(name),
+        'stamp': maybe(whole),
+        'held': whole,
+        'gifts': amounts,
+        'wants': amounts,
+    },
+    PLAN: {
+        'forwarder': name,
+        'seq': whole,
+        'life': name,
+        'version': whole,
+        'stamp': whole,
+        'leases': amounts,
+        'forwarders': whole,
+    },
     SEEK: {'task': name, 'life': name, 'seq': whole, 'verb': word(*VERBS), 'number': whole},
-    VOTE: {'task': name, 'life': name, 'seq': whole, 'voter': name, 'yes': truth, 'number': whole}, FREE: {'task': name},
-    ASK: {}, TOLD: {'verdicts': rows(name, whole, word(*KINDS), part, whole, whole, whole, whole, part, maybe(name)), 'witnesses': WITNESSES}}
+    VOTE: {'task': name, 'life': name, 'seq': whole, 'voter': name, 'yes': truth, 'number': whole},
+    FREE: {'task': name},
+    ASK: {},
+    TOLD: {
+        'verdicts': rows(name, whole, word(*KINDS), part, whole, whole, whole, whole, part, maybe(name)),
+        'witnesses': WITNESSES,
+    },
+}
 # Fields that came with a later minor version, with what holds where they are not there.
-LATER = {DIGEST: {'edition': (whole, 0), 'mosts': (amounts, {}), 'heard': (amounts, {}), 'seat': (maybe(whole), None), 'site': (maybe(name), None),
-                  'seen': (SEEN, []), 'doubts': (rows(name, whole), [])},
-         PLAN: {'edition': (whole, 0), 'mosts': (amounts, {}), 'verdicts': (VERDICTS, [])}, ASK: {}, SEEK: {}, VOTE: {}, FREE: {},
-         TOLD: {'tasks': (rows(name, name, maybe(whole), whole), []), 'votes': (truth, False)}}
+LATER = {
+    DIGEST: {
+        'edition': (whole, 0),
+        'mosts': (amounts, {}),
+        'heard': (amounts, {}),
+        'seat': (maybe(whole), None),
+        'site': (maybe(name), None),
+        'seen': (SEEN, []),
+        'doubts': (rows(name, whole), []),
+    },
+    PLAN: {'edition': (whole, 0), 'mosts': (amounts, {}), 'verdicts': (VERDICTS, [])},
+    ASK: {},
+    SEEK: {},
+    VOTE: {},
+    FREE: {},
+    TOLD: {'tasks': (rows(name, name, maybe(whole), whole), []), 'votes': (truth, False)},
+}
 
 
 def pack(kind, fields):
@@ -129,7 +171,7 @@
     """(kind, fields) of a frame's body; a kind that this version does not know gives None for its fields."""
     try:
         tree = msgpack.unpackb(body, strict_map_key=True)
-    except Exception as err:            # the library raises many kinds, all of which mean the same
+    except Exception as err:  # the library raises many kinds, all of which mean the same
         raise BadFrame('not MessagePack: %s' % ' '.join(str(err).split())[:100]) from None
     if type(tree) is not list or len(tree) < 4:
         raise BadFrame('no frame: %.60r' % (tree,))
@@ -162,12 +204,12 @@
         self.buffer += data
         found = []
         while len(self.buffer) >= HEAD.size:
-            size, = HEAD.unpack_from(self.buffer)
+            (size,) = HEAD.unpack_from(self.buffer)
             if size > MOST:
                 raise BadFrame('a frame of %d bytes' % size)
             if len(self.buffer) < HEAD.size + size:
                 break
-            body = bytes(memoryview(self.buffer)[HEAD.size:HEAD.size + size])
-            del self.buffer[:HEAD.size + size]
+            body = bytes(memoryview(self.buffer)[HEAD.size : HEAD.size + size])
+            del self.buffer[: HEAD.size + size]
             found.append(unpack(body))
         return found
--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -17,7 +17,7 @@
 from .link import Speaker
 from ..net.sockets import Outgoing, connect
 
-FIRST = 32                              # waits between dials begin at this part of a lease, and end at one
+FIRST = 32  # waits between dials begin at this part of a lease, and end at one
 
 
 class ToVoter(Speaker, Outgoing):
@@ -47,10 +47,21 @@
     """See above. fleet: the fleet file, with tasks."""
 
     def __init__(self, reactor, deadlines, clock, fleet, task, chance, got, lost):
-        self.reactor, self.deadlines, self.clock, self.chance, self.do_got, self.do_lost = reactor, deadlines, clock, chance, got, lost
+        self.reactor, self.deadlines, self.clock, self.chance, self.do_got, self.do_lost = (
+            reactor,
+            deadlines,
+            clock,
+            chance,
+            got,
+            lost,
+        )
         self.span = fleet.task_lease
-        self.addresses = {row.name: limits.address(row.address) for row in fleet.planner if row.name in fleet.voters}
-        self.seeker = Seeker(clock(), task, '%s-%s' % (task, os.urandom(8).hex()), fleet.voters, self.span, chance)
+        self.addresses = {
+            row.name: limits.address(row.address) for row in fleet.planner if row.name in fleet.voters
+        }
+        self.seeker = Seeker(
+            clock(), task, '%s-%s' % (task, os.urandom(8).hex()), fleet.voters, self.span, chance
+        )
         self.links, self.failures, self.pulling = {}, dict.fromkeys(self.addresses, 0), False
         for name in self.addresses:
             self.dial(name)
@@ -84,7 +95,9 @@
 
     def dial(self, name):
         link = self.links[name] = ToVoter(self, name)
-        connect(self.reactor, self.addresses[name], link).addCallbacks(self.link_up, lambda _: self.link_lost(link))
+        connect(self.reactor, self.addresses[name], link).addCallbacks(
+            self.link_up, lambda _: self.link_lost(link)
+        )
         self.deadlines.at(self.clock() + self.span, self.not_up, link)
 
     def not_up(self, link):
@@ -94,7 +107,7 @@
 
     def link_up(self, link):
         self.failures[link.name] = 0
-        self.free(self.seeker.task)     # one more who may say yes
+        self.free(self.seeker.task)  # one more who may say yes
 
     def link_lost(self, link):
         if self.links.get(link.name) is link:
@@ -117,7 +130,7 @@
     def settle(self):
         """Pull what there is to do."""
         if self.pulling:
-            return                      # the pull that this came out of goes on
+            return  # the pull that this came out of goes on
         self.pulling = True
         try:
             while decision := self.seeker.decide(self.clock()):
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -13,9 +13,9 @@
 from .ledger import longer, shorter
 
 TASKS, WAITING, LIVES = 1_024, 1_024, 1_024  # that a voter keeps count of
-BLOCK = 1_000                           # numbers that are written down at a time
-RENEWS = 4                              # in a lease
-TRY = 4                                 # a round waits for answers for this part of a lease
+BLOCK = 1_000  # numbers that are written down at a time
+RENEWS = 4  # in a lease
+TRY = 4  # a round waits for answers for this part of a lease
 ASK, CONFIRM, RENEW, RELEASE = 'ask', 'confirm', 'renew', 'release'
 VERBS = (ASK, CONFIRM, RENEW, RELEASE)
 
@@ -49,8 +49,11 @@
         self.life, self.lease, self.keep = life, lease, keep
         self.top = self.bound = bound
         self.mute = now + silent(max(lease, before))
-        self.promises, self.waiting = {}, {}    # by task: the promise; by task, the lives that were told no, the earliest first
-        self.last = {}                          # by (task, life): the newest message that was heeded, and when that may be forgotten
+        self.promises, self.waiting = (
+            {},
+            {},
+        )  # by task: the promise; by task, the lives that were told no, the earliest first
+        self.last = {}  # by (task, life): the newest message that was heeded, and when that may be forgotten
 
     def votes(self, now):
         """Whether it votes yet."""
@@ -72,7 +75,14 @@
         yes = getattr(self, verb)(now, task, life, seq, message['number'], mine)
         if not yes:
             self.wait(task, life)
-        return {'task': task, 'life': life, 'seq': seq, 'voter': self.life, 'yes': yes, 'number': self.top}, []
+        return {
+            'task': task,
+            'life': life,
+            'seq': seq,
+            'voter': self.life,
+            'yes': yes,
+            'number': self.top,
+        }, []
 
     def newest(self, now, task, life, seq):
         """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all the same."""
@@ -137,23 +147,48 @@
 
     def holders(self, now):
         """For staff: task, life, number, time left of each promise."""
-        return [[task, kept.life, kept.number, kept.until - now] for task, kept in sorted(self.promises.items()) if now <= kept.until]
+        return [
+            [task, kept.life, kept.number, kept.until - now]
+            for task, kept in sorted(self.promises.items())
+            if now <= kept.until
+        ]
 
 
 class Seeker:
     """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives None: ('lost', number), ('got', number),
     ('send', voter, message), ('wake', when). Between got and lost it holds; before each act the host asks `held(now)`."""
 
-    __slots__ = ('task', 'life', 'voters', 'lease', 'chance', 'seq', 'wanted', 'verb', 'sent', 'yes', 'no', 'number', 'until', 'next',
-                 'failures', 'out', 'told_of', 'woken')
+    __slots__ = (
+        'task',
+        'life',
+        'voters',
+        'lease',
+        'chance',
+        'seq',
+        'wanted',
+        'verb',
+        'sent',
+        'yes',
+        'no',
+        'number',
+        'until',
+        'next',
+        'failures',
+        'out',
+        'told_of',
+        'woken',
+    )
 
     def __init__(self, now, task, life, voters, lease, chance):
         self.task, self.life, self.voters, self.lease, self.chance = task, life, list(voters), lease, chance
-        self.seq, self.wanted, self.out = 0, False, []          # out: messages to be sent
-        self.verb, self.sent, self.yes, self.no = None, None, {}, set()         # of the round under way
-        self.number, self.until = None, None    # of the lease that it has, or had last
-        self.next, self.failures = now, 0       # when to ask, or to renew
-        self.told_of, self.woken = None, None   # the number that the host was told it has; the wake-up asked for
+        self.seq, self.wanted, self.out = 0, False, []  # out: messages to be sent
+        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # of the round under way
+        self.number, self.until = None, None  # of the lease that it has, or had last
+        self.next, self.failures = now, 0  # when to ask, or to renew
+        self.told_of, self.woken = (
+            None,
+            None,
+        )  # the number that the host was told it has; the wake-up asked for
 
     @property
     def most(self):
@@ -183,7 +218,12 @@
 
     def told(self, now, voter, answer):
         """A voter has answered. What is not of the round under way says nothing."""
-        if self.verb is None or answer['seq'] != self.seq or answer['life'] != self.life or voter not in self.voters:
+        if (
+            self.verb is None
+            or answer['seq'] != self.seq
+            or answer['life'] != self.life
+            or voter not in self.voters
+        ):
             return
         if answer['yes']:
             self.yes[voter] = answer['number']
@@ -228,7 +268,10 @@
     def say(self, verb, now, number=0):
         """A message to all voters; those of before that have not gone are void."""
         self.seq += 1
-        self.out = [(voter, {'task': self.task, 'life': self.life, 'seq': self.seq, 'verb': verb, 'number': number}) for voter in self.voters]
+        self.out = [
+            (voter, {'task': self.task, 'life': self.life, 'seq': self.seq, 'verb': verb, 'number': number})
+            for voter in self.voters
+        ]
 
     def end_round(self):
         self.verb, self.yes, self.no = None, {}, set()
--- a/lilacdyke/plan/ledger.py
+++ b/lilacdyke/plan/ledger.py
@@ -20,10 +20,10 @@
 """
 
 DRIFT = 20
-LIVES = 8                               # lives of one planner that a purse still remembers gifts to
-KEYS = 4_096                            # budgets in one message; the rest is not asked for
-FORWARDERS = 4_096                      # that one planner serves
-LOOKS = 40                              # looks of a planner at all forwarders, in a lease
+LIVES = 8  # lives of one planner that a purse still remembers gifts to
+KEYS = 4_096  # budgets in one message; the rest is not asked for
+FORWARDERS = 4_096  # that one planner serves
+LOOKS = 40  # looks of a planner at all forwarders, in a lease
 
 
 class Parts(dict):
@@ -64,10 +64,10 @@
     __slots__ = ('life', 'gifts', 'stamp', 'came', 'version', 'held', 'leases')
 
     def __init__(self, life):
-        self.life, self.gifts = life, {}        # by key: gifts, the newest last
-        self.stamp = self.came = None           # of the newest plan: its own time stamp, and when it came here
-        self.version, self.leases = 0, {}       # by key: (until, amount) of the newest plan
-        self.held = 0                           # the newest plan under which all that is open has room
+        self.life, self.gifts = life, {}  # by key: gifts, the newest last
+        self.stamp = self.came = None  # of the newest plan: its own time stamp, and when it came here
+        self.version, self.leases = 0, {}  # by key: (until, amount) of the newest plan
+        self.held = 0  # the newest plan under which all that is open has room
 
 
 class Purse:
@@ -75,19 +75,35 @@
     tails: Parts, how long what began under a lease may stay open beyond it; units: Parts, what amounts must be a multiple of; whole: Parts,
     all that there is of each budget, where that is known."""
 
-    __slots__ = ('life', 'own', 'full', 'lease', 'gift', 'tails', 'units', 'seq', 'sent', 'accounts', 'share', 'since', 'whole')
+    __slots__ = (
+        'life',
+        'own',
+        'full',
+        'lease',
+        'gift',
+        'tails',
+        'units',
+        'seq',
+        'sent',
+        'accounts',
+        'share',
+        'since',
+        'whole',
+    )
 
     def __init__(self, now, life, planners, own, lease, gift, tails=None, units=None, whole=None, share=2):
         if gift < 2 * longer(lease):
             raise ValueError('gifts must run at least twice as long as leases')
         self.life, self.own, self.full, self.lease, self.gift = life, own, own, lease, gift
         self.tails, self.units, self.whole = tails or Parts(), units or Parts(), whole
-        self.seq, self.sent = 0, {}             # digests sent lately: by number, (planner, when)
-        self.accounts = {planner: [] for planner in planners}       # by planner: its lives, the latest last
-        self.share = share * max(1, len(planners))      # of its own it gives one planner at most one such part
+        self.seq, self.sent = 0, {}  # digests sent lately: by number, (planner, when)
+        self.accounts = {planner: [] for planner in planners}  # by planner: its lives, the latest last
+        self.share = share * max(1, len(planners))  # of its own it gives one planner at most one such part
         # Guards against a forwarder that restarts and has forgotten what it gave: as much as it can have given counts as
         # given until that would have run out.
-        self.since = now if own else None       # since when the seat, or the half that answers for gifts, is this one's
+        self.since = (
+            now if own else None
+        )  # since when the seat, or the half that answers for gifts, is this one's
 
     def seated(self, now, own, full, anew):
         """Of the seat, whose part is `full`, this one has so much from now on. anew: it has taken over the half that answers for gifts: who had
@@ -118,7 +134,9 @@
         """How much of a budget is promised away now."""
         if self.shy(now, key):
             return self.most(key) * len(self.accounts)
-        return sum(bound(account.gifts.get(key, ()), now) for lives in self.accounts.values() for account in lives)
+        return sum(
+            bound(account.gifts.get(key, ()), now) for lives in self.accounts.values() for account in lives
+        )
 
     def borrowed(self, now, key):
         """How much of it others have lent."""
@@ -150,22 +168,33 @@
         # its seat with another process.
         if account is not None and account.stamp is not None and self.own == self.full:
             for key, amount in [pair for pair in spare.items() if not self.shy(now, pair[0])][:KEYS]:
-                gifts[key] = self.give(now, planner, account, key, min(amount, self.own[key] - used.get(key, 0)))
-        return {'forwarder': self.life, 'seq': self.seq, 'holds': account.held if account else 0,
-                'life': account.life if account else None, 'stamp': account.stamp if account else None,
-                'held': now - account.came if account and account.came is not None else 0,
-                'gifts': {key: amount for key, amount in gifts.items() if amount},
-                'wants': {key: amount for key, amount in list(wants.items())[:KEYS] if amount > 0}}
+                gifts[key] = self.give(
+                    now, planner, account, key, min(amount, self.own[key] - used.get(key, 0))
+                )
+        return {
+            'forwarder': self.life,
+            'seq': self.seq,
+            'holds': account.held if account else 0,
+            'life': account.life if account else None,
+            'stamp': account.stamp if account else None,
+            'held': now - account.came if account and account.came is not None else 0,
+            'gifts': {key: amount for key, amount in gifts.items() if amount},
+            'wants': {key: amount for key, amount in list(wants.items())[:KEYS] if amount > 0},
+        }
 
     def give(self, now, planner, account, key, amount):
         """Promise as much as is left to promise, beside what other planners have; what was promised before binds on until it runs
         out. One planner is never given more than its part, over all of its lives: that is what a restarted forwarder counts on."""
         gifts = [gift for gift in account.gifts.get(key, ()) if gift.until >= now]
-        lives = sum(bound(other.gifts.get(key, ()), now) for other in self.accounts[planner] if other is not account)
+        lives = sum(
+            bound(other.gifts.get(key, ()), now) for other in self.accounts[planner] if other is not account
+        )
         others = self.given(now, key) - bound(account.gifts.get(key, ()), now)
         amount = max(0, min(amount - others, self.most(key) - lives))
         amount -= amount % (self.units[key] or 1)
-        gifts = [gift for gift in gifts if gift.amount > amount]     # a smaller one that ends sooner adds nothing
+        gifts = [
+            gift for gift in gifts if gift.amount > amount
+        ]  # a smaller one that ends sooner adds nothing
         if amount:
             gifts.append(Gift(now + self.binds(key), amount))
         account.gifts[key] = gifts
@@ -176,8 +205,11 @@
         self.sent = {seq: row for seq, row in self.sent.items() if now < row[1] + self.lease}
         for lives in self.accounts.values():
             for account in lives:
-                account.gifts = {key: kept for key, gifts in account.gifts.items()
-                                 if (kept := [gift for gift in gifts if gift.until >= now])}
+                account.gifts = {
+                    key: kept
+                    for key, gifts in account.gifts.items()
+                    if (kept := [gift for gift in gifts if gift.until >= now])
+                }
             lives[:] = [account for account in lives[:-1] if account.gifts] + lives[-1:]
 
     def planned(self, now, planner, plan):
@@ -191,14 +223,19 @@
             return False
         account = self.account(planner)
         if account is None or account.life != plan['life']:
-            if any(old.life == plan['life'] for old in self.accounts[planner]) or len(self.accounts[planner]) >= LIVES:
-                return False            # a life that has ended, or one that comes back too often: alone is safe
+            if (
+                any(old.life == plan['life'] for old in self.accounts[planner])
+                or len(self.accounts[planner]) >= LIVES
+            ):
+                return False  # a life that has ended, or one that comes back too often: alone is safe
             account = Account(plan['life'])
             self.accounts[planner].append(account)
         elif plan['version'] <= account.version:
             return False
         account.version, account.stamp, account.came = plan['version'], plan['stamp'], now
-        account.leases = {key: (until, amount) for key, amount in list(plan['leases'].items())[:KEYS] if amount > 0}
+        account.leases = {
+            key: (until, amount) for key, amount in list(plan['leases'].items())[:KEYS] if amount > 0
+        }
         return True
 
 
@@ -209,8 +246,8 @@
 
     def __init__(self, name):
         self.name, self.seq, self.seen = name, 0, 0
-        self.gifts = {}                 # by key: gifts
-        self.grants = []                # (version, until, leases by key), not yet run out nor superseded for sure
+        self.gifts = {}  # by key: gifts
+        self.grants = []  # (version, until, leases by key), not yet run out nor superseded for sure
         self.wants = {}
 
     def charge(self, now, key, tail):
@@ -224,9 +261,16 @@
     __slots__ = ('when', 'pool', 'charges', 'lent', 'level', 'rest')
 
     def __init__(self, when, pool, charges, wants):
-        self.when, self.pool, self.charges = when, pool, charges        # charges: by forwarder, those that there are
+        self.when, self.pool, self.charges = (
+            when,
+            pool,
+            charges,
+        )  # charges: by forwarder, those that there are
         self.lent = sum(charges.values())
-        self.level, self.rest = None, 0         # what each may have of it, if some lack: water-filling; and what is left by division
+        self.level, self.rest = (
+            None,
+            0,
+        )  # what each may have of it, if some lack: water-filling; and what is left by division
         left = len(wants)
         for wanted in sorted(wants):
             if wanted > pool // left:
@@ -247,13 +291,28 @@
     life lent of what it was given is backed by that, which givers count apart; and its own it lends only once all that an earlier life can
     have lent has run out. endowed: Parts, its own; tails: as a purse's; units: Parts, what an amount must be a multiple of to be of use."""
 
-    __slots__ = ('life', 'lease', 'gift', 'version', 'holders', 'endowed', 'tails', 'units', 'since', 'keep', 'looks', 'tidied')
+    __slots__ = (
+        'life',
+        'lease',
+        'gift',
+        'version',
+        'holders',
+        'endowed',
+        'tails',
+        'units',
+        'since',
+        'keep',
+        'looks',
+        'tidied',
+    )
 
     def __init__(self, life, lease, gift, now=0, endowed=None, tails=None, units=None):
         self.life, self.lease, self.gift, self.since = life, lease, gift, now
         self.version, self.holders = 0, {}
         self.endowed, self.tails, self.units = endowed or Parts(), tails or Parts(), units or Parts()
-        self.keep = lease // LOOKS      # how long a look at all forwarders is kept: guards against a look for each of hundreds
+        self.keep = (
+            lease // LOOKS
+        )  # how long a look at all forwarders is kept: guards against a look for each of hundreds
         self.looks, self.tidied = {}, now
 
     def endow(self, parts):
@@ -296,16 +355,24 @@
     def pool(self, now, key, until):
         """What is given for sure until then, and what is this planner's own."""
         return sum(bound(holder.gifts.get(key, ()), until) for holder in self.holders.values()) + (
-            self.endowed[key] if now > self.since + self.charged(key) else 0)
+            self.endowed[key] if now > self.since + self.charged(key) else 0
+        )
 
     def look(self, now, key):
         """What there is of a budget, for leases that begin until the look is old."""
         found = self.looks.get(key)
         if found is None or not found.when <= now < found.when + self.keep:
             tail, until = longer(self.tails[key]), now + self.charged(key) + self.keep
-            charges = {holder: charge for holder in self.holders.values() if (charge := holder.charge(now, key, tail))}
-            wants = [holder.wants[key] for holder in self.holders.values()
-                     if holder.wants.get(key, 0) > 0 and now <= holder.seen + self.lease]
+            charges = {
+                holder: charge
+                for holder in self.holders.values()
+                if (charge := holder.charge(now, key, tail))
+            }
+            wants = [
+                holder.wants[key]
+                for holder in self.holders.values()
+                if holder.wants.get(key, 0) > 0 and now <= holder.seen + self.lease
+            ]
             found = self.looks[key] = Look(now, self.pool(now, key, until), charges, wants)
             if len(self.looks) > KEYS:
                 del self.looks[next(iter(self.looks))]
@@ -326,8 +393,15 @@
                 look.grant(holder, amount)
         self.version += 1
         holder.grants.append((self.version, now + longer(self.lease), leases))
-        return {'forwarder': holder.name, 'seq': holder.seq, 'life': self.life, 'version': self.version, 'stamp': now,
-                'leases': leases, 'forwarders': len(self.holders)}
+        return {
+            'forwarder': holder.name,
+            'seq': holder.seq,
+            'life': self.life,
+            'version': self.version,
+            'stamp': now,
+            'leases': leases,
+            'forwarders': len(self.holders),
+        }
 
     def tidy(self, now):
         """What has run out binds nobody; a forwarder of whom nothing is left is forgotten."""
@@ -335,7 +409,10 @@
         tail = longer(max(self.tails.values(), default=0))
         for name, holder in list(self.holders.items()):
             holder.grants = [grant for grant in holder.grants if now <= grant[1] + tail]
-            holder.gifts = {key: kept for key, gifts in holder.gifts.items()
-                            if (kept := [gift for gift in gifts if gift.until >= now])}
+            holder.gifts = {
+                key: kept
+                for key, gifts in holder.gifts.items()
+                if (kept := [gift for gift in gifts if gift.until >= now])
+            }
             if not holder.grants and not holder.gifts and now > holder.seen + 4 * self.gift:
                 del self.holders[name]
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -18,14 +18,15 @@
 
 GRAIN = 1_000
 Amount = Annotated[float, Meta(gt=0, le=1e7)]
-OPEN = ('open', 'links')                # what is spent by being there, not by coming
-SERVERS = ('cold', 'links', 'tries')    # one limit for each server
-SPAN = 3                                # leases that a verdict acts for, unless the file says otherwise
-FORWARDERS_PER_SEAT = 3                 # processes that may have a link at once: one, its heir, and what a stopped one left
+OPEN = ('open', 'links')  # what is spent by being there, not by coming
+SERVERS = ('cold', 'links', 'tries')  # one limit for each server
+SPAN = 3  # leases that a verdict acts for, unless the file says otherwise
+FORWARDERS_PER_SEAT = 3  # processes that may have a link at once: one, its heir, and what a stopped one left
 
 
 class PlannerRow(Part):
     """One planner: its name, and the literal address at which this process reaches it."""
+
     name: Name
     address: str
 
@@ -33,10 +34,11 @@
 class Limit(Part):
     """One limit of the whole fleet. what: requests (of a class, or of all), fetches (hops at the origin), cold (hops at each server
     that is cold) a second, tries (hops at each that the fleet holds to be out) a second; open (requests, of a class or of all), links (connections at each server) at once."""
+
     name: Name
     what: Literal['requests', 'fetches', 'cold', 'tries', 'open', 'links']
     most: Amount
-    floor: Annotated[float, Meta(ge=0, le=1e7)] | None = None   # of it the seats' own; a half
+    floor: Annotated[float, Meta(ge=0, le=1e7)] | None = None  # of it the seats' own; a half
     profile: Annotated[str, Meta(min_length=1)] | None = msgspec.field(default=None, name='class')
     answer: Literal[429, 503] = 429
 
@@ -53,12 +55,14 @@
 
 class Verdicts(Part):
     """Verdicts on servers, where this table is there. span_s: S, for how long one acts after its newest evidence; three leases."""
+
     span_s: Annotated[float, Meta(ge=0.3, le=300)] | None = None
 
 
 class Tasks(Part):
     """Leases for tasks, where this table is there. lease_s: how long one is; voters: names of planners, all of them if it is not given; folder: where a
     voter keeps its file of numbers."""
+
     folder: Annotated[str, Meta(min_length=1)]
     lease_s: Annotated[float, Meta(ge=0.2, le=300)] = 5.0
     voters: Annotated[list[Name], Meta(min_length=1, max_length=9)] | None = None
@@ -66,6 +70,7 @@
 
 class Fleet(Part):
     """The whole file."""
+
     enabled: bool
     installation: Name
     seats: Annotated[int, Meta(ge=1, le=4_096)]
@@ -73,10 +78,10 @@
     limit: list[Limit] = []
     verdicts: Verdicts | None = None
     tasks: Tasks | None = None
-    loss: Loss | None = None            # what `lilacdyke site plan` works with; nothing that runs reads it
+    loss: Loss | None = None  # what `lilacdyke site plan` works with; nothing that runs reads it
     edition: Annotated[int, Meta(ge=1, le=1 << 31)] = 1
     lease_s: Annotated[float, Meta(ge=0.2, le=60)] = 2.0
-    longest_s: Annotated[float, Meta(gt=0, le=60)] = 3.0        # the longest that a request is open
+    longest_s: Annotated[float, Meta(gt=0, le=60)] = 3.0  # the longest that a request is open
 
     @property
     def lease(self):
@@ -106,7 +111,9 @@
     def tails(self):
         """How long what began under a lease may stay open beyond it: a request for its longest, and a connection until it is looked
         at after that."""
-        return Parts({limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.at_once})
+        return Parts(
+            {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.at_once}
+        )
 
     def mosts(self):
         """What operators may change while all runs: all of each limit, by its name."""
@@ -120,21 +127,33 @@
         """What a seat owns; None, or one that the file does not have, owns nothing."""
         if seat is None or not 0 <= seat < self.seats:
             return Parts()
-        return Parts({limit.name: even(limit.grains()[1], self.seats, seat, limit.at_once) for limit in self.limit})
+        return Parts(
+            {limit.name: even(limit.grains()[1], self.seats, seat, limit.at_once) for limit in self.limit}
+        )
 
     def half(self, parts):
         """Of a seat's parts those that a process leaves to its heir while both live; the rest answers for all gifts."""
-        return Parts({key: amount // 2 - amount // 2 % (self.units()[key] or 1) for key, amount in parts.items()})
+        return Parts(
+            {key: amount // 2 - amount // 2 % (self.units()[key] or 1) for key, amount in parts.items()}
+        )
 
     def planner_parts(self, index, mosts):
         """What a planner owns of each limit, with these in force."""
-        return Parts({limit.name: even(max(0, mosts[limit.name] - limit.grains()[1]), len(self.planner), index, limit.at_once)
-                      for limit in self.limit})
+        return Parts(
+            {
+                limit.name: even(
+                    max(0, mosts[limit.name] - limit.grains()[1]), len(self.planner), index, limit.at_once
+                )
+                for limit in self.limit
+            }
+        )
 
     def fits(self, mosts):
         """Whether these can be in force: the limits' names, none under what the seats own without being told."""
         return mosts.keys() == self.mosts().keys() and all(
-            mosts[limit.name] >= limit.grains()[1] and not (limit.at_once and mosts[limit.name] % GRAIN) for limit in self.limit)
+            mosts[limit.name] >= limit.grains()[1] and not (limit.at_once and mosts[limit.name] % GRAIN)
+            for limit in self.limit
+        )
 
 
 def even(amount, holders, index, whole):
@@ -155,7 +174,10 @@
 
 def check(fleet):
     """What types cannot tell."""
-    for what, names in (('limit', [limit.name for limit in fleet.limit]), ('planner', [row.name for row in fleet.planner])):
+    for what, names in (
+        ('limit', [limit.name for limit in fleet.limit]),
+        ('planner', [row.name for row in fleet.planner]),
+    ):
         if len(set(names)) < len(names):
             raise BadLine('%s: a name twice' % what)
     for limit in fleet.limit:
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -129,8 +129,8 @@
 
     def __init__(self, counts, most, tell, held=dict, vote=lambda message: (None, [])):
         self.counts, self.most, self.tell, self.held, self.vote = counts, most, tell, held, vote
-        self.seekers = {}               # by life: the link on which it last sought something
-        self.links = {}                 # the longest silent first
+        self.seekers = {}  # by life: the link on which it last sought something
+        self.links = {}  # the longest silent first
 
     def buildProtocol(self, addr):
         return ToForwarder(self)
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -13,7 +13,7 @@
 from .ledger import Bank, longer, shorter
 from .verdicts import Sight
 
-WINDOW = 2                              # leases for which news of another planner counts
+WINDOW = 2  # leases for which news of another planner counts
 
 
 class Planner:
@@ -25,7 +25,7 @@
         self.window = WINDOW * fleet.lease
         self.bank = Bank(life, fleet.lease, fleet.gift, now, None, fleet.tails(), fleet.units())
         self.sight = None if fleet.span is None else Sight(fleet.span)
-        self.heard = {}                 # by another planner's name: when it last answered somebody, at the latest
+        self.heard = {}  # by another planner's name: when it last answered somebody, at the latest
 
     # --- inputs -----------------------------------------------------------------------------------------
 
@@ -43,7 +43,9 @@
         """A digest has come: the plan that answers it, or None."""
         self.hear(digest['edition'], digest['mosts'])
         self.hear_of_others(now, digest)
-        self.bank.endow(self.fleet.planner_parts(self.index, self.mosts if self.backed(now) else self.floors()))
+        self.bank.endow(
+            self.fleet.planner_parts(self.index, self.mosts if self.backed(now) else self.floors())
+        )
         plan = self.bank.told(now, digest)
         if plan is None:
             return None
@@ -55,17 +57,30 @@
             return []
         left = self.left(now, digest)
         if left is not None and digest['seat'] is not None:
-            self.sight.told(left, digest['seat'], digest['site'], digest['forwarder'], digest['seq'], {
-                (name, started): row for name, started, *row in digest['seen']})
+            self.sight.told(
+                left,
+                digest['seat'],
+                digest['site'],
+                digest['forwarder'],
+                digest['seq'],
+                {(name, started): row for name, started, *row in digest['seen']},
+            )
         return self.sight.rows_for(now, digest['site'], {tuple(server) for server in digest['doubts']})
 
     def tell(self, now):
         """For staff: what is held on servers, and who has said something of late."""
         if self.sight is None:
             return {'verdicts': [], 'witnesses': []}
-        return {'verdicts': [[*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()][:ROWS],
-                'witnesses': [[seat, witness.site, witness.life, len(witness.rows)] for seat, witness in self.sight.witnesses.items()
-                              if witness.life][:ROWS]}
+        return {
+            'verdicts': [
+                [*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()
+            ][:ROWS],
+            'witnesses': [
+                [seat, witness.site, witness.life, len(witness.rows)]
+                for seat, witness in self.sight.witnesses.items()
+                if witness.life
+            ][:ROWS],
+        }
 
     def left(self, now, digest):
         """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and the time that that was held.
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -24,9 +24,9 @@
 from ..net.tables import Deadlines
 from ..values import SECOND, BadLine
 
-FIGURES = 10 * SECOND                   # between two lines of figures
-REPORT = 60 * SECOND                    # between two lines of the fleet's
-SEEKERS = 1_024                         # links of processes that seek tasks, beside forwarders'
+FIGURES = 10 * SECOND  # between two lines of figures
+REPORT = 60 * SECOND  # between two lines of the fleet's
+SEEKERS = 1_024  # links of processes that seek tasks, beside forwarders'
 
 
 class Office:
@@ -40,7 +40,13 @@
         self.life = life or '%s-%s' % (self.name, os.urandom(6).hex())
         self.planner = Planner(self.clock(), self.life, fleet, index)
         self.counts, self.port = Counter(), None
-        self.desk = Desk(self.counts, fleet.seats * FORWARDERS_PER_SEAT + 8 + SEEKERS * (fleet.tasks is not None), self.told, self.held, self.vote)
+        self.desk = Desk(
+            self.counts,
+            fleet.seats * FORWARDERS_PER_SEAT + 8 + SEEKERS * (fleet.tasks is not None),
+            self.told,
+            self.held,
+            self.vote,
+        )
         self.voter, self.book = None, None
         if fleet.tasks is not None and self.name in fleet.voters:
             self.take_book()
@@ -53,7 +59,13 @@
     def begin(self, host, port):
         """Listen. The address is this planner's alone: a second process of it does not start."""
         self.port = self.reactor.listenTCP(port, self.desk, backlog=1024, interface=host)
-        say('planner serves', planner=self.name, address='%s:%d' % (host, port), edition=self.planner.edition, life=self.life)
+        say(
+            'planner serves',
+            planner=self.name,
+            address='%s:%d' % (host, port),
+            edition=self.planner.edition,
+            life=self.life,
+        )
         self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
         if self.fleet.tasks is not None:
             self.seek_report()
@@ -65,13 +77,26 @@
     def held(self):
         """What staff are told who ask."""
         now = self.clock()
-        return dict(self.planner.tell(now), tasks=self.voter.holders(now) if self.voter else [], votes=bool(self.voter and self.voter.votes(now)))
+        return dict(
+            self.planner.tell(now),
+            tasks=self.voter.holders(now) if self.voter else [],
+            votes=bool(self.voter and self.voter.votes(now)),
+        )
 
     # --- the fleet's one line ----------------------------------------------------------------------------
 
     def seek_report(self):
         """Of all planners the one that holds this task writes the fleet's line, once a minute."""
-        self.reporter = Lease(self.reactor, self.deadlines, self.clock, self.fleet, 'reporter', Random(self.life).random, self.report_soon, lambda number: None)
+        self.reporter = Lease(
+            self.reactor,
+            self.deadlines,
+            self.clock,
+            self.fleet,
+            'reporter',
+            Random(self.life).random,
+            self.report_soon,
+            lambda number: None,
+        )
         self.reporter.acquire()
 
     def report_soon(self, number):
@@ -84,8 +109,14 @@
         now = self.clock()
         verdicts = self.planner.sight.now_held(now).values() if self.planner.sight else ()
         kinds = Counter(verdict.kind for verdict in verdicts)
-        say('fleet', number=number, edition=self.planner.edition, forwarders=len(self.planner.bank.holders), backed=self.planner.backed(now),
-            **{'servers_' + kind: count for kind, count in sorted(kinds.items())})
+        say(
+            'fleet',
+            number=number,
+            edition=self.planner.edition,
+            forwarders=len(self.planner.bank.holders),
+            backed=self.planner.backed(now),
+            **{'servers_' + kind: count for kind, count in sorted(kinds.items())},
+        )
         self.report_soon(number)
 
     # --- voting -----------------------------------------------------------------------------------------
@@ -96,7 +127,9 @@
         try:
             self.book.read()
             if not book.step(self.book.voters, self.fleet.voters):
-                raise BadLine('voters: %s before, and more than one of them has changed' % ', '.join(self.book.voters))
+                raise BadLine(
+                    'voters: %s before, and more than one of them has changed' % ', '.join(self.book.voters)
+                )
             before, lease = self.book.lease, self.fleet.task_lease
             if (self.book.voters, before) != (self.fleet.voters, lease):
                 self.book.write(self.book.bound, self.fleet.voters, max(lease, before))
@@ -132,8 +165,15 @@
     def figures(self, _):
         """A line of counts."""
         now = self.clock()
-        say('figures', links=len(self.desk.links), forwarders=len(self.planner.bank.holders), edition=self.planner.edition,
-            backed=self.planner.backed(now), memory_kb=self.system.memory_kb(), **self.counts)
+        say(
+            'figures',
+            links=len(self.desk.links),
+            forwarders=len(self.planner.bank.holders),
+            edition=self.planner.edition,
+            backed=self.planner.backed(now),
+            memory_kb=self.system.memory_kb(),
+            **self.counts,
+        )
         self.deadlines.at(now + FIGURES, self.figures, 0)
 
 
@@ -141,6 +181,7 @@
     """Run one planner until SIGTERM; the exit code."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
+
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
--- a/lilacdyke/plan/shares.py
+++ b/lilacdyke/plan/shares.py
@@ -8,9 +8,9 @@
 from .limits import GRAIN, SERVERS
 from ..values import SECOND
 
-BURST = 10                              # a bucket holds a tenth of a second
-FINE = SECOND * (DRIFT + 1)             # of a grain: a bucket loses nothing by being looked at often
-MOST_KEYS = 4_096                       # that are kept count of; servers that were not asked for the longest are forgotten
+BURST = 10  # a bucket holds a tenth of a second
+FINE = SECOND * (DRIFT + 1)  # of a grain: a bucket loses nothing by being looked at often
+MOST_KEYS = 4_096  # that are kept count of; servers that were not asked for the longest are forgotten
 
 
 class Spent:
@@ -21,8 +21,8 @@
     def __init__(self, key, now):
         # Tokens are FINE parts of grains. An empty bucket: what a life before spent is not known.
         self.key, self.tokens, self.dated = key, 0, now
-        self.open = self.peak = 0                               # now, and the most since the last look
-        self.asked = self.refused = self.before = 0             # since the last look; the demand found then, in grains
+        self.open = self.peak = 0  # now, and the most since the last look
+        self.asked = self.refused = self.before = 0  # since the last look; the demand found then, in grains
         self.since = now
 
     def fill(self, now, may):
@@ -34,7 +34,9 @@
     def demand(self, now, at_once):
         """The grains that would have been needed lately: the more of the last two spells, since the last look and before."""
         span = max(1, now - self.since)
-        lately = (self.peak + self.refused if at_once else (self.asked + self.refused) * SECOND / span) * GRAIN
+        lately = (
+            self.peak + self.refused if at_once else (self.asked + self.refused) * SECOND / span
+        ) * GRAIN
         found, self.before = max(int(lately), self.before), int(lately)
         self.asked = self.refused = 0
         self.peak, self.since = self.open, now
@@ -46,15 +48,27 @@
 
     def __init__(self, now, fleet, purse, profiles):
         self.purse, self.spent = purse, {}
-        self.limits = {what: [limit for limit in fleet.limit if limit.what == what]
-                       for what in ('requests', 'fetches', 'cold', 'tries', 'open', 'links')}
-        self.out = lambda now, server: False        # whether the fleet holds that a server does not answer; the view's to say
-        self.may_try = None             # where the fleet has tasks: whether this forwarder is one that tries such servers
+        self.limits = {
+            what: [limit for limit in fleet.limit if limit.what == what]
+            for what in ('requests', 'fetches', 'cold', 'tries', 'open', 'links')
+        }
+        self.out = lambda now, server: (
+            False
+        )  # whether the fleet holds that a server does not answer; the view's to say
+        self.may_try = (
+            None  # where the fleet has tasks: whether this forwarder is one that tries such servers
+        )
         self.at_once = {limit.name for limit in fleet.limit if limit.at_once}
         self.names = [limit.name for limit in fleet.limit if limit.what not in SERVERS]
         # The limits that a request of a class falls under.
-        self.of = {profile: [limit for limit in self.limits['requests'] + self.limits['open']
-                             if limit.profile in (None, profile.name)] for profile in profiles}
+        self.of = {
+            profile: [
+                limit
+                for limit in self.limits['requests'] + self.limits['open']
+                if limit.profile in (None, profile.name)
+            ]
+            for profile in profiles
+        }
         for name in self.names:
             self.book(now, name)
 
@@ -124,7 +138,10 @@
 
     def links(self, now, server):
         """Whether one more connection may be opened there."""
-        return all(self.room(now, limit, self.book(now, '%s:%s' % (limit.name, server.name))) for limit in self.limits['links'])
+        return all(
+            self.room(now, limit, self.book(now, '%s:%s' % (limit.name, server.name)))
+            for limit in self.limits['links']
+        )
 
     # --- told by the node -------------------------------------------------------------------------------
 
@@ -148,15 +165,24 @@
 
     def over(self, now, server):
         """How many connections to a server are more than this forwarder may have now."""
-        return max((-(self.purse.may(now, spent.key) // GRAIN) + spent.open for limit in self.limits['links']
-                    if (spent := self.spent.get('%s:%s' % (limit.name, server.name)))), default=0)
+        return max(
+            (
+                -(self.purse.may(now, spent.key) // GRAIN) + spent.open
+                for limit in self.limits['links']
+                if (spent := self.spent.get('%s:%s' % (limit.name, server.name)))
+            ),
+            default=0,
+        )
 
     # --- for the digest ---------------------------------------------------------------------------------
 
     def used(self):
         """What is open, in grains by key."""
-        return {key: spent.open * GRAIN for key, spent in self.spent.items()
-                if spent.open and key.partition(':')[0] in self.at_once}
+        return {
+            key: spent.open * GRAIN
+            for key, spent in self.spent.items()
+            if spent.open and key.partition(':')[0] in self.at_once
+        }
 
     def needs(self, now, servers):
         """(spare, wants): grains by key that this forwarder can do without, and that it lacks. servers: names of those that
--- a/lilacdyke/plan/sites.py
+++ b/lilacdyke/plan/sites.py
@@ -18,7 +18,7 @@
 Rate = Annotated[float, Meta(ge=0, le=1e7)]
 Positive = Annotated[float, Meta(gt=0, le=1e7)]
 Share = Annotated[float, Meta(ge=0, le=1)]
-SITES = 12                              # that are looked at two by two
+SITES = 12  # that are looked at two by two
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -27,50 +27,56 @@
 
 class Site(Part):
     """One site's servers: how many, and how much each bears a second."""
+
     name: Name
     servers: Annotated[int, Meta(ge=1, le=10_000)]
     bears: Positive
-    part: Share = 1.0                   # of the fleet's clients that come in here, beside others' parts
+    part: Share = 1.0  # of the fleet's clients that come in here, beside others' parts
 
 
 class Class(Part):
     """One class of requests. hit: of its reads, how many a warm server has; floor: the part that is refused only when nothing else is left to refuse."""
+
     name: Name
     rate: Rate
     worth: Rate
     work: Positive = 1.0
-    hit: Share = 0.0                    # 0: writes, or what is never kept
-    keys: Rate = 0.0                    # different ones that it asks for, which make up its hits
+    hit: Share = 0.0  # 0: writes, or what is never kept
+    keys: Rate = 0.0  # different ones that it asks for, which make up its hits
     floor: Share = 0.0
 
 
 class Origin(Part):
     """The origin: what it bears a second, and the site that it is in, if in one."""
+
     bears: Positive
     site: Name | None = None
 
 
 class Expect(Part):
     """What staff expect of a loss; what is not so fails `--check`."""
+
     lost: list[Name]
-    refused: dict[str, Share] = {}      # by class, the most
-    origin: Share | None = None         # how full it may be, at the most
-    fullest: Positive | None = None     # how full a site may be
+    refused: dict[str, Share] = {}  # by class, the most
+    origin: Share | None = None  # how full it may be, at the most
+    fullest: Positive | None = None  # how full a site may be
     borne: bool | None = None
 
 
 class Loss(Part):
     """All of it."""
+
     site: Annotated[list[Site], Meta(min_length=1)]
     classes: Annotated[list[Class], Meta(min_length=1)] = msgspec.field(name='class')
     origin: Origin
     expect: list[Expect] = []
-    cold_from: Share = 0.2              # of what it bears that a cold server does at once
-    warm_s: Positive = 20.0             # until it does all
+    cold_from: Share = 0.2  # of what it bears that a cold server does at once
+    warm_s: Positive = 20.0  # until it does all
 
 
 class Row(Part):
     """One class under one loss: what is asked, refused, how much worth that is, and in which place of the order it is refused."""
+
     name: str
     asked: float
     refused: float
@@ -81,6 +87,7 @@
 class Outcome(Part):
     """What comes of a loss: shares of all keys and fullness by site, the origin's fullness at first and once moved keys are kept, what is refused, and how long the
     return takes (seconds)."""
+
     lost: list[str]
     keys: dict[str, float]
     full: dict[str, float]
@@ -103,7 +110,9 @@
     if loss.origin.site is not None and loss.origin.site not in names:
         raise BadLine('loss: origin: no site %s' % loss.origin.site)
     for row in loss.expect:
-        unknown = [name for name in row.lost if name not in names] + [name for name in row.refused if name not in {made.name for made in loss.classes}]
+        unknown = [name for name in row.lost if name not in names] + [
+            name for name in row.refused if name not in {made.name for made in loss.classes}
+        ]
         if unknown:
             raise BadLine('loss: expect: no %s' % unknown[0])
     return loss
@@ -127,13 +136,29 @@
     through = {row.name: served[row.name] for row in loss.classes}
     load = sum(through[row.name] * row.work for row in loss.classes)
     full = load / rest if rest else 0.0 if not load else float('inf')
-    rows = [Row(name=row.name, asked=row.rate, refused=row.rate - through[row.name], worth=(row.rate - through[row.name]) * row.worth, place=place)
-            for place, row in enumerate(order(loss), 1)]
+    rows = [
+        Row(
+            name=row.name,
+            asked=row.rate,
+            refused=row.rate - through[row.name],
+            worth=(row.rate - through[row.name]) * row.worth,
+            place=place,
+        )
+        for place, row in enumerate(order(loss), 1)
+    ]
     borne = all(row.refused <= 1e-9 * max(1.0, row.asked) for row in rows)
     return Outcome(
-        lost=sorted(lost), keys={site.name: bears[site.name] / rest for site in left}, full={site.name: full for site in left}, moved=moved,
-        origin_first=fullness(at_origin(loss, through, moved), origin), origin_later=fullness(at_origin(loss, through, 0.0), origin),
-        classes=rows, worth_lost=sum(row.worth for row in rows), borne=borne, return_s=returning(loss, lost))
+        lost=sorted(lost),
+        keys={site.name: bears[site.name] / rest for site in left},
+        full={site.name: full for site in left},
+        moved=moved,
+        origin_first=fullness(at_origin(loss, through, moved), origin),
+        origin_later=fullness(at_origin(loss, through, 0.0), origin),
+        classes=rows,
+        worth_lost=sum(row.worth for row in rows),
+        borne=borne,
+        return_s=returning(loss, lost),
+    )
 
 
 def fullness(load, bears):
@@ -151,7 +176,11 @@
 
     def over():
         """How much work is too much at servers, and at the origin."""
-        return (sum(served[row.name] * row.work for row in loss.classes) - rest, at_origin(loss, served, moved) - origin)
+        return (
+            sum(served[row.name] * row.work for row in loss.classes) - rest,
+            at_origin(loss, served, moved) - origin,
+        )
+
     for floors in (True, False):
         for row in order(loss):
             at_servers, there = over()
@@ -201,11 +230,24 @@
         for made in told.classes:
             part = made.refused / made.asked if made.asked else 0.0
             if made.name in row.refused and part > row.refused[made.name] + 1e-9:
-                found.append(('%s: %s refused at most %.1f%%' % (name, made.name, 100 * row.refused[made.name]), '%.1f%%' % (100 * part)))
+                found.append(
+                    (
+                        '%s: %s refused at most %.1f%%' % (name, made.name, 100 * row.refused[made.name]),
+                        '%.1f%%' % (100 * part),
+                    )
+                )
         worst = max([*told.full.values(), 0.0])
-        for what, most, value in (('origin', row.origin, told.origin_first), ('fullest site', row.fullest, worst)):
+        for what, most, value in (
+            ('origin', row.origin, told.origin_first),
+            ('fullest site', row.fullest, worst),
+        ):
             if most is not None and value > most + 1e-9:
                 found.append(('%s: %s under %.0f%%' % (name, what, 100 * most), '%.0f%%' % (100 * value)))
         if row.borne is not None and told.borne is not row.borne:
-            found.append(('%s: %s' % (name, 'borne' if row.borne else 'not borne'), 'borne' if told.borne else 'not borne'))
+            found.append(
+                (
+                    '%s: %s' % (name, 'borne' if row.borne else 'not borne'),
+                    'borne' if told.borne else 'not borne',
+                )
+            )
     return found
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -15,7 +15,7 @@
 from .frames import ASK, TOLD, BadFrame, Frames, pack
 from ..values import SECOND, BadLine
 
-PATIENCE = 2.0                          # seconds for one planner's answer
+PATIENCE = 2.0  # seconds for one planner's answer
 
 
 def fleet_file(path, *tables):
@@ -66,7 +66,10 @@
     if kind == WELL:
         return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * BACK * weight)
     left = 1 / factor if kind == SLOW else LEFT[kind]
-    return 'keeps %.0f%% of its turns%s' % (100 * left ** weight, ', its wait is expected' if kind == SLOW else '')
+    return 'keeps %.0f%% of its turns%s' % (
+        100 * left**weight,
+        ', its wait is expected' if kind == SLOW else '',
+    )
 
 
 def table(name, told):
@@ -75,10 +78,22 @@
     lines = ['%s: %d forwarders have told it of servers' % (name, seats)]
     form = '%-20s %-8s %-10s %-22s %8s %7s  %s'
     lines.append(form % ('server', 'held', 'for', 'by', 'age', 'weight', 'what it changes'))
-    for server, _, kind, factor, took, witnesses, sites, age, weight, site in sorted(told['verdicts'], key=lambda row: (row[2] == WELL, row[0])):
+    for server, _, kind, factor, took, witnesses, sites, age, weight, site in sorted(
+        told['verdicts'], key=lambda row: (row[2] == WELL, row[0])
+    ):
         held = kind if kind != SLOW else 'slow x%g' % factor
-        lines.append(form % (server, held, site or 'all', '%d forwarders, %d sites' % (witnesses, sites), '%.1f s' % (age / SECOND), '%.2f' % weight,
-                             changes(kind, factor, weight)))
+        lines.append(
+            form
+            % (
+                server,
+                held,
+                site or 'all',
+                '%d forwarders, %d sites' % (witnesses, sites),
+                '%.1f s' % (age / SECOND),
+                '%.2f' % weight,
+                changes(kind, factor, weight),
+            )
+        )
     return lines
 
 
@@ -115,6 +130,7 @@
             continue
         if as_json:
             import json
+
             click.echo(json.dumps(dict(found, planner=row.name)))
             return 0
         if clear:
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -27,9 +27,9 @@
 from ..values import SECOND, down
 
 ENDED, KILLED, NOT_HAD = 70, 71, 75
-TERM_AT, KILL_AT = 4, 12                # parts of a lease that are left as the command is asked to end, and killed
-LOOK = 50                               # times in a second that the command is looked at
-NUMBER = 'LILACDYKE_TASK_NUMBER'        # in the command's environment
+TERM_AT, KILL_AT = 4, 12  # parts of a lease that are left as the command is asked to end, and killed
+LOOK = 50  # times in a second that the command is looked at
+NUMBER = 'LILACDYKE_TASK_NUMBER'  # in the command's environment
 
 
 class Holding:
@@ -53,7 +53,9 @@
         say('held', task=self.task, number=number)
         if self.popen is None and self.code is None and self.lease.held():
             try:
-                self.popen = subprocess.Popen(self.command, env=dict(os.environ, **{NUMBER: str(number)}), start_new_session=True)
+                self.popen = subprocess.Popen(
+                    self.command, env=dict(os.environ, **{NUMBER: str(number)}), start_new_session=True
+                )
             except OSError as err:
                 warn('cannot run', reason=err)
                 return self.over(2)
@@ -110,7 +112,7 @@
         if self.code is None:
             self.code = code
             if self.popen is not None:
-                self.signal(signal.SIGKILL)     # what the command left behind
+                self.signal(signal.SIGKILL)  # what the command left behind
             self.lease.release()
             self.reactor.callLater(0.05, self.reactor.stop)
 
@@ -136,6 +138,7 @@
     """Run a command while this process holds a task; its number is in LILACDYKE_TASK_NUMBER."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
+
     try:
         msgspec.convert(name, Name)
     except msgspec.ValidationError:
@@ -167,22 +170,43 @@
     click.echo('voters: %s; %d of %d answer' % (', '.join(voting) or 'none', len(voting), len(told.voters)))
     for (name, life), rows in sorted(seen.items()):
         held = len(rows) > len(told.voters) // 2 and any(number is not None for number, _ in rows)
-        click.echo('%-24s %-8s number %-8s %5.1f s left  %s' % (
-            name, 'held' if held else 'promised', max((number for number, _ in rows if number is not None), default='-'),
-            sorted(left for _, left in rows)[len(rows) // 2] / SECOND, life))
+        click.echo(
+            '%-24s %-8s number %-8s %5.1f s left  %s'
+            % (
+                name,
+                'held' if held else 'promised',
+                max((number for number, _ in rows if number is not None), default='-'),
+                sorted(left for _, left in rows)[len(rows) // 2] / SECOND,
+                life,
+            )
+        )
     sys.exit(0 if 2 * len(voting) > len(told.voters) else 1)
 
 
 @task.command()
 @click.option('--file', 'path', type=click.Path(), required=True, help='The fleet file.')
 @click.option('--name', required=True, help='Which planner this is.')
-@click.option('--above', type=click.IntRange(0), default=0, show_default=True, help='All numbers given before, where its old file is lost.')
+@click.option(
+    '--above',
+    type=click.IntRange(0),
+    default=0,
+    show_default=True,
+    help='All numbers given before, where its old file is lost.',
+)
 def voter(path, name, above):
     """Make a voter's file of numbers, once, where that planner runs."""
     told = read(path)
     book = Book(told.tasks.folder, name)
     if name not in told.voters or os.path.exists(book.path):
-        click.echo('lilacdyke: %s' % ('%s: is there already' % book.path if name in told.voters else '%s: tasks: no voter %s' % (path, name)), err=True)
+        click.echo(
+            'lilacdyke: %s'
+            % (
+                '%s: is there already' % book.path
+                if name in told.voters
+                else '%s: tasks: no voter %s' % (path, name)
+            ),
+            err=True,
+        )
         sys.exit(2)
     try:
         book.write(above, told.voters, told.task_lease)
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -12,14 +12,14 @@
 from .belief import BINS, FAILING, FIELDS, FULL, SERVERS, SILENT, SLOW, UNIT, VERDICTS, WELL, Row
 from .ledger import longer
 
-LEAST = 4                               # hops in sum that a verdict stands on
-MOST = 8                                # hops of one forwarder that count: the busiest, or one that makes them up, weighs no more
-BOTH = 2                                # forwarders, and sites where there are two, that a verdict on a server needs
-BAD = 0.5                               # share of hops unanswered, failed or refused that condemns; and of forwarders that must agree
-SLOWER = 2.0                            # times the middle server's middle answer time
-TURNS = 3                               # changes of mind within four spans from which a verdict weighs half
-WITNESSES = 4_096                       # seats
-LOOKS = 24                              # looks at all evidence, in a span
+LEAST = 4  # hops in sum that a verdict stands on
+MOST = 8  # hops of one forwarder that count: the busiest, or one that makes them up, weighs no more
+BOTH = 2  # forwarders, and sites where there are two, that a verdict on a server needs
+BAD = 0.5  # share of hops unanswered, failed or refused that condemns; and of forwarders that must agree
+SLOWER = 2.0  # times the middle server's middle answer time
+TURNS = 3  # changes of mind within four spans from which a verdict weighs half
+WITNESSES = 4_096  # seats
+LOOKS = 24  # looks at all evidence, in a span
 
 
 class Witness:
@@ -39,7 +39,10 @@
 
     def __init__(self, server, kind, factor, agreeing, site):
         self.server, self.kind, self.factor, self.site, self.weight = server, kind, factor, site, 1.0
-        self.witnesses, self.sites = len({seat for seat, _, _ in agreeing}), len({where for _, where, _ in agreeing})
+        self.witnesses, self.sites = (
+            len({seat for seat, _, _ in agreeing}),
+            len({where for _, where, _ in agreeing}),
+        )
         whole = together(agreeing)
         # Of a bad one the newest that was bad: own eyes that have seen better since decide. None: a slow one that is soon enough for all.
         self.newest = whole.fine if kind == WELL else whole.foul
@@ -47,7 +50,17 @@
 
     def plain(self, now):
         """As a plan tells it, with its age."""
-        return [*self.server, self.kind, self.factor, self.took, self.witnesses, self.sites, now - self.newest, self.weight, self.site is not None]
+        return [
+            *self.server,
+            self.kind,
+            self.factor,
+            self.took,
+            self.witnesses,
+            self.sites,
+            now - self.newest,
+            self.weight,
+            self.site is not None,
+        ]
 
 
 class Sight:
@@ -57,8 +70,8 @@
 
     def __init__(self, span):
         self.span, self.witnesses = span, {}
-        self.last, self.turns = {}, {}          # by server: what was held; when that changed lately
-        self.looked, self.held = None, {}       # when all was last looked at, and what followed
+        self.last, self.turns = {}, {}  # by server: what was held; when that changed lately
+        self.looked, self.held = None, {}  # when all was last looked at, and what followed
 
     # --- inputs -----------------------------------------------------------------------------------------
 
@@ -71,10 +84,12 @@
             for name, count in zip(FIELDS, counts):
                 setattr(row, name, count)
             row.times = [*times, *[0] * BINS][:BINS]
-            row.fine, row.foul, row.heard = (None if age is None else left - longer(age) for age in (fine, foul, heard))
+            row.fine, row.foul, row.heard = (
+                None if age is None else left - longer(age) for age in (fine, foul, heard)
+            )
             row.run = min(run, MOST)
             if row.newest is None:
-                del rows[server]        # says nothing
+                del rows[server]  # says nothing
                 continue
             self.even(row)
         had = self.witnesses.get(seat)
@@ -109,16 +124,23 @@
 
     def rows_for(self, now, site, doubts):
         """What a forwarder of a site is told: all that is bad, and that a server is well where it doubts that."""
-        rows = [verdict for verdict in self.now_held(now).values()
-                if verdict.site in (None, site) and (verdict.kind != WELL or verdict.server in doubts)]
-        rows.sort(key=lambda verdict: (verdict.kind == WELL, -verdict.sites, -verdict.witnesses, verdict.server))
+        rows = [
+            verdict
+            for verdict in self.now_held(now).values()
+            if verdict.site in (None, site) and (verdict.kind != WELL or verdict.server in doubts)
+        ]
+        rows.sort(
+            key=lambda verdict: (verdict.kind == WELL, -verdict.sites, -verdict.witnesses, verdict.server)
+        )
         return [verdict.plain(now) for verdict in rows[:VERDICTS]]
 
     def fresh(self, now):
         """By server, the rows that are young enough, with who says so: [(seat, site, row)]. Forgets what is not."""
         found = {}
         for seat, witness in list(self.witnesses.items()):
-            witness.rows = {server: kept for server, kept in witness.rows.items() if now < kept[2].newest + self.span}
+            witness.rows = {
+                server: kept for server, kept in witness.rows.items() if now < kept[2].newest + self.span
+            }
             for server, (_, _, row) in witness.rows.items():
                 found.setdefault(server, []).append((seat, witness.site, row))
         return {server: self.spoken_since(rows) for server, rows in found.items()}
@@ -129,7 +151,10 @@
         silent = [row for row in rows if row[2].silent]
         if not silent:
             return rows
-        answers = sorted(((row.heard, seat, site) for seat, site, row in rows if row.heard is not None), key=lambda answer: -answer[0])
+        answers = sorted(
+            ((row.heard, seat, site) for seat, site, row in rows if row.heard is not None),
+            key=lambda answer: -answer[0],
+        )
         kept = []
         for seat, site, row in rows:
             here = next((answer for answer in answers if answer[2] == site and answer[1] != seat), None)
@@ -142,7 +167,11 @@
     def lately(rows):
         """Only what was bad, where nobody has had an answer since: what was well before that says nothing any more. Else all rows."""
         newest = max((row.heard for _, _, row in rows if row.heard is not None), default=None)
-        ended = [(seat, site, row) for seat, site, row in rows if row.run and row.foul is not None and (newest is None or row.foul > newest)]
+        ended = [
+            (seat, site, row)
+            for seat, site, row in rows
+            if row.run and row.foul is not None and (newest is None or row.foul > newest)
+        ]
         if len({seat for seat, _, _ in ended}) < BOTH or sum(row.run for _, _, row in ended) < LEAST:
             return rows
         found = []
@@ -176,11 +205,19 @@
         """All verdicts now, by (server, site for which alone it holds or None)."""
         fresh = self.fresh(now)
         blind = self.blind(fresh, {server: together(rows) for server, rows in fresh.items()})
-        seen = {server: kept for server, rows in fresh.items() if (kept := [row for row in rows if row[0] not in blind])}
+        seen = {
+            server: kept
+            for server, rows in fresh.items()
+            if (kept := [row for row in rows if row[0] not in blind])
+        }
         wholes = {server: together(rows) for server, rows in seen.items()}
         usual = Usual(wholes.values())
         all_sites = {site for rows in seen.values() for _, site, _ in rows}
-        found = [verdict for server, rows in seen.items() for verdict in self.judged(server, rows, wholes[server], usual, len(all_sites))]
+        found = [
+            verdict
+            for server, rows in seen.items()
+            for verdict in self.judged(server, rows, wholes[server], usual, len(all_sites))
+        ]
         self.remember(now, found)
         return {(verdict.server, verdict.site): verdict for verdict in found if verdict.newest is not None}
 
@@ -196,7 +233,13 @@
         most = 2 * len(agreeing) >= len(rows)
         if kind == WELL:
             made = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and most else []
-        elif kind is not None and most and len(seats) >= BOTH and len(where) >= min(BOTH, all_sites) and not {site for _, site, _ in rows} - where:
+        elif (
+            kind is not None
+            and most
+            and len(seats) >= BOTH
+            and len(where) >= min(BOTH, all_sites)
+            and not {site for _, site, _ in rows} - where
+        ):
             return [Verdict(server, kind, factor, agreeing, None)]
         else:
             made = []
@@ -235,7 +278,10 @@
     def __init__(self, wholes):
         middles = sorted(middle for whole in wholes if (middle := whole.middle) is not None)
         self.middle = middles[len(middles) // 2] if middles else None
-        shares = {kind: sorted(count(whole) / whole.sent for whole in wholes if whole.sent) for kind, count in COUNTS}
+        shares = {
+            kind: sorted(count(whole) / whole.sent for whole in wholes if whole.sent)
+            for kind, count in COUNTS
+        }
         self.bad = {kind: share[len(share) // 2] if share else 0.0 for kind, share in shares.items()}
 
     def held_of(self, row, least=LEAST):
@@ -251,10 +297,18 @@
 
     def agrees(self, row, kind, whole):
         """Whether one forwarder saw the same; a slow server, about as slow."""
-        return self.held_of(row, 1)[0] == kind and (kind == WELL or row.foul is not None) and (kind != SLOW or row.middle >= whole.middle - 1)
-
-
-COUNTS = ((SILENT, lambda row: row.silent), (FAILING, lambda row: row.failed), (FULL, lambda row: row.refused))
+        return (
+            self.held_of(row, 1)[0] == kind
+            and (kind == WELL or row.foul is not None)
+            and (kind != SLOW or row.middle >= whole.middle - 1)
+        )
+
+
+COUNTS = (
+    (SILENT, lambda row: row.silent),
+    (FAILING, lambda row: row.failed),
+    (FULL, lambda row: row.refused),
+)
 
 
 def together(rows):
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -10,12 +10,20 @@
 from ..net.logs import say
 from ..values import SECOND
 
-KEPT = 8                                # reports to one planner that may still be answered
-LATE = 4                                # a slow server's answers are trouble from this part of the shortest goal on
-LINES = 5                               # for staff, a second
-FADES = 16                              # looks at words without news, in a span
+KEPT = 8  # reports to one planner that may still be answered
+LATE = 4  # a slow server's answers are trouble from this part of the shortest goal on
+LINES = 5  # for staff, a second
+FADES = 16  # looks at words without news, in a span
 WELL, FAILED, REFUSED, UNHEARD = 'well', 'failed', 'refused', 'silent'
-SAID = {'committed': WELL, 'missing': WELL, 'error': FAILED, 'spoilt': FAILED, 'refused': REFUSED, 'unreachable': UNHEARD, 'lost': UNHEARD}
+SAID = {
+    'committed': WELL,
+    'missing': WELL,
+    'error': FAILED,
+    'spoilt': FAILED,
+    'refused': REFUSED,
+    'unreachable': UNHEARD,
+    'lost': UNHEARD,
+}
 
 
 class View:
@@ -24,13 +32,16 @@
     def __init__(self, node, span, planners):
         self.node, self.clock, self.span = node, node.clock, span
         self.site = 'z%s' % node.place.terms.zone
-        self.late = node.router.goal // LATE    # from when on an answer is slow
+        self.late = node.router.goal // LATE  # from when on an answer is slow
         self.seen = Seen(self.clock(), span, self.late)
         self.belief = Belief(span, node.chance, self.late)
-        self.sent = {name: {} for name in planners}     # by planner: what it was sent, by the digest's number
-        self.known = {name: (None, {}) for name in planners}        # by planner: its life, and what it has for sure
-        self.words, self.timed = {}, False      # by server: (kind, whether on the way alone, until) of those that act
-        self.quiet = 0                  # until when nothing is written
+        self.sent = {name: {} for name in planners}  # by planner: what it was sent, by the digest's number
+        self.known = {name: (None, {}) for name in planners}  # by planner: its life, and what it has for sure
+        self.words, self.timed = (
+            {},
+            False,
+        )  # by server: (kind, whether on the way alone, until) of those that act
+        self.quiet = 0  # until when nothing is written
 
     # --- evidence ---------------------------------------------------------------------------------------
 
@@ -67,7 +78,10 @@
     def report(self, now, planner, seq, life):
         """What has changed since what this planner has for sure; life: of its own, None while it cannot tell how old what comes is."""
         whole = self.seen.report(now)
-        marks = {server: (row[:6], now - min(age for age in row[6:9] if age is not None)) for server, row in whole.items()}
+        marks = {
+            server: (row[:6], now - min(age for age in row[6:9] if age is not None))
+            for server, row in whole.items()
+        }
         self.sent[planner][seq] = (life, marks)
         while len(self.sent[planner]) > KEPT:
             del self.sent[planner][next(iter(self.sent[planner]))]
@@ -77,7 +91,11 @@
     def doubts(self, now):
         """Servers that this node gives less than their turns for what it saw itself."""
         router = self.node.router
-        return [list(ident) for server in router.caches if router.turns(now, server) < 1 and (ident := self.ident(server))]
+        return [
+            list(ident)
+            for server in router.caches
+            if router.turns(now, server) < 1 and (ident := self.ident(server))
+        ]
 
     # --- verdicts ---------------------------------------------------------------------------------------
 
--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -16,7 +16,7 @@
 from .ledger import DRIFT
 
 LEASE, TASK = 20, 't'
-MOST = 4                                # messages under way in a searched world
+MOST = 4  # messages under way in a searched world
 
 
 class TwoHold(Exception):
@@ -46,14 +46,22 @@
     """Some voters and seekers of one task, and what is under way between them. Each has a clock of its own."""
 
     def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, chance=half):
-        self.voter, self.seeker, self.chance, self.now, self.lives, self.numbers, self.changes = voter, seeker, chance, 0, 0, [], 0
+        self.voter, self.seeker, self.chance, self.now, self.lives, self.numbers, self.changes = (
+            voter,
+            seeker,
+            chance,
+            0,
+            0,
+            [],
+            0,
+        )
         self.rates = rates or [DRIFT] * (voters + seekers)
         self.offsets = [5 * number for number in range(voters + seekers)]
         self.bounds = [0] * voters
         # What has always been running owes nothing to a life before it.
         self.voters = [self.new_voter(number, self.clock(number) - 10 * LEASE) for number in range(voters)]
         self.seekers = [self.new_seeker(number) for number in range(seekers)]
-        self.bag = []                   # (to a voter, number of the voter, number of the seeker, message)
+        self.bag = []  # (to a voter, number of the voter, number of the seeker, message)
 
     def life(self):
         self.lives += 1
@@ -69,7 +77,9 @@
         return self.voter(now, self.life(), LEASE, kept, self.bounds[number])
 
     def new_seeker(self, number):
-        made = self.seeker(self.seeker_clock(number), TASK, self.life(), range(len(self.bounds)), LEASE, self.chance)
+        made = self.seeker(
+            self.seeker_clock(number), TASK, self.life(), range(len(self.bounds)), LEASE, self.chance
+        )
         made.want(self.seeker_clock(number))
         return made
 
@@ -127,7 +137,9 @@
     # --- what must hold ---------------------------------------------------------------------------------
 
     def judge(self):
-        holding = [number for number, seeker in enumerate(self.seekers) if seeker.held(self.seeker_clock(number))]
+        holding = [
+            number for number, seeker in enumerate(self.seekers) if seeker.held(self.seeker_clock(number))
+        ]
         if len(holding) > 1:
             raise TwoHold('at %d: %s hold' % (self.now, holding))
 
@@ -183,17 +195,25 @@
     voters, seekers = chance.choice((3, 3, 5)), chance.choice((2, 2, 3))
     rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(voters + seekers)]
     world = World(voters, seekers, rates, chance=Drawn(Random(seed)), **kinds)
-    prompt, hurry = chance.choice((0.3, 0.7, 0.95)), chance.choice((8, 16, 30))     # messages in their turn; steps while time passes once
-    generous = chance.choice((0.0, 0.002, 0.04))        # how readily a lease is given back
+    prompt, hurry = (
+        chance.choice((0.3, 0.7, 0.95)),
+        chance.choice((8, 16, 30)),
+    )  # messages in their turn; steps while time passes once
+    generous = chance.choice((0.0, 0.002, 0.04))  # how readily a lease is given back
     trouble, losses = chance.choice((0.0, 0.005, 0.02)), chance.choice((0.0, 0.05, 0.2))
     # For a while a seeker is cut off, one way or both: its messages are lost, or come once that is over; it may stand still besides.
     apart, until, late = None, 0, False
     for made in range(steps):
         drawn = chance.random()
         if world.now >= until:
-            holder = next((number for number, seeker in enumerate(world.seekers) if seeker.until is not None), 0)
-            apart = (holder if chance.random() < 0.7 else chance.randrange(seekers), chance.choice(((True,), (False,), (True, False))),
-                     chance.random() < 0.3)
+            holder = next(
+                (number for number, seeker in enumerate(world.seekers) if seeker.until is not None), 0
+            )
+            apart = (
+                holder if chance.random() < 0.7 else chance.randrange(seekers),
+                chance.choice(((True,), (False,), (True, False))),
+                chance.random() < 0.3,
+            )
             until = world.now + chance.randint(2, chance.choice((LEASE, LEASE, 4 * LEASE)))
             late = chance.random() < 0.5
             if chance.random() < 0.25:
@@ -228,7 +248,7 @@
         else:
             number = chance.randrange(seekers)
             if chance.random() < 0.3:
-                world.seekers[number].free(world.seeker_clock(number))          # a hint, which may come at any time
+                world.seekers[number].free(world.seeker_clock(number))  # a hint, which may come at any time
             if apart is None or not apart[2] or number != apart[0]:
                 world.pull(number)
         while len(world.bag) > 120:
@@ -245,9 +265,14 @@
 def main(walks, steps, states, seed):
     """Search a small world whole to some depth, then walk by chance."""
     seen, depth = search(states)
-    click.echo('3 voters, 2 seekers, 1 task: %d states, whole to depth %d; no two hold, numbers rise' % (seen, depth))
+    click.echo(
+        '3 voters, 2 seekers, 1 task: %d states, whole to depth %d; no two hold, numbers rise' % (seen, depth)
+    )
     made = [walk(number, steps) for number in range(seed, seed + walks)]
-    click.echo('%d walks, %d steps, %d leases: the same' % (walks, sum(row[0] for row in made), sum(row[1] for row in made)))
+    click.echo(
+        '%d walks, %d steps, %d leases: the same'
+        % (walks, sum(row[0] for row in made), sum(row[1] for row in made))
+    )
 
 
 if __name__ == '__main__':
--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -16,11 +16,11 @@
     def __init__(self, name, effect, group, window, goal, late_revenue, hard=0):
         self.name = name
         self.effect = effect
-        self.group = group              # 'all', 'zone' or 'cell': who drops a journalled repeat
-        self.window = window            # and for how long after the first send
+        self.group = group  # 'all', 'zone' or 'cell': who drops a journalled repeat
+        self.window = window  # and for how long after the first send
         self.goal = goal
         self.late_revenue = late_revenue
-        self.hard = hard                # the hard limit: the most that a client waits in all
+        self.hard = hard  # the hard limit: the most that a client waits in all
 
 
 class Tenant:
@@ -39,9 +39,26 @@
     cross_price is due for one hop a transaction that crosses zones, waste_price for as much work wasted as asked for.
     """
 
-    __slots__ = ('profiles', 'tenants', 'nodes', 'zone', 'aside', 'watched', 'may_copy', 'may_cancel',
-                 'max_hops', 'max_return', 'ask_within', 'fall_multiple', 'fall_window',
-                 'cold_from', 'warm_up', 'tick', 'cross_price', 'waste_price')
+    __slots__ = (
+        'profiles',
+        'tenants',
+        'nodes',
+        'zone',
+        'aside',
+        'watched',
+        'may_copy',
+        'may_cancel',
+        'max_hops',
+        'max_return',
+        'ask_within',
+        'fall_multiple',
+        'fall_window',
+        'cold_from',
+        'warm_up',
+        'tick',
+        'cross_price',
+        'waste_price',
+    )
 
     def __init__(self, **given):
         for name in self.__slots__:
--- a/lilacdyke/trial/cli.py
+++ b/lilacdyke/trial/cli.py
@@ -26,11 +26,19 @@
 def show(found):
     """One line of one trial."""
     told = found.figures
-    click.echo('seed %d%s: G %.3f, %s; %s; stood still for %.0f ms%s' % (
-        found.seed, ' (%s)' % found.mutant if found.mutant else '', told.get('G', 0.0),
-        ', '.join('%d %s' % (count, name) for name, count in told.get('answers', {}).items()),
-        ' '.join('%d %s' % (count, name) for name, count in sorted(Counter(found.kinds).items())) or 'no trouble',
-        1e3 * found.still, ', in %d tries' % found.tries if found.tries > 1 else ''))
+    click.echo(
+        'seed %d%s: G %.3f, %s; %s; stood still for %.0f ms%s'
+        % (
+            found.seed,
+            ' (%s)' % found.mutant if found.mutant else '',
+            told.get('G', 0.0),
+            ', '.join('%d %s' % (count, name) for name, count in told.get('answers', {}).items()),
+            ' '.join('%d %s' % (count, name) for name, count in sorted(Counter(found.kinds).items()))
+            or 'no trouble',
+            1e3 * found.still,
+            ', in %d tries' % found.tries if found.tries > 1 else '',
+        )
+    )
     for rule, when, text in found.broken[:3]:
         click.echo('broken: %s at %.3f s: %s' % (rule, when, text))
 
@@ -42,7 +50,11 @@
 
 @trial.command()
 @click.option('--seed', type=int, default=1, show_default=True)
-@click.option('--mutant', type=click.Choice(NAMES), help='Break the program in this way, under troubles that should show it.')
+@click.option(
+    '--mutant',
+    type=click.Choice(NAMES),
+    help='Break the program in this way, under troubles that should show it.',
+)
 @click.option('--named', type=click.Choice(list(draw.NAMED)), help='One that is set, not drawn.')
 @click.option('--json', 'as_json', is_flag=True)
 def run(seed, mutant, named, as_json):
@@ -60,6 +72,7 @@
 def show_(seed):
     """Print what the trial of a seed is made of."""
     from ..lab.scenario import write
+
     given = draw.scenario(seed)
     click.echo(write(given))
     for name, bends in draw.bends(seed, given).items():
@@ -89,29 +102,48 @@
         if found.broken:
             broken.append(found)
             show(found)
-    parallel([(seed, None, 'watched' if verdicts else None) for seed in range(first, first + seeds)], jobs, each)
+
+    parallel(
+        [(seed, None, 'watched' if verdicts else None) for seed in range(first, first + seeds)], jobs, each
+    )
     for name, values in sorted(over.items()):
-        click.echo('%s: median %.3f, most %.3f of the limit, in %d runs' % (name, sorted(values)[len(values) // 2], max(values), len(values)))
-    click.echo('%d trials, %.0f s, %d played again; broken: %s' % (
-        seeds, time.monotonic() - begun, seeds - tries[1], ', '.join(sorted({rule for found in broken for rule, _, _ in found.broken})) or 'none'))
+        click.echo(
+            '%s: median %.3f, most %.3f of the limit, in %d runs'
+            % (name, sorted(values)[len(values) // 2], max(values), len(values))
+        )
+    click.echo(
+        '%d trials, %.0f s, %d played again; broken: %s'
+        % (
+            seeds,
+            time.monotonic() - begun,
+            seeds - tries[1],
+            ', '.join(sorted({rule for found in broken for rule, _, _ in found.broken})) or 'none',
+        )
+    )
     sys.exit(1 if broken else 0)
 
 
 @trial.command()
 @click.argument('names', metavar='[MUTANT]...', nargs=-1)
-@click.option('--seeds', type=click.IntRange(1), default=12, show_default=True, help='The most that each is tried with.')
+@click.option(
+    '--seeds', type=click.IntRange(1), default=12, show_default=True, help='The most that each is tried with.'
+)
 @click.option('--jobs', type=click.IntRange(1, 16), default=4, show_default=True)
 def mutants(names, seeds, jobs):
     """Break the program on purpose: each mutant must be caught by a judge in a trial that the sound program passes."""
     unknown = [name for name in names if name not in NAMES]
     if unknown:
-        click.echo('lilacdyke: no such mutant: %s; there are %s' % (', '.join(unknown), ', '.join(NAMES)), err=True)
+        click.echo(
+            'lilacdyke: no such mutant: %s; there are %s' % (', '.join(unknown), ', '.join(NAMES)), err=True
+        )
         sys.exit(2)
     missed = 0
     with ThreadPoolExecutor(jobs) as pool:
         for name, told in zip(names or NAMES, pool.map(lambda name: hunt(name, seeds), names or NAMES)):
             missed += told is None
-            click.echo('%-24s %s' % (name, 'not caught in %d' % seeds if told is None else '%s, seed %d: %s' % told))
+            click.echo(
+                '%-24s %s' % (name, 'not caught in %d' % seeds if told is None else '%s, seed %d: %s' % told)
+            )
     click.echo('%d of %d caught' % (len(names or NAMES) - missed, len(names or NAMES)))
     sys.exit(1 if missed else 0)
 
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -7,14 +7,54 @@
 
 from msgspec.structs import replace
 
-from ..lab.scenario import (Bound, Caches, Clients, Event, Kind, Load, Origin, Planning, Profile, Rules, Scenario, check)
+from ..lab.scenario import (
+    Bound,
+    Caches,
+    Clients,
+    Event,
+    Kind,
+    Load,
+    Origin,
+    Planning,
+    Profile,
+    Rules,
+    Scenario,
+    check,
+)
 
-KINDS = {'way_cut': 4, 'way_tear': 2, 'way_late': 3, 'way_thin': 2, 'way_reset': 3, 'way_refuse': 2, 'way_replay': 2, 'starve': 1,
-         'kill_planner': 4, 'stop_planner': 3, 'part_planner': 2, 'cut_planner': 2, 'late_planner': 2, 'lower': 3,
-         'shift': 4, 'kill': 3, 'term': 2, 'standstill': 3, 'burst': 2}
+KINDS = {
+    'way_cut': 4,
+    'way_tear': 2,
+    'way_late': 3,
+    'way_thin': 2,
+    'way_reset': 3,
+    'way_refuse': 2,
+    'way_replay': 2,
+    'starve': 1,
+    'kill_planner': 4,
+    'stop_planner': 3,
+    'part_planner': 2,
+    'cut_planner': 2,
+    'late_planner': 2,
+    'lower': 3,
+    'shift': 4,
+    'kill': 3,
+    'term': 2,
+    'standstill': 3,
+    'burst': 2,
+}
 # Where what a limit counts is counted at servers as it comes, bytes that were held up on their way would count together.
 BETWEEN = {'cut': 3, 'delay': 2, 'silence': 1, 'cut_watch': 1}
-SIZES = {'delay': (5, 60), 'way_cut': (0, 3), 'way_tear': (0, 3), 'way_late': (0.1, 3), 'way_thin': (0, 5), 'late_planner': (0.1, 3), 'lower': (1, 8), 'burst': (1.5, 3)}
+SIZES = {
+    'delay': (5, 60),
+    'way_cut': (0, 3),
+    'way_tear': (0, 3),
+    'way_late': (0.1, 3),
+    'way_thin': (0, 5),
+    'late_planner': (0.1, 3),
+    'lower': (1, 8),
+    'burst': (1.5, 3),
+}
 LEASE = 0.5
 STEPS = ('>plan.ledger:Bank.receive', '>plan.planner:Planner.told', '<plan.ledger:Bank.plan')
 
@@ -23,11 +63,16 @@
     """The trial of a seed. kinds: what its timeline is drawn from."""
     chance = Random('trial/%d' % seed)
     rate = chance.choice([60.0, 100.0])
-    bounds = [chance.choice([
-        Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8)), profile='read'),
-        Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8))),
-        Bound(name='open', most=chance.randint(3, 8), what='open'),
-        Bound(name='fetches', most=round(rate * chance.uniform(0.1, 0.3)), what='fetches')])]
+    bounds = [
+        chance.choice(
+            [
+                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8)), profile='read'),
+                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8))),
+                Bound(name='open', most=chance.randint(3, 8), what='open'),
+                Bound(name='fetches', most=round(rate * chance.uniform(0.1, 0.3)), what='fetches'),
+            ]
+        )
+    ]
     if chance.random() < 0.4:
         bounds.append(Bound(name='links', most=chance.randint(9, 20), what='links'))
     kinds, events = dict(kinds or KINDS), []
@@ -38,34 +83,79 @@
         kind = chance.choices(names, [kinds[name] for name in names])[0]
         low, high = SIZES.get(kind, (4, 4))
         span = chance.uniform(0.3, 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0)
-        events.append(Event(at_s=round(chance.uniform(0.3, length * 0.7), 2), kind=kind, count=chance.choice([1, 1, 2]),
-                            for_s=round(span, 2), size=round(chance.uniform(low, high), 2)))
-    return check(Scenario(
-        name='trial-%d' % seed, seed=seed, length_s=length, nodes=3, zones=2, kinds=[Kind(count=3, cores=4)],
-        caches=Caches(handshake_ms=0.2), origin=Origin(cores=16), load=Load(rate=rate, keys=200),
-        profiles=[Profile(name='read', work_ms=8.0, goal_s=0.75, limit_s=1.5, share=0.9),
-                  Profile(name='note', effect='guarded', write=True, work_ms=8.0, limit_s=1.5, share=0.1)],
-        clients=Clients(retries=1, fresh=0.05, notice_s=0.5), rules=Rules(warm_s=5.0),
-        planning=Planning(planners=3, lease_s=LEASE, seats=3, bounds=bounds),
-        events=sorted(events, key=lambda event: event.at_s)))
+        events.append(
+            Event(
+                at_s=round(chance.uniform(0.3, length * 0.7), 2),
+                kind=kind,
+                count=chance.choice([1, 1, 2]),
+                for_s=round(span, 2),
+                size=round(chance.uniform(low, high), 2),
+            )
+        )
+    return check(
+        Scenario(
+            name='trial-%d' % seed,
+            seed=seed,
+            length_s=length,
+            nodes=3,
+            zones=2,
+            kinds=[Kind(count=3, cores=4)],
+            caches=Caches(handshake_ms=0.2),
+            origin=Origin(cores=16),
+            load=Load(rate=rate, keys=200),
+            profiles=[
+                Profile(name='read', work_ms=8.0, goal_s=0.75, limit_s=1.5, share=0.9),
+                Profile(name='note', effect='guarded', write=True, work_ms=8.0, limit_s=1.5, share=0.1),
+            ],
+            clients=Clients(retries=1, fresh=0.05, notice_s=0.5),
+            rules=Rules(warm_s=5.0),
+            planning=Planning(planners=3, lease_s=LEASE, seats=3, bounds=bounds),
+            events=sorted(events, key=lambda event: event.at_s),
+        )
+    )
 
 
 def kills(made):
     """Planners killed a hundred times under steady requests, each back a moment later with nothing."""
-    events = [Event(at_s=round(0.3 + 0.1 * number, 2), kind='kill_planner', what=[number % 3], for_s=0.05) for number in range(100)]
-    return replace(made, length_s=11.0, events=events, planning=replace(made.planning, bounds=[Bound(name='reads', most=60.0, profile='read')]))
+    events = [
+        Event(at_s=round(0.3 + 0.1 * number, 2), kind='kill_planner', what=[number % 3], for_s=0.05)
+        for number in range(100)
+    ]
+    return replace(
+        made,
+        length_s=11.0,
+        events=events,
+        planning=replace(made.planning, bounds=[Bound(name='reads', most=60.0, profile='read')]),
+    )
 
 
 def absurd(made):
     """All links torn, thin, late or fed with old bytes, one after the other, in the midst of kills."""
     names = ('way_tear', 'way_thin', 'way_replay', 'way_late', 'way_reset', 'way_refuse', 'kill_planner')
-    return replace(made, length_s=9.0, events=[
-        Event(at_s=round(0.4 + 0.35 * number, 2), kind=names[number % len(names)], count=3, for_s=0.6, size=1.5) for number in range(20)])
+    return replace(
+        made,
+        length_s=9.0,
+        events=[
+            Event(
+                at_s=round(0.4 + 0.35 * number, 2),
+                kind=names[number % len(names)],
+                count=3,
+                for_s=0.6,
+                size=1.5,
+            )
+            for number in range(20)
+        ],
+    )
 
 
 def calm(made):
     """No trouble, and a limit that nobody comes near: what requests take."""
-    return replace(made, length_s=10.0, events=[], planning=replace(made.planning, bounds=[Bound(name='reads', most=2_000.0)]))
+    return replace(
+        made,
+        length_s=10.0,
+        events=[],
+        planning=replace(made.planning, bounds=[Bound(name='reads', most=2_000.0)]),
+    )
 
 
 def links(made):
@@ -74,9 +164,34 @@
 
 
 # Troubles of servers and their links, beside those of planners.
-WATCHED = {'slow': 4, 'hung': 4, 'garbled': 2, 'crash': 2, 'refuse': 2, 'cut': 3, 'delay': 2, 'suspend': 1, 'drain': 1, 'way_cut': 3, 'way_tear': 1, 'way_late': 3,
-           'way_thin': 1, 'way_reset': 2, 'way_replay': 2, 'kill_planner': 3, 'stop_planner': 3, 'part_planner': 2, 'cut_planner': 2, 'late_planner': 3,
-           'kill': 2, 'term': 1, 'standstill': 2, 'starve': 1, 'shift': 2, 'site_cut': 4}
+WATCHED = {
+    'slow': 4,
+    'hung': 4,
+    'garbled': 2,
+    'crash': 2,
+    'refuse': 2,
+    'cut': 3,
+    'delay': 2,
+    'suspend': 1,
+    'drain': 1,
+    'way_cut': 3,
+    'way_tear': 1,
+    'way_late': 3,
+    'way_thin': 1,
+    'way_reset': 2,
+    'way_replay': 2,
+    'kill_planner': 3,
+    'stop_planner': 3,
+    'part_planner': 2,
+    'cut_planner': 2,
+    'late_planner': 3,
+    'kill': 2,
+    'term': 1,
+    'standstill': 2,
+    'starve': 1,
+    'shift': 2,
+    'site_cut': 4,
+}
 
 
 def watched(made):
@@ -85,13 +200,36 @@
     names, events = sorted(WATCHED), []
     for _ in range(chance.randint(2, 5)):
         kind = chance.choices(names, [WATCHED[name] for name in names])[0]
-        low, high = SIZES.get(kind, (0, 3) if kind == 'site_cut' else (10, 60) if kind == 'slow' else (10, 10) if kind == 'garbled' else (4, 4))
+        low, high = SIZES.get(
+            kind,
+            (0, 3)
+            if kind == 'site_cut'
+            else (10, 60)
+            if kind == 'slow'
+            else (10, 10)
+            if kind == 'garbled'
+            else (4, 4),
+        )
         longest = 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0
-        events.append(Event(at_s=round(chance.uniform(0.3, 5.5), 2), kind=kind, count=chance.choice([1, 1, 2]),
-                            for_s=round(chance.uniform(0.5, longest), 2), size=round(chance.uniform(low, high), 2)))
+        events.append(
+            Event(
+                at_s=round(chance.uniform(0.3, 5.5), 2),
+                kind=kind,
+                count=chance.choice([1, 1, 2]),
+                for_s=round(chance.uniform(0.5, longest), 2),
+                size=round(chance.uniform(low, high), 2),
+            )
+        )
     bounds = [Bound(name='tries', what='tries', most=2.0)] if chance.random() < 0.3 else []
-    return replace(made, length_s=8.0, nodes=4, kinds=[Kind(count=6, cores=4)], load=Load(rate=120.0, keys=300), events=sorted(events, key=lambda event: event.at_s),
-                   planning=replace(made.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])))
+    return replace(
+        made,
+        length_s=8.0,
+        nodes=4,
+        kinds=[Kind(count=6, cores=4)],
+        load=Load(rate=120.0, keys=300),
+        events=sorted(events, key=lambda event: event.at_s),
+        planning=replace(made.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])),
+    )
 
 
 NAMED = {'watched': watched, 'kills': kills, 'absurd': absurd, 'calm': calm, 'links': links}
@@ -104,6 +242,7 @@
     if fit in NAMED:
         return check(NAMED[fit](scenario(seed)))
     from ..lab.mutants import MUTANTS
+
     return check(MUTANTS[fit].fit(scenario(seed)))
 
 
@@ -111,13 +250,17 @@
     """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners that die between two steps of
     their work: a gift taken and not lent yet, a plan made and not sent."""
     chance = Random('bends/%d' % seed)
-    names = ['n%d' % number for number in range(given.nodes)] + ['p%d' % number for number in range(given.planning.planners)]
+    names = ['n%d' % number for number in range(given.nodes)] + [
+        'p%d' % number for number in range(given.planning.planners)
+    ]
     found = {}
     for name in names:
         if chance.random() < 0.4:
-            found[name] = {'rate': chance.choice([0.976, 1.024])}     # of true time: together a twentieth apart
+            found[name] = {'rate': chance.choice([0.976, 1.024])}  # of true time: together a twentieth apart
         if chance.random() < 0.2:
-            found.setdefault(name, {})['jumps'] = [[chance.uniform(1, 5), chance.choice([-3600.0, 3600.0, -1.0])]]
+            found.setdefault(name, {})['jumps'] = [
+                [chance.uniform(1, 5), chance.choice([-3600.0, 3600.0, -1.0])]
+            ]
         if name[0] == 'p' and chance.random() < 0.25:
             found.setdefault(name, {})['dies'] = {chance.choice(STEPS): chance.randint(2, 60)}
     return found
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -8,13 +8,23 @@
 from ..lab.faults import Faults
 from .relay import DOWN, UP
 
-SLICE = 40_000                          # of a starved process's time, microseconds
+SLICE = 40_000  # of a starved process's time, microseconds
 
 
 class Troubles(Faults):
     """Plays a scenario's events with relays on every link."""
 
-    left_over = ('resets', 'dribble', 'deaf', 'step', 'clock', 'descriptors', 'vanish', 'planner_clock', 'lie')
+    left_over = (
+        'resets',
+        'dribble',
+        'deaf',
+        'step',
+        'clock',
+        'descriptors',
+        'vanish',
+        'planner_clock',
+        'lie',
+    )
 
     def plays(self, kind):
         return kind not in self.left_over
@@ -23,7 +33,11 @@
         """The relays of a node to planners: of some of these."""
         offices = self.stage.offices
         some = chance.sample(offices, chance.randint(1, len(offices))) if offices else []
-        return [self.stage.ground.relays[self.stage.places[number].name, office.name] for number in what for office in some]
+        return [
+            self.stage.ground.relays[self.stage.places[number].name, office.name]
+            for number in what
+            for office in some
+        ]
 
     def for_a_while(self, relays, change, span):
         for relay in relays:
@@ -34,29 +48,42 @@
     @staticmethod
     def ways(relay, size):
         """Which directions: up, down or both."""
-        return relay.ways if size >= 2 else relay.ways[DOWN:] if size >= 1 else relay.ways[:UP + 1]
+        return relay.ways if size >= 2 else relay.ways[DOWN:] if size >= 1 else relay.ways[: UP + 1]
 
     def do_way_cut(self, index, event, what, span, chance):
         """Silent, in one direction or both."""
-        self.for_a_while(self.links(event, what, chance), lambda relay: [
-            setattr(way, 'cut', True) for way in self.ways(relay, event.size)], span)
+        self.for_a_while(
+            self.links(event, what, chance),
+            lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
+            span,
+        )
 
     def do_way_tear(self, index, event, what, span, chance):
         """Some bytes still pass, then nothing: within a frame."""
-        self.for_a_while(self.links(event, what, chance), lambda relay: [
-            setattr(way, 'torn', chance.randint(1, 60)) for way in self.ways(relay, event.size)], span)
+        self.for_a_while(
+            self.links(event, what, chance),
+            lambda relay: [
+                setattr(way, 'torn', chance.randint(1, 60)) for way in self.ways(relay, event.size)
+            ],
+            span,
+        )
 
     def do_way_late(self, index, event, what, span, chance):
         """Seconds on the way, in order."""
+
         def change(relay):
             for way in relay.ways:
                 way.late, way.jitter = int(event.size * 5e5), int(event.size * 5e5)
+
         self.for_a_while(self.links(event, what, chance), change, span)
 
     def do_way_thin(self, index, event, what, span, chance):
         """Few bytes a second."""
-        self.for_a_while(self.links(event, what, chance), lambda relay: [
-            setattr(way, 'pace', 20 + 100 * event.size) for way in relay.ways], span)
+        self.for_a_while(
+            self.links(event, what, chance),
+            lambda relay: [setattr(way, 'pace', 20 + 100 * event.size) for way in relay.ways],
+            span,
+        )
 
     def do_way_reset(self, index, event, what, span, chance):
         self.for_a_while(self.links(event, what, chance), lambda relay: relay.reset(), span)
@@ -65,13 +92,16 @@
         def change(relay):
             relay.refuse()
             relay.reset()
+
         self.for_a_while(self.links(event, what, chance), change, span)
 
     def do_way_replay(self, index, event, what, span, chance):
         """Reset, and the next connection begins with an older one's bytes."""
+
         def change(relay):
             relay.reset()
             relay.tells_old = True
+
         self.for_a_while(self.links(event, what, chance), change, span)
 
     def do_cut_planner(self, index, event, what, span, chance):
@@ -80,21 +110,37 @@
 
     def do_part_planner(self, index, event, what, span, chance):
         """Cut off from the first half of the nodes."""
-        self.part(what, self.stage.places[:max(1, len(self.stage.places) // 2)], span)
+        self.part(what, self.stage.places[: max(1, len(self.stage.places) // 2)], span)
 
     def part(self, what, places, span):
         def change(relay):
             for way in relay.ways:
                 way.cut = True
-        self.for_a_while([self.stage.ground.relays[place.name, office.name] for place in places
-                          for office in self.planners(what)], change, span)
+
+        self.for_a_while(
+            [
+                self.stage.ground.relays[place.name, office.name]
+                for place in places
+                for office in self.planners(what)
+            ],
+            change,
+            span,
+        )
 
     def do_late_planner(self, index, event, what, span, chance):
         def change(relay):
             for way in relay.ways:
                 way.late = int(event.size * 5e5)
-        self.for_a_while([self.stage.ground.relays[place.name, office.name] for place in self.stage.places
-                          for office in self.planners(what)], change, span)
+
+        self.for_a_while(
+            [
+                self.stage.ground.relays[place.name, office.name]
+                for place in self.stage.places
+                for office in self.planners(what)
+            ],
+            change,
+            span,
+        )
 
     def do_cut(self, index, event, what, span, chance):
         """Sites are cut off from the others: nodes and caches; planners are in no site."""
@@ -103,7 +149,16 @@
         def change(relay):
             for way in relay.ways:
                 way.cut = True
-        self.for_a_while([relay for (name, other), relay in self.stage.ground.relays.items() if self.apart(name, other, zones)], change, span)
+
+        self.for_a_while(
+            [
+                relay
+                for (name, other), relay in self.stage.ground.relays.items()
+                if self.apart(name, other, zones)
+            ],
+            change,
+            span,
+        )
 
     def apart(self, name, other, zones):
         place = next(place for place in self.stage.places if place.name == name)
@@ -112,10 +167,20 @@
 
     def do_site_cut(self, index, event, what, span, chance):
         """One site is cut off from these servers, in one direction or both; others reach them."""
-        zone, names = self.stage.zones[index % len(self.stage.zones)], {server.name for server in self.numbered(what)}
+        zone, names = (
+            self.stage.zones[index % len(self.stage.zones)],
+            {server.name for server in self.numbered(what)},
+        )
         here = {place.name for place in self.stage.places if place.zone == zone}
-        self.for_a_while([relay for (name, other), relay in self.stage.ground.relays.items() if name in here and other in names], lambda relay: [
-            setattr(way, 'cut', True) for way in self.ways(relay, event.size)], span)
+        self.for_a_while(
+            [
+                relay
+                for (name, other), relay in self.stage.ground.relays.items()
+                if name in here and other in names
+            ],
+            lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
+            span,
+        )
 
     def do_delay(self, index, event, what, span, chance):
         names = {server.name for server in self.numbered(what)}
@@ -123,7 +188,10 @@
         def change(relay):
             for way in relay.ways:
                 way.late = int(event.size * 1_000)
-        self.for_a_while([relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span)
+
+        self.for_a_while(
+            [relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span
+        )
 
     def do_starve(self, index, event, what, span, chance):
         """Most of the time the process gets no processor: a few milliseconds in each slice."""
