--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -34,7 +34,7 @@
     def __init__(self, kind, times, folder, reactor):
         self.kind, self.times, self.keeps = kind, times, 0.0 if kind == 'release' else 2.0
         super().__init__(1, folder, reactor)
-        self.marks = []                 # when the trouble came
+        self.marks = []  # when the trouble came
 
     def bent(self):
         return {}
@@ -57,8 +57,11 @@
             self.kill(name)
             self.reactor.callLater(0.3, self.start, name)
         elif self.kind in ('cut', 'one way'):
-            self.for_a_while(lambda relay: [setattr(way, 'cut', True) for way in relay.ways[self.kind == 'one way':]], 3 * self.lease, [
-                self.relays[name, 'p%d' % number] for number in range(VOTERS)])
+            self.for_a_while(
+                lambda relay: [setattr(way, 'cut', True) for way in relay.ways[self.kind == 'one way' :]],
+                3 * self.lease,
+                [self.relays[name, 'p%d' % number] for number in range(VOTERS)],
+            )
         elif self.kind in ('voter', 'roll'):
             voter = 'p%d' % (len(self.marks) % VOTERS)
             self.kill(voter)
@@ -69,11 +72,24 @@
         acts = [(row[0], row[2]) for row in self.resource.rows if row[1] == 'begin' and row[4]]
         if self.kind in ('kill', 'cut', 'one way'):
             had = [max((number for at, number in acts if at <= mark), default=0) for mark in self.marks]
-            return [next((at - mark for at, number in acts if number > before), float('inf')) for mark, before in zip(self.marks, had)]
+            return [
+                next((at - mark for at, number in acts if number > before), float('inf'))
+                for mark, before in zip(self.marks, had)
+            ]
         if self.kind == 'release':
-            return [later[0] - at for (at, number), later in zip(acts, acts[1:]) if later[1] != number and at > self.marks[0]]
+            return [
+                later[0] - at
+                for (at, number), later in zip(acts, acts[1:])
+                if later[1] != number and at > self.marks[0]
+            ]
         spans = zip(self.marks, [*self.marks[1:], self.marks[-1] + 4 * self.lease])
-        return [max((later[0] - at for (at, _), later in zip(acts, acts[1:]) if begin <= later[0] <= end), default=float('inf')) for begin, end in spans]
+        return [
+            max(
+                (later[0] - at for (at, _), later in zip(acts, acts[1:]) if begin <= later[0] <= end),
+                default=float('inf'),
+            )
+            for begin, end in spans
+        ]
 
 
 @click.group()
@@ -83,21 +99,38 @@
 
 @main.command()
 @click.option('--times', type=click.IntRange(1, 500), default=15, show_default=True)
-@click.option('--kind', type=click.Choice(KINDS), help='One of them, in this process; by default all, side by side.')
+@click.option(
+    '--kind', type=click.Choice(KINDS), help='One of them, in this process; by default all, side by side.'
+)
 def gaps(times, kind):
     """Time without a holder, leases of 0.4 s."""
     if kind is None:
-        for running in [subprocess.Popen([sys.executable, '-m', 'lilacdyke.trial.gaps', 'gaps', '--times', str(times), '--kind', name]) for name in KINDS]:
+        for running in [
+            subprocess.Popen(
+                [sys.executable, '-m', 'lilacdyke.trial.gaps', 'gaps', '--times', str(times), '--kind', name]
+            )
+            for name in KINDS
+        ]:
             running.wait()
         return
     from twisted.internet.epollreactor import EPollReactor
+
     reactor = EPollReactor()
     with tempfile.TemporaryDirectory() as folder:
         field = Scripted(kind, times, folder, reactor)
         reactor.callWhenRunning(field.begin)
         reactor.run()
         found = sorted(field.found())
-    click.echo('%-8s %4d times: median %.3f s, 99th %.3f s, most %.3f s' % (kind, len(found), found[len(found) // 2], found[min(len(found) - 1, len(found) * 99 // 100)], found[-1]))
+    click.echo(
+        '%-8s %4d times: median %.3f s, 99th %.3f s, most %.3f s'
+        % (
+            kind,
+            len(found),
+            found[len(found) // 2],
+            found[min(len(found) - 1, len(found) * 99 // 100)],
+            found[-1],
+        )
+    )
 
 
 @main.command()
@@ -108,19 +141,59 @@
 def load(seekers, tasks, seconds, lease):
     """Messages and processor time of three voters; leases lost by the machine's own standstills."""
     from twisted.internet import reactor
+
     with tempfile.TemporaryDirectory() as folder:
         path, port, planners = os.path.join(folder, 'fleet.toml'), 20_000 + os.getpid() % 20_000, []
-        write_fleet(path, {'enabled': True, 'installation': 'load', 'seats': 1, 'tasks': {'folder': folder, 'lease_s': lease}, 'planner': [
-            {'name': 'p%d' % number, 'address': '127.0.0.1:%d' % (port + number)} for number in range(VOTERS)]})
+        write_fleet(
+            path,
+            {
+                'enabled': True,
+                'installation': 'load',
+                'seats': 1,
+                'tasks': {'folder': folder, 'lease_s': lease},
+                'planner': [
+                    {'name': 'p%d' % number, 'address': '127.0.0.1:%d' % (port + number)}
+                    for number in range(VOTERS)
+                ],
+            },
+        )
         for number in range(VOTERS):
-            subprocess.run([sys.executable, '-m', 'lilacdyke', 'task', 'voter', '--file', path, '--name', 'p%d' % number], check=True)
-            planners.append(subprocess.Popen([sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p%d' % number],
-                                             stderr=subprocess.DEVNULL))
+            subprocess.run(
+                [
+                    sys.executable,
+                    '-m',
+                    'lilacdyke',
+                    'task',
+                    'voter',
+                    '--file',
+                    path,
+                    '--name',
+                    'p%d' % number,
+                ],
+                check=True,
+            )
+            planners.append(
+                subprocess.Popen(
+                    [
+                        sys.executable,
+                        '-m',
+                        'lilacdyke.trial.launch',
+                        '{}',
+                        'plan',
+                        '--file',
+                        path,
+                        '--name',
+                        'p%d' % number,
+                    ],
+                    stderr=subprocess.DEVNULL,
+                )
+            )
         counts, told = Counter(), ToVoter.dataReceived
 
         def counting(self, data):
             counts['frames'] += 1
             told(self, data)
+
         ToVoter.dataReceived = counting
         try:
             time.sleep(1.5)
@@ -128,19 +201,40 @@
             deadlines = Deadlines(lambda: int((time.monotonic() - zero) * SECOND), reactor.callLater)
             chance, found = Random(1).random, {}
             for number in range(seekers):
-                Lease(reactor, deadlines, deadlines.clock, fleet, 'task-%d' % (number % tasks), chance, lambda number: counts.update(['got']),
-                      lambda number: counts.update(['lost'])).acquire()
+                Lease(
+                    reactor,
+                    deadlines,
+                    deadlines.clock,
+                    fleet,
+                    'task-%d' % (number % tasks),
+                    chance,
+                    lambda number: counts.update(['got']),
+                    lambda number: counts.update(['lost']),
+                ).acquire()
 
             def begin():
                 counts.clear()
-                found.update({planner.pid: processor(planner.pid)[0] for planner in planners}, at=time.monotonic())
+                found.update(
+                    {planner.pid: processor(planner.pid)[0] for planner in planners}, at=time.monotonic()
+                )
 
             def end():
                 took = time.monotonic() - found['at']
                 each = [100 * (processor(planner.pid)[0] - found[planner.pid]) / took for planner in planners]
-                click.echo('%d seekers, %d tasks, leases of %g s: %.0f answers a second from three voters, each at %.1f%% of a core; %d leases lost, %d got' % (
-                    seekers, tasks, lease, counts['frames'] / took, sum(each) / len(each), counts['lost'], counts['got']))
+                click.echo(
+                    '%d seekers, %d tasks, leases of %g s: %.0f answers a second from three voters, each at %.1f%% of a core; %d leases lost, %d got'
+                    % (
+                        seekers,
+                        tasks,
+                        lease,
+                        counts['frames'] / took,
+                        sum(each) / len(each),
+                        counts['lost'],
+                        counts['got'],
+                    )
+                )
                 reactor.stop()
+
             reactor.callLater(2 * lease + 2, begin)
             reactor.callLater(2 * lease + 2 + seconds, end)
             reactor.run()
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -13,27 +13,31 @@
 from .faults import Troubles
 from .relay import Relay
 
-BEHIND = 100                            # what is added to an address's second byte for who stands behind a relay
-STILL = 0.25                            # seconds that the machine may stand still in a sound run
+BEHIND = 100  # what is added to an address's second byte for who stands behind a relay
+STILL = 0.25  # seconds that the machine may stand still in a sound run
 
 
 class Stillness:
     """A process that does nothing but look at the clock: the longest that the machine kept it from that."""
 
-    CODE = ('import ctypes, os, sys, time\n'
-            'ctypes.CDLL(None).prctl(1, 9)\n'
-            'if os.getppid() == 1: sys.exit()\n'
-            'last = worst = 0.0\n'
-            'last = time.monotonic()\n'
-            'while not os.path.exists(sys.argv[1]):\n'
-            '    time.sleep(0.005)\n'
-            '    now = time.monotonic()\n'
-            '    worst, last = max(worst, now - last), now\n'
-            'print(worst)\n')
+    CODE = (
+        'import ctypes, os, sys, time\n'
+        'ctypes.CDLL(None).prctl(1, 9)\n'
+        'if os.getppid() == 1: sys.exit()\n'
+        'last = worst = 0.0\n'
+        'last = time.monotonic()\n'
+        'while not os.path.exists(sys.argv[1]):\n'
+        '    time.sleep(0.005)\n'
+        '    now = time.monotonic()\n'
+        '    worst, last = max(worst, now - last), now\n'
+        'print(worst)\n'
+    )
 
     def __init__(self, folder):
         self.end = os.path.join(folder, 'end')
-        self.process = subprocess.Popen([sys.executable, '-c', self.CODE, self.end], stdout=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, '-c', self.CODE, self.end], stdout=subprocess.PIPE, text=True
+        )
 
     def longest(self):
         """End it; seconds."""
@@ -69,7 +73,7 @@
     def __init__(self, scenario, seed, reactor, bends=None, mutant=None):
         super().__init__(scenario, seed, reactor)
         self.bends, self.mutant = bends or {}, mutant
-        self.relays = {}                # by node and by who it reaches
+        self.relays = {}  # by node and by who it reaches
 
     def faults(self, stage):
         return Troubles(stage)
@@ -116,7 +120,9 @@
         if made is None or made.here != here:
             if made is not None:
                 made.refuse()
-            made = self.relays[name, other] = Relay(self, '%s>%s' % (name, other), here, there or (self.behind(here[0]), here[1]))
+            made = self.relays[name, other] = Relay(
+                self, '%s>%s' % (name, other), here, there or (self.behind(here[0]), here[1])
+            )
             made.open()
         return made
 
@@ -125,7 +131,6 @@
         self.relay(place.name, office.name, here, (office.address[0], here[1]))
         return '%s:%d' % here
 
-
     def histories(self):
         """What forwarders wrote of servers, as rows: their stamps are of this machine's one clock, and so is the run's."""
         rows = []
@@ -134,7 +139,11 @@
             if os.path.exists(path):
                 with open(path, encoding='utf-8') as file:
                     told = [json.loads(line) for line in file]
-                rows += [(line['row'][0], int((line['at'] - self.zero) * 1e6), *line['row'][1:]) for line in told if line['what'] == 'eyes']
+                rows += [
+                    (line['row'][0], int((line['at'] - self.zero) * 1e6), *line['row'][1:])
+                    for line in told
+                    if line['what'] == 'eyes'
+                ]
         return rows
 
 
@@ -145,5 +154,6 @@
     def build(*given):
         made.append(Ground(*given, bends, mutant))
         return made[0]
+
     stage = loopback.play(scenario, seed, build=build, around=Stillness)
     return stage, made[0].still
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -28,9 +28,20 @@
 from ..plan.leases import Seeker, Voter
 
 VOTERS, SEEKERS, LEASE, LENGTH = 3, 4, 0.4, 9.0
-KEEPS = 0.02                            # chance that a holder does not give the lease back at once
-TROUBLES = {'kill_voter': 4, 'all_voters': 1, 'stop_voter': 2, 'kill_seeker': 3, 'stop_seeker': 3, 'way_cut': 4, 'way_late': 3, 'way_tear': 2, 'way_reset': 2,
-            'way_replay': 2, 'apart': 3}
+KEEPS = 0.02  # chance that a holder does not give the lease back at once
+TROUBLES = {
+    'kill_voter': 4,
+    'all_voters': 1,
+    'stop_voter': 2,
+    'kill_seeker': 3,
+    'stop_seeker': 3,
+    'way_cut': 4,
+    'way_late': 3,
+    'way_tear': 2,
+    'way_reset': 2,
+    'way_replay': 2,
+    'apart': 3,
+}
 STOPS = ('stop_seeker', 'stop_voter')
 STEP = '<trial.seeker:Worker.looked'
 
@@ -41,18 +52,24 @@
     def begin(self, now, *given):
         usual(self, now, *given)
         self.mute = now - 1
+
     put(Voter, '__init__', begin)
 
 
 def forgetful(put):
     usual = Voter.ask
-    put(Voter, 'ask', lambda self, now, task, life, seq, number, mine: usual(self, now, task, life, seq, number, None))
+    put(
+        Voter,
+        'ask',
+        lambda self, now, task, life, seq, number, mine: usual(self, now, task, life, seq, number, None),
+    )
 
 
 def same_number(put):
     def most_ask(self, now):
         self.number = max(self.yes.values())
         self.holds()
+
     put(Seeker, 'most_ask', most_ask)
 
 
@@ -63,6 +80,7 @@
         usual(self)
         self.bound = 0
         return self
+
     put(Book, 'read', read)
 
 
@@ -72,16 +90,25 @@
 
 def anybody_releases(put):
     usual = Voter.released
-    put(Voter, 'released', lambda self, task, life, mine: usual(self, task, mine.life if mine else life, mine))
+    put(
+        Voter, 'released', lambda self, task, life, mine: usual(self, task, mine.life if mine else life, mine)
+    )
 
 
 # Broken forms that trials must find; more of them are found by the search (tests/plan/test_leases.py).
-BROKEN = {'unsilent': unsilent, 'forgetful': forgetful, 'same-number': same_number, 'bookless': bookless, 'looks-once': looks_once,
-          'anybody-releases': anybody_releases}
+BROKEN = {
+    'unsilent': unsilent,
+    'forgetful': forgetful,
+    'same-number': same_number,
+    'bookless': bookless,
+    'looks-once': looks_once,
+    'anybody-releases': anybody_releases,
+}
 
 
 class Verdict(msgspec.Struct, kw_only=True):
     """What came of one trial. changes: of the holder; gaps: seconds without a holder, the longest; still: how long the machine stood still."""
+
     seed: int
     broken: list[tuple[str, float, str]] = []
     kinds: list[str] = []
@@ -177,14 +204,39 @@
             there = ('127.9.0.%d' % (number + 1), self.port)
             if name[0] == 's':
                 here = ('127.%d.%d.1' % (100 + int(name[1:]), number + 1), self.port)
-                relay = self.relays[name, 'p%d' % number] = Relay(self, '%s>p%d' % (name, number), here, there)
+                relay = self.relays[name, 'p%d' % number] = Relay(
+                    self, '%s>p%d' % (name, number), here, there
+                )
                 relay.open()
             rows.append({'name': 'p%d' % number, 'address': '%s:%d' % (here if name[0] == 's' else there)})
         folder = os.path.join(self.folder, name)
         os.mkdir(folder)
-        write_fleet(folder + '.toml', {'enabled': True, 'installation': 'holders', 'seats': 1, 'planner': rows, 'tasks': {'folder': folder, 'lease_s': self.lease}})
+        write_fleet(
+            folder + '.toml',
+            {
+                'enabled': True,
+                'installation': 'holders',
+                'seats': 1,
+                'planner': rows,
+                'tasks': {'folder': folder, 'lease_s': self.lease},
+            },
+        )
         if name[0] == 'p':
-            subprocess.run([sys.executable, '-m', 'lilacdyke', 'task', 'voter', '--file', folder + '.toml', '--name', name], check=True, timeout=30)
+            subprocess.run(
+                [
+                    sys.executable,
+                    '-m',
+                    'lilacdyke',
+                    'task',
+                    'voter',
+                    '--file',
+                    folder + '.toml',
+                    '--name',
+                    name,
+                ],
+                check=True,
+                timeout=30,
+            )
 
     def start(self, name, stops=0):
         """Start a process; stops: how often it stops itself between look and act."""
@@ -196,10 +248,18 @@
         if stops:
             bends['stops'] = {STEP: stops}
         path = os.path.join(self.folder, name + '.toml')
-        words = ['plan', '--file', path, '--name', name] if name[0] == 'p' else ['seek', path, name, '127.9.1.1', str(self.port), self.history(name), str(self.keeps)]
+        words = (
+            ['plan', '--file', path, '--name', name]
+            if name[0] == 'p'
+            else ['seek', path, name, '127.9.1.1', str(self.port), self.history(name), str(self.keeps)]
+        )
         with open(os.path.join(self.folder, name + '.log'), 'ab') as log:
-            self.running[name] = subprocess.Popen([sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(bends), *words], stdout=log, stderr=log,
-                                                  start_new_session=True)
+            self.running[name] = subprocess.Popen(
+                [sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(bends), *words],
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+            )
 
     def history(self, name):
         return os.path.join(self.folder, name + '.history')
@@ -224,7 +284,11 @@
         for _ in range(self.draw.randint(3, 9)):
             kind = self.draw.choices(names, [TROUBLES[name] for name in names])[0]
             self.kinds.append(kind)
-            self.reactor.callLater(self.draw.uniform(1.5, LENGTH - 2), getattr(self, 'do_' + kind), self.draw.uniform(0.05, 3 * LEASE))
+            self.reactor.callLater(
+                self.draw.uniform(1.5, LENGTH - 2),
+                getattr(self, 'do_' + kind),
+                self.draw.uniform(0.05, 3 * LEASE),
+            )
 
     def pick(self, letter):
         return self.draw.choice([name for name in self.names() if name[0] == letter])
@@ -275,7 +339,7 @@
         self.reactor.callLater(span, lambda: [relay.heal() for relay in relays])
 
     def ways(self, relay):
-        return self.draw.choice([relay.ways, relay.ways[DOWN:], relay.ways[:UP + 1]])
+        return self.draw.choice([relay.ways, relay.ways[DOWN:], relay.ways[: UP + 1]])
 
     def do_way_cut(self, span):
         self.for_a_while(lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay)], span)
@@ -283,16 +347,23 @@
     def do_apart(self, span):
         """One seeker from all voters, one way or both."""
         name, which = self.pick('s'), self.draw.choice([slice(None), slice(DOWN, None), slice(UP + 1)])
-        self.for_a_while(lambda relay: [setattr(way, 'cut', True) for way in relay.ways[which]], span, [self.relays[name, 'p%d' % number] for number in range(VOTERS)])
+        self.for_a_while(
+            lambda relay: [setattr(way, 'cut', True) for way in relay.ways[which]],
+            span,
+            [self.relays[name, 'p%d' % number] for number in range(VOTERS)],
+        )
 
     def do_way_late(self, span):
         def change(relay):
             for way in relay.ways:
                 way.late, way.jitter = self.draw.randint(0, 300_000), self.draw.randint(0, 300_000)
+
         self.for_a_while(change, span)
 
     def do_way_tear(self, span):
-        self.for_a_while(lambda relay: [setattr(way, 'torn', self.draw.randint(1, 60)) for way in self.ways(relay)], span)
+        self.for_a_while(
+            lambda relay: [setattr(way, 'torn', self.draw.randint(1, 60)) for way in self.ways(relay)], span
+        )
 
     def do_way_reset(self, span):
         self.for_a_while(lambda relay: relay.reset(), span)
@@ -301,6 +372,7 @@
         def change(relay):
             relay.reset()
             relay.tells_old = True
+
         self.for_a_while(change, span)
 
     def end(self):
@@ -318,7 +390,11 @@
             path = self.history(name)
             if name[0] == 's' and os.path.exists(path):
                 with open(path, encoding='utf-8') as file:
-                    rows += [(line['at'], name, line['pid'], line['what'], line['number']) for line in map(json.loads, file) if line['what'] in ('got', 'lost')]
+                    rows += [
+                        (line['at'], name, line['pid'], line['what'], line['number'])
+                        for line in map(json.loads, file)
+                        if line['what'] in ('got', 'lost')
+                    ]
         return sorted(rows)
 
     def judged(self):
@@ -327,7 +403,13 @@
         for at, verb, number, name, taken in self.resource.rows:
             if taken and verb == 'begin':
                 if number < highest or number == highest and name != last:
-                    broken.append(('acts', at - self.zero, '%s acts with %d after %s with %d' % (name, number, last, highest)))
+                    broken.append(
+                        (
+                            'acts',
+                            at - self.zero,
+                            '%s acts with %d after %s with %d' % (name, number, last, highest),
+                        )
+                    )
                 highest, last = number, name
         seen, holder, free, longest, changes = {}, None, None, 0.0, 0
         stopped = any(kind in STOPS for kind in self.kinds)
@@ -336,11 +418,24 @@
             if what == 'got':
                 changes += 1
                 if number in seen:
-                    broken.append(('number', at - self.zero, '%d to %s and to %s' % (number, seen[number], name)))
+                    broken.append(
+                        ('number', at - self.zero, '%d to %s and to %s' % (number, seen[number], name))
+                    )
                 seen[number] = name
                 # A killed one says nothing more.
-                if holder is not None and holder[0] != (name, pid) and not stopped and self.alive(told, holder[0], at):
-                    broken.append(('two', at - self.zero, '%s got %d while %s held %d' % (name, number, holder[0][0], holder[1])))
+                if (
+                    holder is not None
+                    and holder[0] != (name, pid)
+                    and not stopped
+                    and self.alive(told, holder[0], at)
+                ):
+                    broken.append(
+                        (
+                            'two',
+                            at - self.zero,
+                            '%s got %d while %s held %d' % (name, number, holder[0][0], holder[1]),
+                        )
+                    )
                 if free is not None:
                     longest = max(longest, at - free)
                 holder, free = ((name, pid), number), None
@@ -359,6 +454,7 @@
 def once(seed, mutant=None):
     """Play and judge one trial in this process."""
     from twisted.internet.epollreactor import EPollReactor
+
     reactor = EPollReactor()
     with tempfile.TemporaryDirectory() as folder:
         still = Stillness(folder)
@@ -369,16 +465,34 @@
         stood = still.longest()
         broken, changes, longest = field.judged()
     rows = field.resource.rows
-    return Verdict(seed=seed, broken=broken, kinds=sorted(field.kinds), changes=changes, longest=longest, still=stood, void=stood > STILL,
-                   acts=sum(row[1] == 'begin' and row[4] for row in rows), refused=sum(not row[4] for row in rows))
+    return Verdict(
+        seed=seed,
+        broken=broken,
+        kinds=sorted(field.kinds),
+        changes=changes,
+        longest=longest,
+        still=stood,
+        void=stood > STILL,
+        acts=sum(row[1] == 'begin' and row[4] for row in rows),
+        refused=sum(not row[4] for row in rows),
+    )
 
 
 def one(seed, mutant=None):
     """One trial in a process of its own, again if it was void; its Verdict."""
     for _ in range(3):
-        told = subprocess.run([sys.executable, '-m', 'lilacdyke.trial.holders', '--play', json.dumps([seed, mutant])], capture_output=True, timeout=60)
+        told = subprocess.run(
+            [sys.executable, '-m', 'lilacdyke.trial.holders', '--play', json.dumps([seed, mutant])],
+            capture_output=True,
+            timeout=60,
+        )
         if told.returncode:
-            return Verdict(seed=seed, broken=[('crashed', 0.0, told.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1][:200])])
+            return Verdict(
+                seed=seed,
+                broken=[
+                    ('crashed', 0.0, told.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1][:200])
+                ],
+            )
         found = msgspec.json.decode(told.stdout.splitlines()[-1], type=Verdict)
         if not found.void:
             break
@@ -402,11 +516,24 @@
         for verdict in pool.map(lambda seed: one(seed, mutant), range(first, first + seeds)):
             found.append(verdict)
             for rule, when, text in verdict.broken[:2]:
-                click.echo('seed %d: broken: %s at %.3f s: %s (%s)' % (verdict.seed, rule, when, text, ', '.join(verdict.kinds)))
+                click.echo(
+                    'seed %d: broken: %s at %.3f s: %s (%s)'
+                    % (verdict.seed, rule, when, text, ', '.join(verdict.kinds))
+                )
     broken = [verdict for verdict in found if verdict.broken]
-    click.echo('%d trials, %d changes of holder (median %d a run), %d acts, %d old ones refused; longest without a holder: median %.2f s, most %.2f s; broken: %d' % (
-        len(found), sum(v.changes for v in found), sorted(v.changes for v in found)[len(found) // 2], sum(v.acts for v in found), sum(v.refused for v in found),
-        sorted(v.longest for v in found)[len(found) // 2], max(v.longest for v in found), len(broken)))
+    click.echo(
+        '%d trials, %d changes of holder (median %d a run), %d acts, %d old ones refused; longest without a holder: median %.2f s, most %.2f s; broken: %d'
+        % (
+            len(found),
+            sum(v.changes for v in found),
+            sorted(v.changes for v in found)[len(found) // 2],
+            sum(v.acts for v in found),
+            sum(v.refused for v in found),
+            sorted(v.longest for v in found)[len(found) // 2],
+            max(v.longest for v in found),
+            len(broken),
+        )
+    )
     sys.exit(1 if broken else 0)
 
 
--- a/lilacdyke/trial/launch.py
+++ b/lilacdyke/trial/launch.py
@@ -24,7 +24,7 @@
 import time
 from functools import wraps
 
-MACHINE = time.monotonic                # the one true clock: no bend reaches it
+MACHINE = time.monotonic  # the one true clock: no bend reaches it
 
 
 class History:
@@ -36,17 +36,22 @@
     def tell(self, what, **more):
         """One line."""
         if self.fd is not None:
-            os.write(self.fd, json.dumps(dict(more, at=MACHINE(), pid=os.getpid(), what=what)).encode() + b'\n')
+            os.write(
+                self.fd, json.dumps(dict(more, at=MACHINE(), pid=os.getpid(), what=what)).encode() + b'\n'
+            )
 
 
 def bend(bends):
     """The clocks of this process, from here on."""
     from ..net.system import System
+
     start, rate = MACHINE(), bends.get('rate', 1.0)
     jumps = sorted(bends.get('jumps', []))
     wall = time.time() - start
     System.elapsed = staticmethod(lambda: start + (MACHINE() - start) * rate)
-    System.wall = staticmethod(lambda: wall + System.elapsed() + sum(by for after, by in jumps if MACHINE() - start >= after))
+    System.wall = staticmethod(
+        lambda: wall + System.elapsed() + sum(by for after, by in jumps if MACHINE() - start >= after)
+    )
 
 
 def find(step):
@@ -89,12 +94,14 @@
         if step[0] == '>':
             there.reached()
         return made
+
     setattr(owner, name, noticed)
 
 
 def bound_to_parent():
     """Have the kernel kill this process with the one that started it, however that one ends."""
     import ctypes
+
     ctypes.CDLL(None).prctl(1, int(signal.SIGKILL))
     if os.getppid() == 1:
         sys.exit(1)
@@ -104,9 +111,11 @@
     """Break the program of this process."""
     from random import Random
     from .holders import BROKEN
+
     if name in BROKEN:
         return BROKEN[name](setattr)
     from ..lab.mutants import MUTANTS
+
     MUTANTS[name].build(setattr, Random(name).random)
 
 
@@ -120,6 +129,7 @@
         bend(bends)
     if bends.get('eyes'):
         from ..lab import eyes
+
         eyes.open_up(setattr, lambda kind, *fields: history.tell('eyes', row=[kind, *fields]))
     stops, dies = bends.get('stops', {}), bends.get('dies', {})
     for step in dict.fromkeys([*stops, *dies, *bends.get('steps', [])]):
@@ -131,9 +141,11 @@
     """Prepare, then run the program's own command line."""
     prepare(json.loads(sys.argv[1]))
     if sys.argv[2] == 'seek':
-        from .seeker import main as seek        # the program's own lease, with acts of the trial's
+        from .seeker import main as seek  # the program's own lease, with acts of the trial's
+
         return seek(*sys.argv[3:])
     from ..__main__ import main as program
+
     program(sys.argv[2:], prog_name='lilacdyke')
 
 
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -81,20 +81,35 @@
 def main(forwarders, seconds, lease):
     """Processor time, bytes and memory of one planner and of a forwarder's links."""
     from twisted.internet import reactor
+
     with tempfile.TemporaryDirectory() as folder:
         path, port = os.path.join(folder, 'fleet.toml'), 20_000 + os.getpid() % 20_000
-        write_fleet(path, {'enabled': True, 'installation': 'load', 'seats': forwarders, 'lease_s': lease, 'longest_s': 1.0,
-                           'planner': [{'name': 'p0', 'address': '127.0.0.1:%d' % port}],
-                           'limit': [{'name': 'all', 'what': 'requests', 'most': 4.0 * forwarders},
-                                     {'name': 'open', 'what': 'open', 'most': 2.0 * forwarders}]})
-        planner = subprocess.Popen([sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p0'],
-                                   stderr=subprocess.DEVNULL)
+        write_fleet(
+            path,
+            {
+                'enabled': True,
+                'installation': 'load',
+                'seats': forwarders,
+                'lease_s': lease,
+                'longest_s': 1.0,
+                'planner': [{'name': 'p0', 'address': '127.0.0.1:%d' % port}],
+                'limit': [
+                    {'name': 'all', 'what': 'requests', 'most': 4.0 * forwarders},
+                    {'name': 'open', 'what': 'open', 'most': 2.0 * forwarders},
+                ],
+            },
+        )
+        planner = subprocess.Popen(
+            [sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p0'],
+            stderr=subprocess.DEVNULL,
+        )
         heard, usual = Counter(), Speaker.dataReceived
 
         def counting(self, data):
             heard['bytes'] += len(data)
             heard['frames'] += 1
             usual(self, data)
+
         Speaker.dataReceived = counting
         try:
             time.sleep(1.0)
@@ -107,17 +122,32 @@
 
             def begin():
                 heard.clear()
-                found['planner'], found['own'], found['at'] = processor(planner.pid), time.process_time(), time.monotonic()
+                found['planner'], found['own'], found['at'] = (
+                    processor(planner.pid),
+                    time.process_time(),
+                    time.monotonic(),
+                )
 
             def end():
                 took, (cpu, memory) = time.monotonic() - found['at'], processor(planner.pid)
                 alone = sum(nobody.fleet.forwarder.alone(nobody.clock()) for nobody in nobodies)
-                click.echo('%d forwarders, leases of %g s, %.0f s: planner %.1f%% of a core, %d MB; a forwarder and its link %.3f%% of a core, '
-                           '%.0f bytes and %.1f plans a second; %d alone' % (
-                               forwarders, lease, took, 100 * (cpu - found['planner'][0]) / took, memory // 1_024,
-                               100 * (time.process_time() - found['own']) / took / forwarders, heard['bytes'] / took / forwarders,
-                               heard['frames'] / took / forwarders, alone))
+                click.echo(
+                    '%d forwarders, leases of %g s, %.0f s: planner %.1f%% of a core, %d MB; a forwarder and its link %.3f%% of a core, '
+                    '%.0f bytes and %.1f plans a second; %d alone'
+                    % (
+                        forwarders,
+                        lease,
+                        took,
+                        100 * (cpu - found['planner'][0]) / took,
+                        memory // 1_024,
+                        100 * (time.process_time() - found['own']) / took / forwarders,
+                        heard['bytes'] / took / forwarders,
+                        heard['frames'] / took / forwarders,
+                        alone,
+                    )
+                )
                 reactor.stop()
+
             reactor.callLater(4 * lease, begin)
             reactor.callLater(4 * lease + seconds, end)
             reactor.run()
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -8,8 +8,8 @@
 
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
-STORE = 262_144                         # bytes held back in one direction of one connection
-KEPT = 4_096                            # of an ended connection, to be told again
+STORE = 262_144  # bytes held back in one direction of one connection
+KEPT = 4_096  # of an ended connection, to be told again
 
 UP, DOWN = 0, 1
 
@@ -24,10 +24,10 @@
 
     def heal(self):
         """As it was."""
-        self.cut = False                # nothing passes, and nobody is told
-        self.late, self.jitter = 0, 0   # microseconds that bytes take, and up to so many more
-        self.pace = None                # bytes a second
-        self.torn = None                # bytes that still pass; then it is cut
+        self.cut = False  # nothing passes, and nobody is told
+        self.late, self.jitter = 0, 0  # microseconds that bytes take, and up to so many more
+        self.pace = None  # bytes a second
+        self.torn = None  # bytes that still pass; then it is cut
 
 
 class End(Protocol):
@@ -35,7 +35,7 @@
 
     def __init__(self, relay, way):
         self.relay, self.way, self.other, self.up = relay, way, None, False
-        self.held, self.size = deque(), 0       # what was heard and has not passed; None: its end
+        self.held, self.size = deque(), 0  # what was heard and has not passed; None: its end
         self.free, self.timer, self.seen = 0, None, bytearray()
 
     def connectionMade(self):
@@ -45,7 +45,7 @@
 
     def dataReceived(self, data):
         if len(self.seen) < KEPT:
-            self.seen += data[:KEPT - len(self.seen)]
+            self.seen += data[: KEPT - len(self.seen)]
         self.hold(data)
 
     def hold(self, data):
@@ -76,9 +76,9 @@
                 return
             self.size -= len(data)
             if way.torn is not None and len(data) > way.torn:
-                self.held.appendleft((due, data[way.torn:]))
+                self.held.appendleft((due, data[way.torn :]))
                 self.size += len(data) - way.torn
-                data, way.cut, way.torn = data[:way.torn], True, None
+                data, way.cut, way.torn = data[: way.torn], True, None
             elif way.torn is not None:
                 way.torn -= len(data)
             self.other.transport.write(data)
@@ -118,7 +118,7 @@
         self.ground, self.name, self.here, self.there, self.bind = ground, name, here, there, bind
         self.clock, self.later, self.chance = ground.clock, ground.later, ground.chance('relay ' + name)
         self.ways, self.ends, self.port = (Way(), Way()), {}, None
-        self.old = None                 # what an ended connection carried upwards first; told again to the next, if so asked
+        self.old = None  # what an ended connection carried upwards first; told again to the next, if so asked
         self.tells_old = False
 
     def open(self):
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -18,13 +18,14 @@
 from .ground import STILL, play
 
 TRIES = 3
-SLACK_MS = 150.0                        # of judges' bounds in time, on a machine that does not stand still for longer
-LONGEST = 120                           # seconds, for the process that plays one
+SLACK_MS = 150.0  # of judges' bounds in time, on a machine that does not stand still for longer
+LONGEST = 120  # seconds, for the process that plays one
 
 
 class Verdict(msgspec.Struct, kw_only=True):
     """What came of one trial. broken: [(rule, seconds, text)]; still: how long the machine stood still; void: whether it does not
     count; over: how near each kind of limit was come to, parts of it."""
+
     seed: int
     mutant: str | None = None
     broken: list[tuple[str, float, str]] = []
@@ -42,19 +43,33 @@
     trial of draw.NAMED; None: as the seed draws."""
     begun = time.monotonic()
     given = draw.fitted(seed, fit)
-    given = msgspec.structs.replace(real(given), rules=msgspec.structs.replace(given.rules, slack_ms=SLACK_MS))
+    given = msgspec.structs.replace(
+        real(given), rules=msgspec.structs.replace(given.rules, slack_ms=SLACK_MS)
+    )
     stage, still = play(given, seed, draw.bends(seed, given), mutant)
     rows = stage.witness.rows
     found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(given, rows)]
-    return Verdict(seed=seed, mutant=mutant, broken=found, still=still, void=still > STILL, wall=time.monotonic() - begun,
-                   figures=figures(given, rows), kinds=[event.kind for event in given.events], over=margins(Case(given, rows)))
+    return Verdict(
+        seed=seed,
+        mutant=mutant,
+        broken=found,
+        still=still,
+        void=still > STILL,
+        wall=time.monotonic() - begun,
+        figures=figures(given, rows),
+        kinds=[event.kind for event in given.events],
+        over=margins(Case(given, rows)),
+    )
 
 
 def one(seed, mutant=None, fit=None):
     """One trial in a process of its own, again if it was void; its Verdict."""
     for tries in range(1, TRIES + 1):
-        told = subprocess.run([sys.executable, '-m', 'lilacdyke.trial.runs', json.dumps([seed, mutant, fit])], capture_output=True,
-                              timeout=LONGEST)
+        told = subprocess.run(
+            [sys.executable, '-m', 'lilacdyke.trial.runs', json.dumps([seed, mutant, fit])],
+            capture_output=True,
+            timeout=LONGEST,
+        )
         if told.returncode:
             why = told.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1]
             return Verdict(seed=seed, mutant=mutant, broken=[('crashed', 0.0, why[:200])], tries=tries)
@@ -63,7 +78,10 @@
         if not found.void:
             break
     if found.void:
-        found.broken = [*found.broken, ('void', 0.0, 'the machine stood still for %.2f s, in %d runs' % (found.still, TRIES))]
+        found.broken = [
+            *found.broken,
+            ('void', 0.0, 'the machine stood still for %.2f s, in %d runs' % (found.still, TRIES)),
+        ]
     return found
 
 
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -18,9 +18,9 @@
 from ..plan.lease import Lease
 from ..values import SECOND
 
-ACT = SECOND // 500                     # how long an act takes
-ACTS = 6                                # at the most, before it gives the lease back
-LONG = 300                              # acts of one that holds on
+ACT = SECOND // 500  # how long an act takes
+ACTS = 6  # at the most, before it gives the lease back
+LONG = 300  # acts of one that holds on
 
 
 class ToResource(Protocol):
@@ -52,7 +52,9 @@
         self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.left, self.acting = 0, False
-        self.lease = Lease(reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost)
+        self.lease = Lease(
+            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost
+        )
         self.lease.acquire()
 
     def clock(self):
@@ -75,7 +77,9 @@
             return
         if self.left <= 0 or self.resource is None:
             self.lease.release()
-            self.deadlines.at(self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0)
+            self.deadlines.at(
+                self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0
+            )
             return
         self.left, self.acting = self.left - (self.keeps <= 1), True
         self.looked()
--- a/lilacdyke/values.py
+++ b/lilacdyke/values.py
@@ -5,8 +5,8 @@
 
 import re
 
-STATES = {'SERVING': 'ready', 'DRAINING': 'draining', 'DELETED': 'gone'}    # a server's, as lists have it
-SECOND = 10_000                     # the package's clock: whole tenths of a millisecond
+STATES = {'SERVING': 'ready', 'DRAINING': 'draining', 'DELETED': 'gone'}  # a server's, as lists have it
+SECOND = 10_000  # the package's clock: whole tenths of a millisecond
 NUMBER = re.compile(r'[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?\Z')
 WHOLE = re.compile(r'\d+\Z')
 
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -20,7 +20,7 @@
 from .helpers import SETTINGS, entry, page
 from .test_upgrade import free
 
-PATIENCE = 20                           # seconds after which an event that was to come counts as not come
+PATIENCE = 20  # seconds after which an event that was to come counts as not come
 HEAD = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 
 
@@ -29,7 +29,7 @@
 
     def __init__(self, socket_):
         self.socket, self.buffer, self.seen = socket_, b'', []
-        self.was_reset = False          # whether its end was no orderly one
+        self.was_reset = False  # whether its end was no orderly one
         socket_.settimeout(PATIENCE)
 
     def say(self, data):
@@ -120,7 +120,7 @@
         self.socket.settimeout(PATIENCE)
         self.port = self.socket.getsockname()[1]
         self.address = '127.0.0.1:%d' % self.port
-        if held:                        # the queue holds one; the system answers nobody else meanwhile
+        if held:  # the queue holds one; the system answers nobody else meanwhile
             self.filler = socket.create_connection(('127.0.0.1', self.port))
 
     def let(self):
@@ -154,7 +154,7 @@
                 while line.request() is not None:
                     pass
             except OSError:
-                pass                    # the test closed it
+                pass  # the test closed it
         return [name for line in self.lines for name in line.seen]
 
 
@@ -164,7 +164,10 @@
 
 def told(generation, *rows, reset=True, indent=None):
     """A list as an agent words it."""
-    return json.dumps({'generation': generation, 'reset': reset, 'instances': rows}, indent=indent).encode() + b'\n'
+    return (
+        json.dumps({'generation': generation, 'reset': reset, 'instances': rows}, indent=indent).encode()
+        + b'\n'
+    )
 
 
 def settings(**limits):
@@ -180,7 +183,7 @@
     """One node as a process, with servers c0, c1 (where there are two) and the origin, and an agent."""
 
     names, held, limits, watches = ('c0', 'o'), (), {}, True
-    sockets = 1024                      # descriptors that it may have
+    sockets = 1024  # descriptors that it may have
     settings = staticmethod(settings)
 
     def setUp(self):
@@ -218,23 +221,32 @@
 
     def row(self, name, **other):
         """One server as the agent lists it."""
-        return entry(name, 'origin' if name == 'o' else 'std', **{'hostPort': self.servers[name].address, **other})
+        return entry(
+            name, 'origin' if name == 'o' else 'std', **{'hostPort': self.servers[name].address, **other}
+        )
 
     def rows(self):
         return [self.row(name) for name in self.names]
 
     def page(self, agent):
-        return page(listen='127.0.0.1:%d' % self.port, discovery=agent.address, settings=self.settings(**self.limits),
-                    limits={'cores': 1.0, 'memory_mb': 192, 'sockets': self.sockets},
-                    known={'generation': 4, 'reset': True, 'instances': self.rows()})
+        return page(
+            listen='127.0.0.1:%d' % self.port,
+            discovery=agent.address,
+            settings=self.settings(**self.limits),
+            limits={'cores': 1.0, 'memory_mb': 192, 'sockets': self.sockets},
+            known={'generation': 4, 'reset': True, 'instances': self.rows()},
+        )
 
     def write(self, agent):
         with open(self.path, 'w', encoding='utf-8') as file:
             file.write(self.page(agent))
 
     def begin(self):
-        self.running = subprocess.Popen([sys.executable, '-m', 'lilacdyke', 'serve', '--config', self.path],
-                                        stderr=subprocess.PIPE, text=True)
+        self.running = subprocess.Popen(
+            [sys.executable, '-m', 'lilacdyke', 'serve', '--config', self.path],
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         threading.Thread(target=self.listen, args=(self.running.stderr,), daemon=True).start()
 
     def listen(self, pipe):
@@ -242,11 +254,14 @@
             for line in pipe:
                 self.events.put(line)
         except ValueError:
-            pass                        # closed at the test's end
+            pass  # closed at the test's end
 
     def until(self, event):
         """Wait until the node logs it."""
-        while 'event="%s"' % event not in (line := self.events.get(timeout=PATIENCE)) and 'event=%s' % event not in line:
+        while (
+            'event="%s"' % event not in (line := self.events.get(timeout=PATIENCE))
+            and 'event=%s' % event not in line
+        ):
             pass
         return line
 
@@ -271,8 +286,13 @@
 
     @staticmethod
     def ask(line, name, method='GET', path='/read/k', body=b'', more=''):
-        line.say(('%s %s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n%s%s\r\n' % (
-            method, path, name, 'Content-Length: %d\r\n' % len(body) if body else '', more)).encode() + body)
+        line.say(
+            (
+                '%s %s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n%s%s\r\n'
+                % (method, path, name, 'Content-Length: %d\r\n' % len(body) if body else '', more)
+            ).encode()
+            + body
+        )
 
     def served(self, line, name, server='c0'):
         """A request from its start to its end: on which connection the server had it."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,12 +18,29 @@
 def terms(**other):
     """A site with one profile of each kind; times in tenths of a millisecond."""
     given = dict(
-        profiles=[Profile('read', IDEMPOTENT, 'all', 0, 5000, 0),
-                  Profile('kept', JOURNALLED, 'all', 4000, 5000, 0),
-                  Profile('once', NON_IDEMPOTENT, 'all', 0, 5000, 0)],
-        tenants=[], nodes=2, zone=0, aside=False, watched=False, may_copy=True, may_cancel=True, max_hops=5,
-        max_return=0, ask_within=100_000, fall_multiple=3, fall_window=10_000, cold_from=0.2,
-        warm_up=100_000, tick=10, cross_price=0, waste_price=0)
+        profiles=[
+            Profile('read', IDEMPOTENT, 'all', 0, 5000, 0),
+            Profile('kept', JOURNALLED, 'all', 4000, 5000, 0),
+            Profile('once', NON_IDEMPOTENT, 'all', 0, 5000, 0),
+        ],
+        tenants=[],
+        nodes=2,
+        zone=0,
+        aside=False,
+        watched=False,
+        may_copy=True,
+        may_cancel=True,
+        max_hops=5,
+        max_return=0,
+        ask_within=100_000,
+        fall_multiple=3,
+        fall_window=10_000,
+        cold_from=0.2,
+        warm_up=100_000,
+        tick=10,
+        cross_price=0,
+        waste_price=0,
+    )
     given.update(other)
     return SiteTerms(**given)
 
@@ -75,39 +92,105 @@
 # --- the node on sockets ------------------------------------------------------------------------------------------
 
 SETTINGS = {
-    'balancers': 2, 'rank': 0, 'zone': 0, 'tickS': 0.005, 'kindOfService': 'cache', 'membershipMode': 'pushed',
+    'balancers': 2,
+    'rank': 0,
+    'zone': 0,
+    'tickS': 0.005,
+    'kindOfService': 'cache',
+    'membershipMode': 'pushed',
     'kinds': ['std', 'origin'],
-    'profiles': [{'name': 'read', 'effect': 'free', 'group': 'all', 'repeatWindowS': 1, 'serviceGoalS': 0.5,
-                  'lateRevenue': 0.0, 'hardLimitS': 2.0},
-                 {'name': 'once', 'effect': 'single_shot', 'group': 'all', 'repeatWindowS': 1,
-                  'serviceGoalS': 0.5, 'lateRevenue': 0.0, 'hardLimitS': 2.0}],
-    'fees': {'handshake': 0.0, 'connection': 0.0, 'crossZone': 0.01, 'waste': 0.05, 'probe': 0.0,
-             'peer': 0.0}, 'tenants': [], 'dcs': ['a', 'b'], 'stats': {'how': 'off', 'fields': []},
+    'profiles': [
+        {
+            'name': 'read',
+            'effect': 'free',
+            'group': 'all',
+            'repeatWindowS': 1,
+            'serviceGoalS': 0.5,
+            'lateRevenue': 0.0,
+            'hardLimitS': 2.0,
+        },
+        {
+            'name': 'once',
+            'effect': 'single_shot',
+            'group': 'all',
+            'repeatWindowS': 1,
+            'serviceGoalS': 0.5,
+            'lateRevenue': 0.0,
+            'hardLimitS': 2.0,
+        },
+    ],
+    'fees': {
+        'handshake': 0.0,
+        'connection': 0.0,
+        'crossZone': 0.01,
+        'waste': 0.05,
+        'probe': 0.0,
+        'peer': 0.0,
+    },
+    'tenants': [],
+    'dcs': ['a', 'b'],
+    'stats': {'how': 'off', 'fields': []},
     'familyInfo': {'mode': 'aside', 'originKind': 1},
-    'limits': {'retryAfter': True, 'mayDuplicate': True, 'cancel': True, 'maxHops': 5, 'maxRetryAfterS': 1.0,
-               'connIdleS': 15.0, 'connectTimeoutS': 0.25, 'probing': True, 'peers': False},
-    'safety': {'stopSendingWithinS': 0.4, 'askWithinS': 10.0, 'fallMultiple': 4.0, 'overloadForS': 1.5,
-               'coldFrom': 0.13, 'warmUpS': 24.0}}
+    'limits': {
+        'retryAfter': True,
+        'mayDuplicate': True,
+        'cancel': True,
+        'maxHops': 5,
+        'maxRetryAfterS': 1.0,
+        'connIdleS': 15.0,
+        'connectTimeoutS': 0.25,
+        'probing': True,
+        'peers': False,
+    },
+    'safety': {
+        'stopSendingWithinS': 0.4,
+        'askWithinS': 10.0,
+        'fallMultiple': 4.0,
+        'overloadForS': 1.5,
+        'coldFrom': 0.13,
+        'warmUpS': 24.0,
+    },
+}
 
 
 def grown(**other):
     """Settings put otherwise here and there: values, or parts of tables."""
-    return {**SETTINGS, **{key: {**SETTINGS[key], **value} if isinstance(value, dict) else value for key, value in other.items()}}
+    return {
+        **SETTINGS,
+        **{
+            key: {**SETTINGS[key], **value} if isinstance(value, dict) else value
+            for key, value in other.items()
+        },
+    }
 
 
 def entry(name, kind='std', state='SERVING', **other):
     """One server as discovery lists it."""
-    row = {'instanceId': name, 'hostPort': '127.0.0.1:8000', 'zone': 'a', 'machineType': kind, 'cell': 0,
-           'lifecycle': state, 'weight': 1.0, 'startedAtMs': 0}
+    row = {
+        'instanceId': name,
+        'hostPort': '127.0.0.1:8000',
+        'zone': 'a',
+        'machineType': kind,
+        'cell': 0,
+        'lifecycle': state,
+        'weight': 1.0,
+        'startedAtMs': 0,
+    }
     row.update(other)
     return row
 
 
 def page(**other):
     """A node's page, as text."""
-    given = {'name': 'n0', 'listen': '127.0.0.1:9000', 'discovery': '127.0.0.1:8500', 'seed': '8c1f',
-             'limits': {'cores': 1.0, 'memory_mb': 192, 'sockets': 1024}, 'settings': SETTINGS,
-             'known': {'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('o', 'origin')]}}
+    given = {
+        'name': 'n0',
+        'listen': '127.0.0.1:9000',
+        'discovery': '127.0.0.1:8500',
+        'seed': '8c1f',
+        'limits': {'cores': 1.0, 'memory_mb': 192, 'sockets': 1024},
+        'settings': SETTINGS,
+        'known': {'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('o', 'origin')]},
+    }
     given.update(other)
     return json.dumps(given)
 
--- a/tests/lab/test_parts.py
+++ b/tests/lab/test_parts.py
@@ -23,21 +23,46 @@
         self.world, self.fleet, self.seen, self.ended = World(1), Fleet(), [], []
 
     def model(self, name='c0', origin=False, started=0, cores=1, queue=1, zone='a', **other):
-        scenario = Scenario(name='x', caches=scenarios.Caches(**other), rules=scenarios.Rules(warm_s=10.0, cold_from=0.2))
-        made = Model(name, scenario, Kind(cores=cores, queue=queue), zone, 0, self.fleet, lambda: self.world.now,
-                     self.world.later, self.world.cancel, Random(1), lambda *row: self.seen.append(row), started, origin)
+        scenario = Scenario(
+            name='x', caches=scenarios.Caches(**other), rules=scenarios.Rules(warm_s=10.0, cold_from=0.2)
+        )
+        made = Model(
+            name,
+            scenario,
+            Kind(cores=cores, queue=queue),
+            zone,
+            0,
+            self.fleet,
+            lambda: self.world.now,
+            self.world.later,
+            self.world.cancel,
+            Random(1),
+            lambda *row: self.seen.append(row),
+            started,
+            origin,
+        )
         self.fleet.servers[name] = made
         return made
 
     def job(self, number, profile=READ, key='k', mark='', work=10_000, until=10**9):
-        return Job(number, 'id%d' % number, mark, key, profile, work, until,
-                   lambda job: self.ended.append((job.hop, job.outcome, self.world.now)))
+        return Job(
+            number,
+            'id%d' % number,
+            mark,
+            key,
+            profile,
+            work,
+            until,
+            lambda job: self.ended.append((job.hop, job.outcome, self.world.now)),
+        )
 
     def test_a_core_serves_one_after_the_other_and_declines_what_it_has_no_room_for(self):
         made = self.model(origin=True)
         taken = [made.offer(self.job(number)) for number in range(3)]
         self.world.run(10**6)
-        self.assertEqual((taken, self.ended), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)]))
+        self.assertEqual(
+            (taken, self.ended), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
+        )
 
     def test_a_cold_one_is_slow_and_warms_up(self):
         made = self.model(started=1)
@@ -68,7 +93,10 @@
         for number, wait in ((1, 500_000), (2, 2_000_000), (3, 500_000)):
             made.offer(self.job(number, NOTE, mark='m'))
             self.world.run(self.world.now + wait)
-        self.assertEqual([row[:2] for row in self.seen if row[0] != 'worked'], [('effect', 1), ('repeat', 2), ('effect', 3)])
+        self.assertEqual(
+            [row[:2] for row in self.seen if row[0] != 'worked'],
+            [('effect', 1), ('repeat', 2), ('effect', 3)],
+        )
 
     def test_a_group_by_site_does_not_know_another_sites_marks(self):
         profile = Profile(name='note', effect='guarded', write=True, group='zone', window_s=1.0)
@@ -116,9 +144,13 @@
 
 class Wire(unittest.TestCase):
     def test_messages_however_cut(self):
-        parser, data, found = Parser(), b'PUT /a/k HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n', []
+        parser, data, found = (
+            Parser(),
+            b'PUT /a/k HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n',
+            [],
+        )
         for at in range(len(data)):
-            parser.feed(data[at:at + 1])
+            parser.feed(data[at : at + 1])
             got = parser.take()
             if got:
                 found.append((got[0][0], got[2]))
@@ -127,16 +159,22 @@
     def test_chunks_however_cut(self):
         parser, data, found = Parser(), answer_in_chunks(b'abcdefg', '', 3) + answer(200, b'x'), []
         for at in range(len(data)):
-            parser.feed(data[at:at + 1])
+            parser.feed(data[at : at + 1])
             got = parser.take()
             if got:
                 found.append(got[2])
         self.assertEqual(found, [b'abcdefg', b'x'])
 
     def test_what_is_no_message(self):
-        for data in (b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n', b'HTTP/1.1 200 X\r\nTransfer-Encoding: gzip\r\n\r\n',
-                     b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc',
-                     b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n', b'nonsense\r\n\r\n', b'GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n', b'GET / HTTP/1.1\r\nno colon\r\n\r\n'):
+        for data in (
+            b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n',
+            b'HTTP/1.1 200 X\r\nTransfer-Encoding: gzip\r\n\r\n',
+            b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc',
+            b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n',
+            b'nonsense\r\n\r\n',
+            b'GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n',
+            b'GET / HTTP/1.1\r\nno colon\r\n\r\n',
+        ):
             parser = Parser()
             parser.feed(data)
             with self.subTest(data=data), self.assertRaises(Malformed):
@@ -148,12 +186,17 @@
         self.assertGreater(len([scenarios.load(name) for name in scenarios.named()]), 12)
 
     def test_what_is_wrong_is_one_line(self):
-        cases = {'name = "x"\nfoo = 1': 'foo', 'name = 1': 'name', 'name = "x"\nlength_s = -1': 'length_s',
-                 'name = "x"\n[[events]]\nat_s = 1\nkind = "slow"\nwhat = [9]': 'no such cache',
-                 'name = "x"\n[[events]]\nat_s = 1\nkind = "magic"': 'magic',
-                 'name = "x"\n[[events]]\nat_s = 1\nkind = "burst"\nwhat = [1]': 'no target', '[[': 'nvalid',
-                 'name = "x"\n[[profiles]]\nname = "r"\ngoal_s = 9': 'past its limit',
-                 'name = "x"\n[[events]]\nat_s = 99\nkind = "burst"': 'past the end'}
+        cases = {
+            'name = "x"\nfoo = 1': 'foo',
+            'name = 1': 'name',
+            'name = "x"\nlength_s = -1': 'length_s',
+            'name = "x"\n[[events]]\nat_s = 1\nkind = "slow"\nwhat = [9]': 'no such cache',
+            'name = "x"\n[[events]]\nat_s = 1\nkind = "magic"': 'magic',
+            'name = "x"\n[[events]]\nat_s = 1\nkind = "burst"\nwhat = [1]': 'no target',
+            '[[': 'nvalid',
+            'name = "x"\n[[profiles]]\nname = "r"\ngoal_s = 9': 'past its limit',
+            'name = "x"\n[[events]]\nat_s = 99\nkind = "burst"': 'past the end',
+        }
         for text, told in cases.items():
             with self.subTest(told=told), self.assertRaisesRegex(BadScenario, told) as caught:
                 scenarios.read(text)
@@ -166,11 +209,16 @@
 
     def test_some_fleets_have_large_bodies_of_no_told_length_and_the_rest_of_a_seed_is_as_it_was(self):
         drawn = [draw.scenario(seed) for seed in range(100)]
-        self.assertGreater(sum(bool(made.load.large_share and made.caches.untold and made.caches.give_ms) for made in drawn), 4)
+        self.assertGreater(
+            sum(bool(made.load.large_share and made.caches.untold and made.caches.give_ms) for made in drawn),
+            4,
+        )
         self.assertGreater(sum(made.load.write_bytes > 65_536 for made in drawn), 4)
         with mock.patch.object(draw, 'with_large_bodies', lambda made, seed: made):
             plain = [draw.scenario(seed) for seed in range(100)]
-        self.assertEqual([replace(made, caches=was.caches, load=was.load) for made, was in zip(drawn, plain)], plain)
+        self.assertEqual(
+            [replace(made, caches=was.caches, load=was.load) for made, was in zip(drawn, plain)], plain
+        )
         self.assertEqual([made.caches.untold for made in map(draw.planned, range(20))], [0.0] * 20)
 
     def test_a_quantity_is_put_in_by_its_path(self):
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -19,9 +19,18 @@
     def test_a_seed_gives_one_record_in_any_process_under_any_hash_seed(self):
         text, hashes = scenarios.write(scenarios.load('overlap')), set()
         for seed in ('0', '1', '77'):
-            done = subprocess.run((sys.executable, '-c', 'import sys; from lilacdyke.lab import runs, scenario; print(runs.one('
-                                   'scenario.read(sys.stdin.read()), 5).hash)'), input=text.encode(), capture_output=True,
-                                  env=dict(os.environ, PYTHONHASHSEED=seed), check=True)
+            done = subprocess.run(
+                (
+                    sys.executable,
+                    '-c',
+                    'import sys; from lilacdyke.lab import runs, scenario; print(runs.one('
+                    'scenario.read(sys.stdin.read()), 5).hash)',
+                ),
+                input=text.encode(),
+                capture_output=True,
+                env=dict(os.environ, PYTHONHASHSEED=seed),
+                check=True,
+            )
             hashes.add(done.stdout.strip())
         self.assertEqual(len(hashes), 1)
 
@@ -35,24 +44,35 @@
 
     @classmethod
     def setUpClass(cls):
-        given = [(name, scenarios.load(name)) for name in scenarios.named() if name != 'fleet']     # that one takes minutes
+        given = [
+            (name, scenarios.load(name)) for name in scenarios.named() if name != 'fleet'
+        ]  # that one takes minutes
         given += [('seed %d' % seed, draw.scenario(seed)) for seed in range(16)]
         given += [(name, scenarios.load(os.path.join(KEPT, name))) for name in sorted(os.listdir(KEPT))]
         cls.names, cls.ended = [name for name, _ in given], {}
-        runs.many([(scenarios.write(made), made.seed, None) for _, made in given], runs.cores(0), cls.ended.__setitem__)
+        runs.many(
+            [(scenarios.write(made), made.seed, None) for _, made in given],
+            runs.cores(0),
+            cls.ended.__setitem__,
+        )
 
     def test_no_rule_is_broken(self):
         for index, name in enumerate(self.names):
             with self.subTest(name=name):
                 outcome = self.ended[index]
-                self.assertEqual((getattr(outcome, 'broken', outcome), outcome.figures['transactions'] > 0), ([], True))
+                self.assertEqual(
+                    (getattr(outcome, 'broken', outcome), outcome.figures['transactions'] > 0), ([], True)
+                )
 
     def test_a_calm_day_is_served(self):
         self.assertGreater(self.ended[self.names.index('calm')].figures['G'], 0.95)
 
     def test_troubles_show(self):
-        worse = [name for name in ('cut', 'kills', 'overlap', 'standstill')
-                 if self.ended[self.names.index(name)].figures['whole'] < 0.995]
+        worse = [
+            name
+            for name in ('cut', 'kills', 'overlap', 'standstill')
+            if self.ended[self.names.index(name)].figures['whole'] < 0.995
+        ]
         self.assertGreaterEqual(len(worse), 3)
 
 
@@ -64,7 +84,7 @@
 
 class Loopback(unittest.TestCase):
     def test_real_processes_through_a_kill_a_hangup_and_a_standstill(self):
-        given = scenarios.read('''
+        given = scenarios.read("""
 name = "short"
 length_s = 5
 nodes = 2
@@ -84,7 +104,7 @@
 kind = "standstill"
 what = [0]
 for_s = 0.5
-''')
+""")
         outcome = loopback.one(given)
         self.assertEqual(outcome.broken, [])
         self.assertGreater(outcome.figures['outcomes']['served'], 100)
@@ -104,11 +124,13 @@
             path, page = os.path.join(folder, 'r.jsonl'), os.path.join(folder, 'r.html')
             small = os.path.join(folder, 's.toml')
             with open(small, 'w', encoding='utf-8') as file:
-                file.write('name = "small"\nlength_s = 2\n[load]\nrate = 30\n[[events]]\nat_s = 0.5\nkind = "slow"\n')
+                file.write(
+                    'name = "small"\nlength_s = 2\n[load]\nrate = 30\n[[events]]\nat_s = 0.5\nkind = "slow"\n'
+                )
             done = CliRunner().invoke(main, ['lab', 'run', small, '--record', path, '--json'])
             told = json.loads(done.output.splitlines()[-1])
             with open(path, 'rb+') as file:
-                file.truncate(os.path.getsize(path) - 7)        # a record that was cut short
+                file.truncate(os.path.getsize(path) - 7)  # a record that was cut short
             _, rows = witness.load(path)
             report.write(page, [path])
             with open(page, encoding='utf-8') as file:
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -21,7 +21,7 @@
 from ..helpers import terms
 
 LEASE = 10_000
-TEXT = '''
+TEXT = """
 enabled = true
 installation = "here"
 seats = 3
@@ -46,7 +46,7 @@
 what = "open"
 most = 10.0
 floor = 5.0
-'''
+"""
 
 
 def read(text=TEXT):
@@ -57,16 +57,27 @@
 
 
 def changed(fleet, **most):
-    rows = [msgspec.structs.replace(limit, most=most.get(limit.name, limit.most), floor=limit.grains()[1] / GRAIN) for limit in fleet.limit]
+    rows = [
+        msgspec.structs.replace(limit, most=most.get(limit.name, limit.most), floor=limit.grains()[1] / GRAIN)
+        for limit in fleet.limit
+    ]
     return msgspec.structs.replace(fleet, limit=rows, edition=fleet.edition + 1)
 
 
 class File(unittest.TestCase):
     def test_what_is_wrong_is_named_in_one_line(self):
-        for old, new, key in (('seats = 3', 'seats = 0', 'seats'), ('what = "open"', 'what = "opened"', 'what'), ('most = 10.0', 'most = 0.5', 'most'),
-                              ('floor = 5.0', 'floor = 50.0', 'floor'), ('name = "p1"', 'name = "p0"', 'planner'),
-                              ('127.0.0.1:7101', 'planner.internal:7101', 'planner'), ('lease_s', 'lease', 'lease'),
-                              ('seats = 3', '', 'seats'), ('name = "open"', 'name = "reads"', 'limit'), ('enabled = true', 'enabled = ', '')):
+        for old, new, key in (
+            ('seats = 3', 'seats = 0', 'seats'),
+            ('what = "open"', 'what = "opened"', 'what'),
+            ('most = 10.0', 'most = 0.5', 'most'),
+            ('floor = 5.0', 'floor = 50.0', 'floor'),
+            ('name = "p1"', 'name = "p0"', 'planner'),
+            ('127.0.0.1:7101', 'planner.internal:7101', 'planner'),
+            ('lease_s', 'lease', 'lease'),
+            ('seats = 3', '', 'seats'),
+            ('name = "open"', 'name = "reads"', 'limit'),
+            ('enabled = true', 'enabled = ', ''),
+        ):
             with self.subTest(new=new), self.assertRaisesRegex(BadLine, key) as found:
                 read(TEXT.replace(old, new))
             self.assertNotIn('\n', str(found.exception))
@@ -96,12 +107,21 @@
 
     def setUp(self):
         self.fleet, self.terms = read(), terms()
-        self.purse = Purse(-1_000_000, 'f', ['p0'], self.fleet.seat_parts(0), LEASE, self.fleet.gift, self.fleet.tails(), self.fleet.units())
+        self.purse = Purse(
+            -1_000_000,
+            'f',
+            ['p0'],
+            self.fleet.seat_parts(0),
+            LEASE,
+            self.fleet.gift,
+            self.fleet.tails(),
+            self.fleet.units(),
+        )
         self.shares = Shares(0, self.fleet, self.purse, self.terms.profiles)
         self.read, _, self.once = self.terms.profiles
 
     def test_a_rate_lets_through_its_part_and_a_tenth_of_a_second_at_once(self):
-        own = self.purse.own['reads'] / GRAIN           # 16.7 a second
+        own = self.purse.own['reads'] / GRAIN  # 16.7 a second
         let = 0
         for now in range(0, 100_000, 10):
             if self.shares.admits(now, self.read) is None:
@@ -119,9 +139,21 @@
         self.assertEqual((before, without, self.shares.allows(0, server, False)), (True, (False, True), True))
 
     def test_tries_are_counted_for_each_server_that_is_out_and_for_no_other(self):
-        fleet = limits.check(msgspec.structs.replace(self.fleet, verdicts=limits.Verdicts(), limit=[limits.Limit(name='tries', what='tries', most=3.0, floor=3.0)]))
-        purse = Purse(-1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units())
-        shares, server, other = Shares(0, fleet, purse, self.terms.profiles), Server('c1', False), Server('c2', False)
+        fleet = limits.check(
+            msgspec.structs.replace(
+                self.fleet,
+                verdicts=limits.Verdicts(),
+                limit=[limits.Limit(name='tries', what='tries', most=3.0, floor=3.0)],
+            )
+        )
+        purse = Purse(
+            -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units()
+        )
+        shares, server, other = (
+            Shares(0, fleet, purse, self.terms.profiles),
+            Server('c1', False),
+            Server('c2', False),
+        )
         shares.out = lambda now, server: server.name == 'c1'
         sent = 0
         for now in range(0, 50_000, 100):
@@ -129,7 +161,7 @@
                 shares.sent(now, server, False)
                 sent += 1
             self.assertTrue(shares.allows(now, other, False))
-        self.assertIn(sent, (4, 5))             # one a second, its bucket empty at first
+        self.assertIn(sent, (4, 5))  # one a second, its bucket empty at first
 
     def test_an_idle_second_is_not_saved_up(self):
         self.shares.admits(0, self.read)
@@ -137,7 +169,7 @@
         self.assertLessEqual(let, 2)
 
     def test_what_is_open_is_refused_beyond_the_part_and_free_when_it_is_over(self):
-        said = [self.shares.admits(0, self.once) for _ in range(3)]         # 5 of 10 over 3 seats: two here
+        said = [self.shares.admits(0, self.once) for _ in range(3)]  # 5 of 10 over 3 seats: two here
         self.shares.done(self.once)
         self.assertEqual((said, self.shares.admits(0, self.once)), ([None, None, 429], None))
 
@@ -145,7 +177,9 @@
         for _ in range(2):
             self.shares.admits(0, self.once)
         self.shares.admits(50_000, self.read)
-        self.assertEqual((self.shares.spent['open'].open, self.shares.spent['reads'].tokens > GRAIN * FINE), (2, True))
+        self.assertEqual(
+            (self.shares.spent['open'].open, self.shares.spent['reads'].tokens > GRAIN * FINE), (2, True)
+        )
 
     def test_a_limit_it_does_not_fall_under_is_not_asked(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[self.fleet.limit[0]])
@@ -153,10 +187,20 @@
         self.assertEqual([shares.admits(0, self.once) for _ in range(50)], [None] * 50)
 
     def test_what_was_spent_at_each_of_1024_servers_is_kept_count_of(self):
-        fleet = msgspec.structs.replace(self.fleet, limit=[limits.Limit(name='cold', what='cold', most=30.0),
-                                                           limits.Limit(name='links', what='links', most=2.0, floor=2.0)])
-        purse = Purse(-1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units())
-        shares, servers = Shares(0, fleet, purse, self.terms.profiles), [Server('s%d' % number, False) for number in range(1_024)]
+        fleet = msgspec.structs.replace(
+            self.fleet,
+            limit=[
+                limits.Limit(name='cold', what='cold', most=30.0),
+                limits.Limit(name='links', what='links', most=2.0, floor=2.0),
+            ],
+        )
+        purse = Purse(
+            -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units()
+        )
+        shares, servers = (
+            Shares(0, fleet, purse, self.terms.profiles),
+            [Server('s%d' % number, False) for number in range(1_024)],
+        )
         for now in (0, 5_000):
             for server in servers:
                 shares.allows(now, server, True)
@@ -169,13 +213,21 @@
     def test_what_a_cold_server_may_be_sent_is_a_limit_of_its_own_for_each(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[limits.Limit(name='cold', what='cold', most=30.0)])
         purse = Purse(-1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift)
-        shares, one, other = Shares(0, fleet, purse, self.terms.profiles), Server('a', False), Server('b', False)
+        shares, one, other = (
+            Shares(0, fleet, purse, self.terms.profiles),
+            Server('a', False),
+            Server('b', False),
+        )
         for server in (one, other):
             shares.allows(0, server, True)
         found = [shares.allows(5_000, one, True)]
         for _ in range(2):
             shares.sent(5_000, one, True)
-        found += [shares.allows(5_000, one, True), shares.allows(5_000, one, False), shares.allows(5_000, other, True)]
+        found += [
+            shares.allows(5_000, one, True),
+            shares.allows(5_000, one, False),
+            shares.allows(5_000, other, True),
+        ]
         self.assertEqual(found, [True, False, True, True])
 
     def test_what_is_not_needed_is_spared_and_what_was_refused_is_wanted(self):
@@ -192,7 +244,9 @@
 
     def setUp(self):
         self.fleet = read()
-        self.purse = Purse(-1_000_000, 'f', ['p0', 'p1', 'p2'], self.fleet.seat_parts(0), LEASE, self.fleet.gift)
+        self.purse = Purse(
+            -1_000_000, 'f', ['p0', 'p1', 'p2'], self.fleet.seat_parts(0), LEASE, self.fleet.gift
+        )
         self.made = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(1).random)
 
     def until(self, end, begin=0):
@@ -207,7 +261,9 @@
         dials = [(now, name) for now, what, name, *_ in self.until(400_000) if what == 'dial']
         times = [now for now, name in dials if name == 'p0']
         gaps = [later - now for now, later in zip(times, times[1:])]
-        self.assertTrue(len({name for _, name in dials}) == 3 and 5 <= len(times) < 25 and max(gaps) > 3 * LEASE, gaps)
+        self.assertTrue(
+            len({name for _, name in dials}) == 3 and 5 <= len(times) < 25 and max(gaps) > 3 * LEASE, gaps
+        )
 
     def test_a_fleet_does_not_dial_a_planner_that_comes_back_at_once(self):
         seconds = []
@@ -221,7 +277,13 @@
     def test_a_link_without_plans_is_given_up(self):
         self.until(LEASE)
         self.made.up(LEASE, 'p0')
-        ends = [(now, name, why) for now, what, name, *more in self.until(5 * LEASE, LEASE) if what == 'end' for why in more if name == 'p0']
+        ends = [
+            (now, name, why)
+            for now, what, name, *more in self.until(5 * LEASE, LEASE)
+            if what == 'end'
+            for why in more
+            if name == 'p0'
+        ]
         self.assertEqual([row[1:] for row in ends][:1], [('p0', 'silent')])
         self.assertLessEqual(ends[0][0], LEASE + 2 * longer(LEASE) + 10)
 
@@ -233,16 +295,34 @@
 
     def test_a_newer_edition_is_passed_on_and_one_that_does_not_fit_is_not(self):
         lower = {'reads': 60 * GRAIN, 'open': 10 * GRAIN}
-        heard = [self.made.hear(2, lower), self.made.hear(3, {'reads': 1}), self.made.hear(1, self.fleet.mosts())]
+        heard = [
+            self.made.hear(2, lower),
+            self.made.hear(3, {'reads': 1}),
+            self.made.hear(1, self.fleet.mosts()),
+        ]
         self.assertEqual((heard, self.made.edition, self.made.mosts), ([True, False, True], 2, lower))
 
     def test_what_one_planner_lends_is_not_wanted_of_the_next(self):
         self.made.needs = lambda now: ({}, {'reads': 9_000})
         for planner, lent in (('p0', 5_000), ('p1', 1_000)):
             digest = self.made.digest(0, planner)
-            self.purse.planned(0, planner, {'forwarder': 'f', 'seq': digest['seq'], 'life': planner, 'version': 1, 'stamp': 0,
-                                            'leases': {'reads': lent}, 'forwarders': 1})
-        self.assertEqual([self.made.digest(1, name)['wants']['reads'] for name in ('p0', 'p1', 'p2')], [8_000, 4_000, 3_000])
+            self.purse.planned(
+                0,
+                planner,
+                {
+                    'forwarder': 'f',
+                    'seq': digest['seq'],
+                    'life': planner,
+                    'version': 1,
+                    'stamp': 0,
+                    'leases': {'reads': lent},
+                    'forwarders': 1,
+                },
+            )
+        self.assertEqual(
+            [self.made.digest(1, name)['wants']['reads'] for name in ('p0', 'p1', 'p2')],
+            [8_000, 4_000, 3_000],
+        )
 
 
 class Planning(unittest.TestCase):
@@ -250,12 +330,26 @@
         self.fleet = read()
         self.made = Planner(0, 'b', self.fleet, 0)
         self.now = 100_000
-        self.purse = Purse(-1_000_000, 'f', ['p0', 'p1', 'p2'], Parts(), LEASE, self.fleet.gift, self.fleet.tails(), self.fleet.units())
+        self.purse = Purse(
+            -1_000_000,
+            'f',
+            ['p0', 'p1', 'p2'],
+            Parts(),
+            LEASE,
+            self.fleet.gift,
+            self.fleet.tails(),
+            self.fleet.units(),
+        )
 
     def meet(self, wants=(), heard=(), now=None, **more):
         """A digest and its plan, at once."""
         now = self.now if now is None else now
-        digest = dict(self.purse.digest(now, 'p0', {}, dict(wants)), edition=1, mosts=self.fleet.mosts(), heard=dict(heard))
+        digest = dict(
+            self.purse.digest(now, 'p0', {}, dict(wants)),
+            edition=1,
+            mosts=self.fleet.mosts(),
+            heard=dict(heard),
+        )
         plan = self.made.told(now, dict(digest, **more))
         self.purse.planned(now, 'p0', plan)
         return plan
@@ -267,7 +361,7 @@
         self.assertEqual((alone, backed), ({}, {'reads': 9 * GRAIN}))
 
     def test_news_from_before_this_life_or_from_long_ago_does_not_count(self):
-        first = self.meet({'reads': 9 * GRAIN}, {'p1': 50})         # its first digest echoes no plan of this life
+        first = self.meet({'reads': 9 * GRAIN}, {'p1': 50})  # its first digest echoes no plan of this life
         self.meet()
         old = self.meet({'reads': 9 * GRAIN}, {'p1': 3 * LEASE})
         stranger = self.meet({'reads': 9 * GRAIN}, {'p9': 1})
@@ -284,7 +378,10 @@
         before = self.meet({'reads': 90 * GRAIN}, {'p1': 0})['leases']['reads']
         lower = dict(self.fleet.mosts(), reads=62 * GRAIN)
         plan = self.meet({'reads': 90 * GRAIN}, {'p1': 0}, edition=2, mosts=lower)
-        self.assertEqual((before, plan['leases']['reads'], plan['edition'], plan['mosts']), (50_000 // 3, 4 * GRAIN, 2, lower))
+        self.assertEqual(
+            (before, plan['leases']['reads'], plan['edition'], plan['mosts']),
+            (50_000 // 3, 4 * GRAIN, 2, lower),
+        )
 
     def test_one_edition_with_two_contents_counts_as_the_lower(self):
         self.made.hear(1, dict(self.fleet.mosts(), reads=70 * GRAIN))
@@ -293,7 +390,9 @@
 
     def test_a_file_is_taken_only_with_a_higher_edition_and_the_same_floors(self):
         good = changed(self.fleet, reads=80.0)
-        floors = msgspec.structs.replace(good, limit=[msgspec.structs.replace(limit, floor=1.0) for limit in good.limit])
+        floors = msgspec.structs.replace(
+            good, limit=[msgspec.structs.replace(limit, floor=1.0) for limit in good.limit]
+        )
         said = [self.made.reread(fleet) for fleet in (floors, good, good)]
         self.assertEqual((said[1], self.made.mosts['reads']), (None, 80 * GRAIN))
         self.assertTrue('floor' in said[0] and 'edition' in said[2])
@@ -302,6 +401,7 @@
 class Links(unittest.TestCase):
     def desk(self, most=2):
         from collections import Counter
+
         self.counts = Counter()
         return Desk(self.counts, most, lambda digest: None)
 
@@ -314,7 +414,10 @@
             links.append((link, wire))
         with self.assertLogs('lilacdyke', 'WARNING'):
             links[0][0].dataReceived(b'\x00\x00\x00\x03abc')
-        self.assertEqual(([wire.disconnecting or wire.aborted for _, wire in links], self.counts['bad_frames']), ([True, False], 1))
+        self.assertEqual(
+            ([wire.disconnecting or wire.aborted for _, wire in links], self.counts['bad_frames']),
+            ([True, False], 1),
+        )
 
     def test_of_too_many_links_the_one_that_was_there_longest_makes_way(self):
         desk, wires = self.desk(), []
@@ -333,13 +436,31 @@
     def test_an_absurd_plan_lets_a_forwarder_spend_no_more_than_there_is(self):
         purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE, whole=Parts(k=20))
         digest = purse.digest(0, 'p0', {}, {'k': 3})
-        plan = {'forwarder': 'f', 'seq': digest['seq'], 'life': 'b', 'version': 1, 'stamp': 0, 'leases': {'k': 1 << 39}, 'forwarders': 1}
-        self.assertEqual((purse.planned(0, 'p0', plan), purse.may(0, 'k'), purse.may(LEASE, 'k')), (True, 20, 5))
+        plan = {
+            'forwarder': 'f',
+            'seq': digest['seq'],
+            'life': 'b',
+            'version': 1,
+            'stamp': 0,
+            'leases': {'k': 1 << 39},
+            'forwarders': 1,
+        }
+        self.assertEqual(
+            (purse.planned(0, 'p0', plan), purse.may(0, 'k'), purse.may(LEASE, 'k')), (True, 20, 5)
+        )
 
     def test_a_plan_of_an_unknown_forwarder_or_seq_changes_nothing(self):
         purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE)
-        plan = {'forwarder': 'g', 'seq': 1, 'life': 'b', 'version': 1, 'stamp': 0, 'leases': {'k': 1 << 39}, 'forwarders': 1}
-        pack(PLAN, plan)                # as large as a frame may say
+        plan = {
+            'forwarder': 'g',
+            'seq': 1,
+            'life': 'b',
+            'version': 1,
+            'stamp': 0,
+            'leases': {'k': 1 << 39},
+            'forwarders': 1,
+        }
+        pack(PLAN, plan)  # as large as a frame may say
         self.assertEqual((purse.planned(0, 'p0', plan), purse.may(0, 'k')), (False, 5))
 
 
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -9,8 +9,18 @@
 from lilacdyke.plan.frames import AMOUNT, HEAD, MOST, BadFrame, Frames, OtherMajor, pack
 from lilacdyke.plan.ledger import KEYS, Bank, Parts, Purse
 
-PLAN = {'forwarder': 'f', 'seq': 1, 'life': 'b', 'version': 1, 'stamp': 5, 'leases': {'k': 3}, 'forwarders': 2,
-        'edition': 1, 'mosts': {'k': 9}, 'verdicts': []}
+PLAN = {
+    'forwarder': 'f',
+    'seq': 1,
+    'life': 'b',
+    'version': 1,
+    'stamp': 5,
+    'leases': {'k': 3},
+    'forwarders': 2,
+    'edition': 1,
+    'mosts': {'k': 9},
+    'verdicts': [],
+}
 
 
 def framed(tree):
@@ -22,16 +32,29 @@
     def test_frames_however_cut(self):
         data, reader, found = pack('plan', PLAN) * 3, Frames(), []
         for at in range(len(data)):
-            found += reader.feed(data[at:at + 1])
+            found += reader.feed(data[at : at + 1])
         self.assertEqual((found, len(reader.buffer)), ([('plan', PLAN)] * 3, 0))
 
     def test_what_the_ledger_says_goes_through_as_it_is(self):
         purse, bank = Purse(0, 'f', ['p'], Parts(k=100), 20, 60), Bank('b', 20, 60)
-        digest = dict(purse.digest(100, 'p', {'k': 3}, {'l': 4}), edition=1, mosts={'k': 9}, heard={'q': 3}, seat=2, site='z0', doubts=[['c1', 7]],
-                      seen=[['c0', 7, 3, 1, 1, 1, 0, [0, 1], 40, None, 9, 2]])
-        (_, came), = Frames().feed(pack('digest', digest))
-        plan = dict(bank.told(5, came), edition=1, mosts={}, verdicts=[['c0', 7, 'slow', 2.0, 320, 3, 2, 40, 0.5, True]])
-        (_, back), = Frames().feed(pack('plan', plan))
+        digest = dict(
+            purse.digest(100, 'p', {'k': 3}, {'l': 4}),
+            edition=1,
+            mosts={'k': 9},
+            heard={'q': 3},
+            seat=2,
+            site='z0',
+            doubts=[['c1', 7]],
+            seen=[['c0', 7, 3, 1, 1, 1, 0, [0, 1], 40, None, 9, 2]],
+        )
+        ((_, came),) = Frames().feed(pack('digest', digest))
+        plan = dict(
+            bank.told(5, came),
+            edition=1,
+            mosts={},
+            verdicts=[['c0', 7, 'slow', 2.0, 320, 3, 2, 40, 0.5, True]],
+        )
+        ((_, back),) = Frames().feed(pack('plan', plan))
         self.assertEqual((came, back, purse.planned(101, 'p', back)), (digest, plan, True))
 
     def test_fields_and_kinds_of_a_later_minor_version_are_skipped(self):
@@ -41,22 +64,48 @@
 
     def test_what_an_earlier_minor_version_does_not_say_is_filled_in(self):
         old = {field: value for field, value in PLAN.items() if field not in ('edition', 'mosts', 'verdicts')}
-        self.assertEqual(Frames().feed(framed([1, 0, 'plan', old])), [('plan', dict(PLAN, edition=0, mosts={}, verdicts=[]))])
+        self.assertEqual(
+            Frames().feed(framed([1, 0, 'plan', old])),
+            [('plan', dict(PLAN, edition=0, mosts={}, verdicts=[]))],
+        )
 
     def test_another_major_version_is_refused(self):
         with self.assertRaisesRegex(OtherMajor, 'version 2.0, and this is 1.2'):
             Frames().feed(framed([2, 0, 'plan', PLAN]))
 
     def test_what_is_out_of_form(self):
-        cases = [HEAD.pack(MOST + 1), HEAD.pack(3) + b'\xc1\xc1\xc1', framed(7), framed([1, 0, 'plan']), framed([1, 0, 'plan', []]),
-                 framed([1, 0, 'plan', {}]), framed(['1', 0, 'plan', PLAN]), framed([1, 0, 7, PLAN])]
-        for field, wrong in (('seq', -1), ('seq', 1.5), ('seq', True), ('seq', 1 << 50), ('life', ''), ('life', 'x' * 999),
-                             ('leases', [1]), ('leases', {'k': -1}), ('leases', {'': 1}), ('leases', {'k': None})):
+        cases = [
+            HEAD.pack(MOST + 1),
+            HEAD.pack(3) + b'\xc1\xc1\xc1',
+            framed(7),
+            framed([1, 0, 'plan']),
+            framed([1, 0, 'plan', []]),
+            framed([1, 0, 'plan', {}]),
+            framed(['1', 0, 'plan', PLAN]),
+            framed([1, 0, 7, PLAN]),
+        ]
+        for field, wrong in (
+            ('seq', -1),
+            ('seq', 1.5),
+            ('seq', True),
+            ('seq', 1 << 50),
+            ('life', ''),
+            ('life', 'x' * 999),
+            ('leases', [1]),
+            ('leases', {'k': -1}),
+            ('leases', {'': 1}),
+            ('leases', {'k': None}),
+        ):
             cases.append(framed([1, 0, 'plan', dict(PLAN, **{field: wrong})]))
         good = ['c0', 7, 'slow', 2.0, 320, 3, 2, 40, 0.5, True]
         for place, wrong in ((0, ''), (1, -1), (2, 'dead'), (3, float('nan')), (3, True), (7, None), (9, 1)):
-            cases.append(framed([1, 2, 'plan', dict(PLAN, verdicts=[[*good[:place], wrong, *good[place + 1:]]])]))
-        cases += [framed([1, 2, 'plan', dict(PLAN, verdicts=rows)]) for rows in ({}, [7], [good[:-1]], [good] * 1_025)]
+            cases.append(
+                framed([1, 2, 'plan', dict(PLAN, verdicts=[[*good[:place], wrong, *good[place + 1 :]]])])
+            )
+        cases += [
+            framed([1, 2, 'plan', dict(PLAN, verdicts=rows)])
+            for rows in ({}, [7], [good[:-1]], [good] * 1_025)
+        ]
         for data in cases:
             with self.subTest(data=data[:60]), self.assertRaises(BadFrame):
                 Frames().feed(data)
@@ -66,14 +115,33 @@
             pack('plan', dict(PLAN, leases={'k%d' % number: 1 for number in range(MOST // 5)}))
 
     def test_three_limits_at_each_of_1024_servers_with_long_names_fit(self):
-        keys = {'%s:%0190d' % (limit, server): 9 for limit in ('cold', 'links', 'tries') for server in range(1_024)}
-        (_, came), = Frames().feed(pack('plan', dict(PLAN, leases=keys)))
+        keys = {
+            '%s:%0190d' % (limit, server): 9
+            for limit in ('cold', 'links', 'tries')
+            for server in range(1_024)
+        }
+        ((_, came),) = Frames().feed(pack('plan', dict(PLAN, leases=keys)))
         self.assertEqual((came['leases'], len(keys) <= KEYS), (keys, True))
-        seen = [['%0200d' % server, 7, 3, 1, 1, 1, 0, [AMOUNT - 1] * BINS, 40, None, 9, 2] for server in range(SERVERS)]
+        seen = [
+            ['%0200d' % server, 7, 3, 1, 1, 1, 0, [AMOUNT - 1] * BINS, 40, None, 9, 2]
+            for server in range(SERVERS)
+        ]
         purse = Purse(0, 'f', ['p'], Parts(k=100), 20, 60)
-        digest = dict(purse.digest(100, 'p', keys, {}), edition=1, mosts={}, heard={}, seat=2, site='z0', doubts=[], seen=seen)
-        (_, came), = Frames().feed(pack('digest', digest))
-        self.assertEqual((len(came['seen']), len(came['gifts']) + len(came['wants'])), (1_024, len(digest['gifts']) + len(digest['wants'])))
+        digest = dict(
+            purse.digest(100, 'p', keys, {}),
+            edition=1,
+            mosts={},
+            heard={},
+            seat=2,
+            site='z0',
+            doubts=[],
+            seen=seen,
+        )
+        ((_, came),) = Frames().feed(pack('digest', digest))
+        self.assertEqual(
+            (len(came['seen']), len(came['gifts']) + len(came['wants'])),
+            (1_024, len(digest['gifts']) + len(digest['wants'])),
+        )
 
     def test_noise_never_raises_anything_else(self):
         chance, data = Random(1), pack('plan', PLAN)
--- a/tests/plan/test_leases.py
+++ b/tests/plan/test_leases.py
@@ -27,13 +27,30 @@
 
     def test_a_task_is_promised_to_one_until_its_time_is_up(self):
         made = voter()
-        said = [self.yes(made, now, ASK, seq, life) for seq, (now, life) in enumerate(
-            ((0, 'a'), (0, 'b'), (promised(LONG), 'b'), (promised(LONG) + 1, 'b'), (promised(LONG) + 1, 'a')), 1)]
+        said = [
+            self.yes(made, now, ASK, seq, life)
+            for seq, (now, life) in enumerate(
+                (
+                    (0, 'a'),
+                    (0, 'b'),
+                    (promised(LONG), 'b'),
+                    (promised(LONG) + 1, 'b'),
+                    (promised(LONG) + 1, 'a'),
+                ),
+                1,
+            )
+        ]
         self.assertEqual(said, [True, False, False, True, False])
 
     def test_who_starts_says_nothing_until_what_it_may_have_promised_has_run_out(self):
         made = Voter(0, 'v', LONG, lambda bound: True, 0)
-        self.assertEqual([self.yes(made, now, ASK, now + 1) for now in (0, promised(LONG), silent(LONG), silent(LONG) + 1)], [None, None, None, True])
+        self.assertEqual(
+            [
+                self.yes(made, now, ASK, now + 1)
+                for now in (0, promised(LONG), silent(LONG), silent(LONG) + 1)
+            ],
+            [None, None, None, True],
+        )
 
     def test_who_knows_of_no_bound_never_votes(self):
         self.assertIsNone(self.yes(voter(None), 10 * LONG, ASK, 1))
@@ -41,14 +58,23 @@
     def test_a_number_is_noted_once_and_only_above_all_before(self):
         made = voter(7)
         self.yes(made, 0, ASK, 1)
-        self.assertEqual([self.yes(made, 0, CONFIRM, seq, 'a', number) for seq, number in ((2, 7), (3, 8), (4, 8), (5, 9))], [False, True, False, True])
+        self.assertEqual(
+            [
+                self.yes(made, 0, CONFIRM, seq, 'a', number)
+                for seq, number in ((2, 7), (3, 8), (4, 8), (5, 9))
+            ],
+            [False, True, False, True],
+        )
         self.assertFalse(self.yes(made, 0, CONFIRM, 6, 'b', 10))
 
     def test_a_number_that_cannot_be_written_down_is_not_noted(self):
         written = []
         made = voter(0, lambda bound: written.append(bound) or len(written) < 2)
         self.yes(made, 0, ASK, 1)
-        self.assertEqual([self.yes(made, 0, CONFIRM, seq, 'a', number) for seq, number in ((2, 1), (3, 2), (4, 5_000))], [True, True, False])
+        self.assertEqual(
+            [self.yes(made, 0, CONFIRM, seq, 'a', number) for seq, number in ((2, 1), (3, 2), (4, 5_000))],
+            [True, True, False],
+        )
         self.assertEqual(written, [1 + leases.BLOCK, 5_000 + leases.BLOCK])
 
     def test_a_release_that_overtakes_a_renewal_ends_it_and_tells_who_waits(self):
@@ -61,7 +87,9 @@
     def test_nobody_releases_what_is_another_s(self):
         made = voter()
         self.yes(made, 0, ASK, 1)
-        self.assertEqual((made.told(0, message(RELEASE, 1, 'b')), self.yes(made, 0, ASK, 2, 'b')), ((None, []), False))
+        self.assertEqual(
+            (made.told(0, message(RELEASE, 1, 'b')), self.yes(made, 0, ASK, 2, 'b')), ((None, []), False)
+        )
 
     def test_one_that_was_restarted_goes_on_with_who_holds(self):
         self.assertTrue(self.yes(voter(5_000), 0, RENEW, 9, 'a', 3))
@@ -258,9 +286,20 @@
         return True
 
 
-BROKEN = {'arrival': {'seeker': Arrival}, 'unsilent': {'voter': Unsilent}, 'of those reached': {'seeker': OfThoseReached}, 'same number': {'seeker': SameNumber},
-          'by clock': {'seeker': ByClock}, 'revived': {'seeker': Revived}, 'looks once': {'seeker': LooksOnce}, 'anybody': {'voter': Anybody},
-          'forgetful': {'voter': Forgetful}, 'any answer': {'seeker': AnyAnswer}, 'blank': {'voter': Blank}, 'loose': {'voter': Loose}}
+BROKEN = {
+    'arrival': {'seeker': Arrival},
+    'unsilent': {'voter': Unsilent},
+    'of those reached': {'seeker': OfThoseReached},
+    'same number': {'seeker': SameNumber},
+    'by clock': {'seeker': ByClock},
+    'revived': {'seeker': Revived},
+    'looks once': {'seeker': LooksOnce},
+    'anybody': {'voter': Anybody},
+    'forgetful': {'voter': Forgetful},
+    'any answer': {'seeker': AnyAnswer},
+    'blank': {'voter': Blank},
+    'loose': {'voter': Loose},
+}
 
 
 class Searched(unittest.TestCase):
@@ -268,7 +307,7 @@
         seen, depth = vote_check.search(4_000)
         made = [vote_check.walk(seed, 5_000) for seed in range(60)]
         self.assertTrue(seen == 4_000 and depth >= 2)
-        self.assertGreater(sum(changes for _, changes in made), 200)     # else nothing was shown
+        self.assertGreater(sum(changes for _, changes in made), 200)  # else nothing was shown
 
     def found(self, kinds):
         """After how many walks a broken form is found, or None."""
--- a/tests/plan/test_ledger.py
+++ b/tests/plan/test_ledger.py
@@ -43,17 +43,24 @@
 
     def test_what_one_spares_the_other_may_spend(self):
         self.lend()
-        self.assertEqual((self.rich.may(1, 'k'), self.poor.may(1, 'k'), self.poor.may(1, 'other')), (70, 130, OWN))
+        self.assertEqual(
+            (self.rich.may(1, 'k'), self.poor.may(1, 'k'), self.poor.may(1, 'other')), (70, 130, OWN)
+        )
 
     def test_a_lease_runs_out_before_the_gift_behind_it(self):
         self.lend()
-        self.assertEqual([(self.rich.may(at, 'k'), self.poor.may(at, 'k')) for at in (19, 20, 60, 61)],
-                         [(70, 130), (70, 100), (70, 100), (100, 100)])
+        self.assertEqual(
+            [(self.rich.may(at, 'k'), self.poor.may(at, 'k')) for at in (19, 20, 60, 61)],
+            [(70, 130), (70, 100), (70, 100), (100, 100)],
+        )
 
     def test_a_lease_runs_from_when_its_digest_left(self):
         self.lend()
         plan = self.bank.told(10, self.poor.digest(0, 'p', {}, {'k': 80}))
-        self.assertEqual((self.poor.planned(15, 'p', plan), self.poor.may(19, 'k'), self.poor.may(20, 'k')), (True, 130, 100))
+        self.assertEqual(
+            (self.poor.planned(15, 'p', plan), self.poor.may(19, 'k'), self.poor.may(20, 'k')),
+            (True, 130, 100),
+        )
 
     def test_a_plan_that_comes_late_is_void(self):
         plan = self.bank.told(0, self.poor.digest(0, 'p', {}, {'k': 80}))
@@ -95,7 +102,9 @@
     def test_a_gift_that_would_end_before_the_lease_backs_none(self):
         self.lend()
         end = shorter(GIFT) - longer(LEASE)
-        plans = [self.bank.told(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases'] for at in (end, end + 1)]
+        plans = [
+            self.bank.told(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases'] for at in (end, end + 1)
+        ]
         self.assertEqual(plans, [{'k': 30}, {}])
 
     def test_a_planner_that_starts_anew_lends_only_what_its_new_life_was_given(self):
@@ -109,7 +118,7 @@
         fresh = Bank('b2', LEASE, GIFT)
         meet(self.rich, fresh, 1)
         meet(self.rich, fresh, 2, spare={'k': 80})
-        self.assertEqual(self.rich.may(3, 'k'), 50)         # half of its own is the most that one planner gets
+        self.assertEqual(self.rich.may(3, 'k'), 50)  # half of its own is the most that one planner gets
 
     def test_a_forwarder_that_starts_anew_counts_on_what_it_may_have_given(self):
         fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
@@ -118,7 +127,9 @@
     def test_and_gives_nothing_meanwhile_as_a_planner_would_lend_both(self):
         fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
         meet(fresh, self.bank, 1)
-        self.assertEqual([fresh.digest(at, 'p', {'k': 30}, {})['gifts'] for at in (GIFT, GIFT + 1)], [{}, {'k': 30}])
+        self.assertEqual(
+            [fresh.digest(at, 'p', {'k': 30}, {})['gifts'] for at in (GIFT, GIFT + 1)], [{}, {'k': 30}]
+        )
 
     def test_an_absurd_plan_changes_nothing_that_was_not_asked(self):
         digest = self.poor.digest(0, 'p', {}, {})
@@ -149,7 +160,7 @@
 
     def test_a_planner_lends_its_own_though_nobody_gave(self):
         meet(self.poor, self.bank, wants={'k': 25})
-        self.assertEqual(self.poor.may(1, 'k'), OWN + 20)       # whole units only
+        self.assertEqual(self.poor.may(1, 'k'), OWN + 20)  # whole units only
 
     def test_not_right_after_its_start(self):
         fresh = Bank('b2', LEASE, GIFT, 0, Parts(k=30), Parts(k=5))
@@ -242,7 +253,9 @@
         good = super().planned(now, planner, plan)
         if good:
             account = self.account(planner)
-            account.leases = {key: (now + 2 * self.lease, amount) for key, (_, amount) in account.leases.items()}
+            account.leases = {
+                key: (now + 2 * self.lease, amount) for key, (_, amount) in account.leases.items()
+            }
         return good
 
 
@@ -308,12 +321,22 @@
     def test_a_process_that_spends_a_seat_that_another_has_is_found(self):
         world = check.World(2, 1, None, Owning)
         world.restart_purse(1, False)
-        world.forwarders = 1            # the seats: the other one is somebody's who still spends all of it
+        world.forwarders = 1  # the seats: the other one is somebody's who still spends all of it
         with self.assertRaises(check.Overspent):
             world.judge()
 
     def test_broken_ledgers_are_found(self):
-        for kinds in ({'bank': Trusting}, {'bank': Forgetful}, {'bank': Generous}, {'bank': Doubling}, {'purse': Late},
-                      {'purse': Bold}, {'purse': Fickle}, {'bank': Hasty}, {'purse': Untold}, {'bank': Unnoted}):
+        for kinds in (
+            {'bank': Trusting},
+            {'bank': Forgetful},
+            {'bank': Generous},
+            {'bank': Doubling},
+            {'purse': Late},
+            {'purse': Bold},
+            {'purse': Fickle},
+            {'bank': Hasty},
+            {'purse': Untold},
+            {'bank': Unnoted},
+        ):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.found(**kinds))
--- a/tests/plan/test_sites.py
+++ b/tests/plan/test_sites.py
@@ -16,9 +16,17 @@
 
 def loss(origin=400.0, where=None, rate=300.0, **more):
     """Three sites of 200 each; a class that is worth much for its work, and one that is worth little."""
-    return sites.check(Loss(
-        site=[sites.Site(name=name, servers=4, bears=50.0) for name in 'abc'], origin=sites.Origin(bears=origin, site=where),
-        classes=[Class(name='dear', rate=100.0, worth=5.0, hit=0.8, keys=1_000.0, floor=0.5), Class(name='cheap', rate=rate, worth=1.0, hit=0.5, keys=3_000.0)], **more))
+    return sites.check(
+        Loss(
+            site=[sites.Site(name=name, servers=4, bears=50.0) for name in 'abc'],
+            origin=sites.Origin(bears=origin, site=where),
+            classes=[
+                Class(name='dear', rate=100.0, worth=5.0, hit=0.8, keys=1_000.0, floor=0.5),
+                Class(name='cheap', rate=rate, worth=1.0, hit=0.5, keys=3_000.0),
+            ],
+            **more,
+        )
+    )
 
 
 def refused(told):
@@ -28,7 +36,9 @@
 class Worked(unittest.TestCase):
     def test_the_usual_day_refuses_nothing(self):
         told = outcome(loss())
-        self.assertEqual((told.borne, told.moved, told.return_s, set(told.full.values())), (True, 0.0, 0.0, {400 / 600}))
+        self.assertEqual(
+            (told.borne, told.moved, told.return_s, set(told.full.values())), (True, 0.0, 0.0, {400 / 600})
+        )
         self.assertAlmostEqual(told.origin_first, (20 + 150) / 400)
 
     def test_a_lost_site_s_keys_go_to_all_that_are_left_by_what_they_bear(self):
@@ -45,7 +55,9 @@
 
     def test_what_is_worth_least_for_its_work_is_refused_first_and_floors_last(self):
         told = outcome(loss(rate=500.0, origin=10_000.0), ('a',))
-        self.assertEqual((refused(told), told.borne, told.worth_lost), ({'cheap': 200.0, 'dear': 0.0}, False, 200.0))
+        self.assertEqual(
+            (refused(told), told.borne, told.worth_lost), ({'cheap': 200.0, 'dear': 0.0}, False, 200.0)
+        )
         told = outcome(loss(rate=150.0, origin=10_000.0), ('a', 'b'))
         self.assertEqual(refused(told), {'cheap': 50.0, 'dear': 0.0})
         made = loss(rate=10.0, origin=40.0)
@@ -53,7 +65,7 @@
         self.assertEqual(refused(told)['cheap'], 10.0)
         self.assertTrue(0 < refused(told)['dear'] <= 50.0)
         told = outcome(loss(origin=1.0), ('a', 'b'))
-        self.assertGreater(refused(told)['dear'], 50.0)     # nothing else is left
+        self.assertGreater(refused(told)['dear'], 50.0)  # nothing else is left
 
     def test_nothing_is_said_to_be_borne_that_is_not(self):
         for rate in (10.0, 300.0, 900.0):
@@ -75,16 +87,28 @@
         self.assertEqual(outcome(loss(origin=170.0), ('a',)).return_s, float('inf'))
 
     def test_expectations_that_are_not_so_are_told(self):
-        made = loss(rate=500.0, expect=[Expect(lost=['a'], refused={'cheap': 0.1, 'dear': 0.0}, origin=0.5, fullest=1.0), Expect(lost=[], borne=True)])
-        self.assertEqual([expected.split(': ')[1].split()[0] for expected, _ in sites.failing(made)], ['cheap', 'origin'])
+        made = loss(
+            rate=500.0,
+            expect=[
+                Expect(lost=['a'], refused={'cheap': 0.1, 'dear': 0.0}, origin=0.5, fullest=1.0),
+                Expect(lost=[], borne=True),
+            ],
+        )
+        self.assertEqual(
+            [expected.split(': ')[1].split()[0] for expected, _ in sites.failing(made)], ['cheap', 'origin']
+        )
 
     def test_names_that_are_nobody_s_are_refused(self):
-        for more in ({'expect': [Expect(lost=['d'])]}, {'expect': [Expect(lost=['a'], refused={'free': 0.0})]}, {'where': 'd'}):
+        for more in (
+            {'expect': [Expect(lost=['d'])]},
+            {'expect': [Expect(lost=['a'], refused={'free': 0.0})]},
+            {'where': 'd'},
+        ):
             with self.subTest(more=more), self.assertRaises(BadLine):
                 loss(**more)
 
 
-FILE = '''enabled = true
+FILE = """enabled = true
 installation = "here"
 seats = 3
 [[planner]]
@@ -108,7 +132,7 @@
 [[loss.expect]]
 lost = ["a"]
 borne = true
-'''
+"""
 
 
 class Told(unittest.TestCase):
@@ -121,14 +145,24 @@
     def test_a_table_its_json_and_a_check(self):
         done = self.run_it(FILE)
         self.assertEqual(done.exit_code, 0)
-        for word in ('lost: a', 'b has 100% of all, 100% full', 'refused    100.0 a second (33%)', 'nothing refused: no'):
+        for word in (
+            'lost: a',
+            'b has 100% of all, 100% full',
+            'refused    100.0 a second (33%)',
+            'nothing refused: no',
+        ):
             self.assertIn(word, done.output)
-        told, = json.loads(self.run_it(FILE, '--json', '--lost', 'a').output)
+        (told,) = json.loads(self.run_it(FILE, '--json', '--lost', 'a').output)
         self.assertEqual((told['lost'], told['borne'], told['classes'][0]['refused']), (['a'], False, 100.0))
         self.assertEqual(self.run_it(FILE, '--check').exit_code, 1)
 
     def test_wrong_words_are_one_line_and_exit_2(self):
-        for text, words in ((FILE, ['--lost', 'x']), (FILE[:FILE.index('[loss')], []), (FILE.replace('bears = 400.0', 'bears = 0'), []), (FILE.replace('servers', 'serve'), [])):
+        for text, words in (
+            (FILE, ['--lost', 'x']),
+            (FILE[: FILE.index('[loss')], []),
+            (FILE.replace('bears = 400.0', 'bears = 0'), []),
+            (FILE.replace('servers', 'serve'), []),
+        ):
             done = self.run_it(text, *words)
             self.assertEqual((done.exit_code, len(done.output.splitlines())), (2, 1), done.output)
 
@@ -136,18 +170,32 @@
 class Played(unittest.TestCase):
     def test_shares_and_the_rise_at_the_origin_are_as_worked_out(self):
         """A fleet in simulated time loses the caches of one of three sites: shares of hops by site within a tenth of the plan."""
-        given = scenarios.check(Scenario(
-            name='lost', length_s=14.0, nodes=3, zones=3, kinds=[Kind(count=12, cores=4)], caches=Caches(warm_share=1.0, handshake_ms=0.2), origin=Origin(cores=24),
-            load=Load(rate=250.0, keys=3_000, zipf=0.3), clients=Clients(retries=0), profiles=[Profile(name='read', work_ms=8.0)],
-            events=[Event(at_s=4.0, kind='crash', what=[1, 4, 7, 10], for_s=30.0)]))
+        given = scenarios.check(
+            Scenario(
+                name='lost',
+                length_s=14.0,
+                nodes=3,
+                zones=3,
+                kinds=[Kind(count=12, cores=4)],
+                caches=Caches(warm_share=1.0, handshake_ms=0.2),
+                origin=Origin(cores=24),
+                load=Load(rate=250.0, keys=3_000, zipf=0.3),
+                clients=Clients(retries=0),
+                profiles=[Profile(name='read', work_ms=8.0)],
+                events=[Event(at_s=4.0, kind='crash', what=[1, 4, 7, 10], for_s=30.0)],
+            )
+        )
         rows = runs.one(given, rows=True, hashed=False).rows
         zone = {row[2]: row[5] for row in rows if row[0] == 'server'}
         hops = {name: 0 for name in 'abc'}
         for row in rows:
             if row[0] == 'hop' and row[3] != 'origin' and 9e6 < row[1] < 14e6:
                 hops[zone[row[3]]] += 1
-        made = Loss(site=[sites.Site(name=name, servers=4, bears=400.0) for name in 'abc'], origin=sites.Origin(bears=1_000.0),
-                    classes=[Class(name='read', rate=250.0, worth=1.0)])
+        made = Loss(
+            site=[sites.Site(name=name, servers=4, bears=400.0) for name in 'abc'],
+            origin=sites.Origin(bears=1_000.0),
+            classes=[Class(name='read', rate=250.0, worth=1.0)],
+        )
         told, lost = None, next(name for name in 'abc' if hops[name] == min(hops.values()))
         told = outcome(made, (lost,))
         total = sum(count for name, count in hops.items() if name != lost)
--- a/tests/plan/test_staff.py
+++ b/tests/plan/test_staff.py
@@ -16,7 +16,7 @@
 
 from ..test_upgrade import free
 
-FILE = '''enabled = true
+FILE = """enabled = true
 installation = "here"
 seats = 4
 lease_s = 1.0
@@ -26,7 +26,7 @@
 [[planner]]
 name = "p0"
 address = "127.0.0.1:%d"
-'''
+"""
 
 
 def said(seat, seq, plan, **hows):
@@ -34,9 +34,42 @@
     rows = []
     for server in ('c0', 'c1', 'c2', 'c3', 'c4'):
         silent = 4 if hows.get(server) == 'silent' else 0
-        rows.append([server, 7, 4, 4 - silent, 0, silent, 0, [0, 0, 0, 4 - silent], None if silent else 10, 10 if silent else None, None if silent else 10, silent])
-    return pack(DIGEST, {'forwarder': 'f%d' % seat, 'seq': seq, 'holds': 0, 'life': plan and plan['life'], 'stamp': plan and plan['stamp'], 'held': 5, 'gifts': {},
-                         'wants': {}, 'edition': 1, 'mosts': {}, 'heard': {}, 'seat': seat, 'site': 'ab'[seat % 2], 'seen': rows, 'doubts': [['c1', 7]]})
+        rows.append(
+            [
+                server,
+                7,
+                4,
+                4 - silent,
+                0,
+                silent,
+                0,
+                [0, 0, 0, 4 - silent],
+                None if silent else 10,
+                10 if silent else None,
+                None if silent else 10,
+                silent,
+            ]
+        )
+    return pack(
+        DIGEST,
+        {
+            'forwarder': 'f%d' % seat,
+            'seq': seq,
+            'holds': 0,
+            'life': plan and plan['life'],
+            'stamp': plan and plan['stamp'],
+            'held': 5,
+            'gifts': {},
+            'wants': {},
+            'edition': 1,
+            'mosts': {},
+            'heard': {},
+            'seat': seat,
+            'site': 'ab'[seat % 2],
+            'seen': rows,
+            'doubts': [['c1', 7]],
+        },
+    )
 
 
 class Asked(unittest.TestCase):
@@ -48,7 +81,10 @@
             file.write(FILE % self.port)
 
     def start(self):
-        planner = subprocess.Popen([sys.executable, '-m', 'lilacdyke', 'plan', '--file', self.path, '--name', 'p0'], stderr=subprocess.DEVNULL)
+        planner = subprocess.Popen(
+            [sys.executable, '-m', 'lilacdyke', 'plan', '--file', self.path, '--name', 'p0'],
+            stderr=subprocess.DEVNULL,
+        )
         self.addCleanup(planner.wait)
         self.addCleanup(planner.kill)
         for _ in range(100):
@@ -79,7 +115,10 @@
             self.talk(seat, c3='silent')
         time.sleep(0.3)
         plan = self.talk(3, c3='silent')
-        self.assertEqual([(row[0], row[2], row[9]) for row in plan['verdicts']], [('c3', 'silent', False), ('c1', 'well', False)])
+        self.assertEqual(
+            [(row[0], row[2], row[9]) for row in plan['verdicts']],
+            [('c3', 'silent', False), ('c1', 'well', False)],
+        )
         done = self.ask()
         line = next(row for row in done.output.splitlines() if row.startswith('c3'))
         self.assertEqual(done.exit_code, 0)
@@ -97,7 +136,9 @@
         done = self.ask()
         self.assertEqual((done.exit_code, len(done.output.splitlines())), (1, 1))
         done = self.ask('--planner', 'p9')
-        self.assertEqual((done.exit_code, done.output.splitlines()[0].split(': ', 2)[2]), (2, 'planner: no p9'))
+        self.assertEqual(
+            (done.exit_code, done.output.splitlines()[0].split(': ', 2)[2]), (2, 'planner: no p9')
+        )
 
 
 if __name__ == '__main__':
--- a/tests/plan/test_verdicts.py
+++ b/tests/plan/test_verdicts.py
@@ -20,7 +20,12 @@
     for name in SERVERS:
         how = hows.get(name, 30)
         for _ in range(6):
-            made.ended(now - age, (name, START), how if isinstance(how, str) else 'well', how if isinstance(how, int) else 0)
+            made.ended(
+                now - age,
+                (name, START),
+                how if isinstance(how, str) else 'well',
+                how if isinstance(how, int) else 0,
+            )
     return made.report(now)
 
 
@@ -34,7 +39,11 @@
 
 def harsh(made, now=0):
     """What it holds that is not well: {(server, site or None): kind}."""
-    return {(server[0], site): verdict.kind for (server, site), verdict in made.verdicts(now).items() if verdict.kind != WELL}
+    return {
+        (server[0], site): verdict.kind
+        for (server, site), verdict in made.verdicts(now).items()
+        if verdict.kind != WELL
+    }
 
 
 def fleet(count=6, **hows):
@@ -60,8 +69,12 @@
         for lie in ('failed', 'silent', 900):
             told = dict.fromkeys(SERVERS, lie)
             with self.subTest(lie=lie):
-                self.assertEqual(harsh(sight(fleet() + [(9, 'a', report(**told)), (10, 'b', report(c1='failed'))])), {})
-                self.assertEqual(harsh(sight(fleet(c3='silent') + [(9, 'a', report(**told))])), {('c3', None): SILENT})
+                self.assertEqual(
+                    harsh(sight(fleet() + [(9, 'a', report(**told)), (10, 'b', report(c1='failed'))])), {}
+                )
+                self.assertEqual(
+                    harsh(sight(fleet(c3='silent') + [(9, 'a', report(**told))])), {('c3', None): SILENT}
+                )
 
     def test_all_slow_at_once_is_load_and_condemns_nobody(self):
         self.assertEqual(harsh(sight(fleet(**dict.fromkeys(SERVERS, 900)))), {})
@@ -88,14 +101,24 @@
         before = harsh(made)
         for seat in range(6):
             made.told(10, seat, 'ab'[seat % 2], 'life', 2, report(now=10))
-        self.assertEqual((before, harsh(made, 10), made.verdicts(10)[('c3', START), None].kind), ({('c3', None): SILENT}, {}, WELL))
+        self.assertEqual(
+            (before, harsh(made, 10), made.verdicts(10)[('c3', START), None].kind),
+            ({('c3', None): SILENT}, {}, WELL),
+        )
 
     def test_one_that_turns_and_turns_weighs_half(self):
         made, weights = Sight(SPAN), []
         for turn in range(8):
             now = turn * SPAN // 2
             for seat in range(6):
-                made.told(now, seat, 'ab'[seat % 2], 'life', turn + 1, report(now=now, **({'c3': 'silent'} if turn % 2 else {})))
+                made.told(
+                    now,
+                    seat,
+                    'ab'[seat % 2],
+                    'life',
+                    turn + 1,
+                    report(now=now, **({'c3': 'silent'} if turn % 2 else {})),
+                )
             weights.append(made.verdicts(now)[('c3', START), None].weight)
         self.assertEqual((weights[1], weights[-1]), (1.0, 0.5))
 
@@ -112,8 +135,16 @@
 
     def drawn(self, chance):
         hows = ['well', 'failed', 'silent', 'refused']
-        return [(seat, chance.choice('ab'), seq, report(c1=chance.choice([30, 300, *hows[1:]]), c2=chance.choice([30, 300, *hows[1:]])))
-                for seat in range(chance.randint(2, 7)) for seq in range(1, chance.randint(2, 4))]
+        return [
+            (
+                seat,
+                chance.choice('ab'),
+                seq,
+                report(c1=chance.choice([30, 300, *hows[1:]]), c2=chance.choice([30, 300, *hows[1:]])),
+            )
+            for seat in range(chance.randint(2, 7))
+            for seq in range(1, chance.randint(2, 4))
+        ]
 
     def found(self, rows, sight_=Sight):
         made = sight_(SPAN)
@@ -140,6 +171,7 @@
         class Counting(Sight):
             def told(self, left, seat, site, life, seq, told):
                 super().told(left, (seat, len(self.witnesses)), site, life, seq, told)
+
         self.assertTrue(self.differs(Counting))
 
     def test_grouping_makes_no_difference(self):
@@ -147,13 +179,19 @@
             chance, rows = Random(seed), []
             for _ in range(4):
                 row = Row()
-                row.sent, row.well, row.foul, row.fine = chance.randint(0, 9), chance.randint(0, 9), chance.choice([None, 3, 9]), chance.choice([None, 2])
+                row.sent, row.well, row.foul, row.fine = (
+                    chance.randint(0, 9),
+                    chance.randint(0, 9),
+                    chance.choice([None, 3, 9]),
+                    chance.choice([None, 2]),
+                )
                 row.heard = chance.choice([None, 1, 5])
                 row.times[chance.randrange(12)] += 1
                 rows.append(row)
 
             def plain(row):
                 return row.sent, row.well, row.times, row.foul, row.fine, row.heard
+
             one = Row().add(rows[0]).add(rows[1]).add(rows[2]).add(rows[3])
             other = Row().add(Row().add(rows[3]).add(rows[1])).add(Row().add(rows[2]).add(rows[0]))
             self.assertEqual(plain(one), plain(other))
@@ -193,7 +231,11 @@
 
     def test_what_a_word_says_of_each_kind(self):
         until = shorter(SPAN)
-        for row, word in ((told(FULL), (until, 0, 0.5, 0)), (told(SLOW, factor=4.0, took=320), (until, 0, 0.25, 320)), (told(WELL), (until, 0.5, 1, 0))):
+        for row, word in (
+            (told(FULL), (until, 0, 0.5, 0)),
+            (told(SLOW, factor=4.0, took=320), (until, 0, 0.25, 320)),
+            (told(WELL), (until, 0.5, 1, 0)),
+        ):
             made = Belief(SPAN, lambda: 1.0)
             made.planned(0, [row])
             self.assertEqual(self.word(made, 0), word)
@@ -207,19 +249,30 @@
     def test_a_verdict_on_a_server_that_is_not_listed_yet_waits_for_it(self):
         made = Belief(SPAN, lambda: 1.0)
         made.planned(0, [told(server='c99')])
-        self.assertEqual((made.words(0, ALL), list(made.words(10, {**ALL, ('c99', START): 'a'}))), ({}, [('c99', START)]))
+        self.assertEqual(
+            (made.words(0, ALL), list(made.words(10, {**ALL, ('c99', START): 'a'}))), ({}, [('c99', START)])
+        )
         self.assertEqual(made.words(10, {**ALL, ('c99', START + 1): 'a'}), {})
 
     def test_no_more_is_held_down_than_stated_whoever_says_so_and_the_surest_first(self):
         for count in (3, 8, 20, 60):
             sites = {('c%d' % number, START): 'abc'[number % 3] for number in range(count)}
             made = Belief(SPAN, lambda: 1.0)
-            for first, way in ((0, False), (1, True)):        # as of two planners that say the opposite
-                made.planned(0, [told(server='c%d' % number, witnesses=2 + number, way=way) for number in range(first, count, 2)])
+            for first, way in ((0, False), (1, True)):  # as of two planners that say the opposite
+                made.planned(
+                    0,
+                    [
+                        told(server='c%d' % number, witnesses=2 + number, way=way)
+                        for number in range(first, count, 2)
+                    ],
+                )
             down = [server for server, (held, _) in made.words(0, sites).items() if held.harsh]
             self.assertLessEqual(len(down), HARM * count)
             for site in 'abc':
-                self.assertLessEqual(sum(sites[server] == site for server in down), max(1, HARM_SITE * sum(s == site for s in sites.values())))
+                self.assertLessEqual(
+                    sum(sites[server] == site for server in down),
+                    max(1, HARM_SITE * sum(s == site for s in sites.values())),
+                )
             if count >= 8:
                 self.assertEqual(down[0], ('c%d' % ((count - 1) // 2 * 2), START))
 
@@ -238,7 +291,7 @@
     planner, held = sight_(SPAN), belief(SPAN, chance.random)
     seen = {0: Seen(clock[0](0), SPAN), 1: Seen(clock[1](0), SPAN)}
     stamps, bag, newest, worst = {}, [], None, 0
-    stop = chance.randrange(500, 2_500)         # from then on nobody sees anything of it
+    stop = chance.randrange(500, 2_500)  # from then on nobody sees anything of it
     for now in range(0, 6_000, 5):
         if now < stop and now % 50 == 0:
             for seat in seen:
@@ -250,9 +303,17 @@
             newest = now
         if now % 60 == 0:
             for seat in seen:
-                stamp = stamps.get(seat)        # (the planner's stamp, when it came here)
-                bag.append((now + chance.choice((5, 50, 900)), 'up', seat, now, stamp and (stamp[0], clock[seat](now) - stamp[1]),
-                            seen[seat].report(clock[seat](now))))
+                stamp = stamps.get(seat)  # (the planner's stamp, when it came here)
+                bag.append(
+                    (
+                        now + chance.choice((5, 50, 900)),
+                        'up',
+                        seat,
+                        now,
+                        stamp and (stamp[0], clock[seat](now) - stamp[1]),
+                        seen[seat].report(clock[seat](now)),
+                    )
+                )
             bag.append((now + chance.choice((5, 50, 900)), 'ask', None, clock[3](now), None, None))
         due, bag = [row for row in bag if row[0] <= now], [row for row in bag if row[0] > now]
         for _, kind, seat, sent, stamp, told in due:
@@ -279,7 +340,7 @@
     def test_no_verdict_acts_after_its_span_in_any_history(self):
         found = [history(seed) for seed in range(150)]
         self.assertLessEqual(max(found), SPAN)
-        self.assertGreater(max(found), SPAN // 2)       # else nothing was shown
+        self.assertGreater(max(found), SPAN // 2)  # else nothing was shown
 
     def broken(self, **kinds):
         return any(history(seed, **kinds) > SPAN for seed in range(150))
@@ -289,7 +350,17 @@
             """Takes a report for as new as it came."""
 
             def told(self, left, seat, site, life, seq, told):
-                super().told(left + 900, seat, site, life, seq, {server: [*row[:-4], *(age and 0 for age in row[-4:-1]), row[-1]] for server, row in told.items()})
+                super().told(
+                    left + 900,
+                    seat,
+                    site,
+                    life,
+                    seq,
+                    {
+                        server: [*row[:-4], *(age and 0 for age in row[-4:-1]), row[-1]]
+                        for server, row in told.items()
+                    },
+                )
 
         class Arrival(Belief):
             """Counts a verdict from when somebody told it, without the age that it has."""
@@ -302,6 +373,7 @@
 
             def acts(self, now, server):
                 return self.held.get(server)
+
         for kinds in ({'sight_': Ageless}, {'belief': Arrival}, {'belief': Endless}):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.broken(**kinds))
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -16,22 +16,40 @@
         for server in caches:
             server.started, server.zone, server.state = None, 0, 'ready'
         self.server = caches[3]
-        router = SimpleNamespace(caches=caches, known={server.name: server for server in caches}, goal=GOAL, over=lambda now, tx: False,
-                                 turns=lambda now, server: server.share)
+        router = SimpleNamespace(
+            caches=caches,
+            known={server.name: server for server in caches},
+            goal=GOAL,
+            over=lambda now, tx: False,
+            turns=lambda now, server: server.share,
+        )
         self.node = SimpleNamespace(
-            clock=lambda: self.now, chance=lambda: 1.0, router=router, offset=0, deadlines=SimpleNamespace(at=lambda when, call, given: None),
-            entries={server.name: SimpleNamespace(started=0) for server in caches}, place=SimpleNamespace(terms=SimpleNamespace(zone=0)))
+            clock=lambda: self.now,
+            chance=lambda: 1.0,
+            router=router,
+            offset=0,
+            deadlines=SimpleNamespace(at=lambda when, call, given: None),
+            entries={server.name: SimpleNamespace(started=0) for server in caches},
+            place=SimpleNamespace(terms=SimpleNamespace(zone=0)),
+        )
         self.view, self.seq = View(self.node, SPAN, ['p0', 'p1']), 0
 
     def ended(self, how='committed', lasted=50, server=None):
-        self.view.ended(self.now, SimpleNamespace(server=server or self.server, tx=None, dropped=False), how, lasted)
+        self.view.ended(
+            self.now, SimpleNamespace(server=server or self.server, tx=None, dropped=False), how, lasted
+        )
 
     def told(self, planner='p0', life='one', answer=True, verdicts=()):
         """Names of servers in the next report, which is answered."""
         self.seq += 1
         rows = self.view.report(self.now, planner, self.seq, life)
         if answer:
-            self.view.planned(self.now, planner, {'seq': self.seq, 'life': life, 'verdicts': [list(row) for row in verdicts]}, self.now)
+            self.view.planned(
+                self.now,
+                planner,
+                {'seq': self.seq, 'life': life, 'verdicts': [list(row) for row in verdicts]},
+                self.now,
+            )
         return [row[0] for row in rows]
 
     def silent(self, age=0):
@@ -41,17 +59,21 @@
         self.ended()
         first = self.told(), self.told()
         self.now += SPAN // 4
-        self.ended()                    # the same counts in another spell
+        self.ended()  # the same counts in another spell
         self.now += SPAN // 4 - 1
         self.assertEqual((first, self.told(), self.told()), ((['c3'], []), ['c3'], []))
 
     def test_a_report_that_was_not_answered_or_is_another_planner_s_counts_for_nothing(self):
         self.ended()
-        self.assertEqual([self.told(answer=False), self.told(), self.told('p1'), self.told()], [['c3'], ['c3'], ['c3'], []])
+        self.assertEqual(
+            [self.told(answer=False), self.told(), self.told('p1'), self.told()], [['c3'], ['c3'], ['c3'], []]
+        )
 
     def test_a_planner_that_was_restarted_is_told_all(self):
         self.ended()
-        self.assertEqual([self.told(), self.told(), self.told(life='two'), self.told(life='two')], [['c3'], [], ['c3'], []])
+        self.assertEqual(
+            [self.told(), self.told(), self.told(life='two'), self.told(life='two')], [['c3'], [], ['c3'], []]
+        )
 
     def test_a_verdict_is_a_word_until_its_end_or_own_newer_evidence(self):
         self.told(verdicts=[self.silent()])
@@ -60,9 +82,9 @@
         self.assertTrue(self.view.out(self.now, self.server))
         self.now += 10
         self.ended('lost')
-        self.assertEqual(self.server.word, word)            # it says the same
+        self.assertEqual(self.server.word, word)  # it says the same
         self.ended('committed', GOAL)
-        self.assertEqual(self.server.word, word)            # slow is not well
+        self.assertEqual(self.server.word, word)  # slow is not well
         self.ended()
         self.assertIs(self.server.word, NO_WORD)
         self.told(verdicts=[self.silent(age=20)])
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -11,8 +11,14 @@
 from .helpers import SETTINGS
 
 SITE = dict(SETTINGS, familyInfo={'mode': 'through', 'originKind': -1})
-START = ['TURN\t1.0', 'ENLIST\t3\t7\t' + json.dumps(SITE), 'POOL\t0\t1', 'ROW\t0\t0\t1\tserver_a\t-\tSERVING\t0',
-         'ROSTER_CHANGE\t3\trestored\t1\t0', 'EOF_BATCH']
+START = [
+    'TURN\t1.0',
+    'ENLIST\t3\t7\t' + json.dumps(SITE),
+    'POOL\t0\t1',
+    'ROW\t0\t0\t1\tserver_a\t-\tSERVING\t0',
+    'ROSTER_CHANGE\t3\trestored\t1\t0',
+    'EOF_BATCH',
+]
 ASK = 'ASK\t3\t9\t0\t0\tpage:k\t3.0\t-\t-\t0'
 
 
@@ -31,11 +37,16 @@
 
     def test_bad_lines_are_named_not_guessed(self):
         bad = {
-            'NONSENSE\t3': 'unknown verb', ASK + '\t1': 'values', ASK.replace('3.0', 'soon'): 'not a number',
-            ASK.replace('\t9\t', '\t-9\t'): 'not a whole number', 'LEFT\t8\t9': 'no such instance',
+            'NONSENSE\t3': 'unknown verb',
+            ASK + '\t1': 'values',
+            ASK.replace('3.0', 'soon'): 'not a number',
+            ASK.replace('\t9\t', '\t-9\t'): 'not a whole number',
+            'LEFT\t8\t9': 'no such instance',
             'ANSWER\t3\t9\t0\tserver_z\tshed\t0.1\t0\t-\t-': 'never named',
             'ANSWER\t3\t9\t0\tserver_a\tperhaps\t0.1\t0\t-\t-': 'unknown outcome',
-            'ASK\t3\t9\t5\t0\tk\t3.0\t-\t-\t0': 'no such profile', 'ROSTER_CHANGE\t3\treplace\t1\t7': 'never sent'}
+            'ASK\t3\t9\t5\t0\tk\t3.0\t-\t-\t0': 'no such profile',
+            'ROSTER_CHANGE\t3\treplace\t1\t7': 'never sent',
+        }
         for line, told in bad.items():
             with self.subTest(line=line):
                 reply, complaints = served('TURN\t1.1', line, 'EOF_BATCH')
@@ -46,11 +57,21 @@
 
     def test_a_report_or_message_out_of_form_is_counted_and_the_transaction_goes_on(self):
         for feedback in ('queue=1', 'queue:-3', 'eps:many', '-'):
-            reply, complaints = served('TURN\t1.1', ASK, 'EOF_BATCH', 'TURN\t1.2', 'HEARD\t3\t1\tzz',
-                                       'ECHO\t3\tserver_a\tdelivered\t0.1\tqueue=1',
-                                       'ANSWER\t3\t9\t0\tserver_a\tempty\t0.1\t0\t2\t' + feedback, 'EOF_BATCH')
+            reply, complaints = served(
+                'TURN\t1.1',
+                ASK,
+                'EOF_BATCH',
+                'TURN\t1.2',
+                'HEARD\t3\t1\tzz',
+                'ECHO\t3\tserver_a\tdelivered\t0.1\tqueue=1',
+                'ANSWER\t3\t9\t0\tserver_a\tempty\t0.1\t0\t2\t' + feedback,
+                'EOF_BATCH',
+            )
             told = [part for part in reply if part.startswith('DEBUG\t3\tnot read')]
-            self.assertEqual((complaints, len(told), 'not hex' in told[0], 'ASSIGN\t3\t9\tserver_a' in '\n'.join(reply)), ('', 1, True, True))
+            self.assertEqual(
+                (complaints, len(told), 'not hex' in told[0], 'ASSIGN\t3\t9\tserver_a' in '\n'.join(reply)),
+                ('', 1, True, True),
+            )
             self.assertEqual(sum(part.startswith(('ASSIGN', 'PUSH_BACK')) for part in reply), 2)
 
     def test_an_id_no_longer_held_is_passed_over(self):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -42,7 +42,7 @@
 
     def test_a_retry_is_due_as_its_client_leaves(self):
         client, hops, number = self.client(), {}, 0
-        while len(hops) < 2:            # a connection rests at either cache
+        while len(hops) < 2:  # a connection rests at either cache
             number += 1
             self.ask(client, 'w%d' % number, path='/read/%d' % number)
             hop = self.next_hop(hops.values())
@@ -106,7 +106,7 @@
         self.stop()
         client.close()
         self.servers['c0'].let()
-        line = self.servers['c0'].take()        # it is up: that, and the end, lie there as the node goes on
+        line = self.servers['c0'].take()  # it is up: that, and the end, lie there as the node goes on
         self.go_on()
         self.ask(self.client(), 'next')
         self.assertEqual(line.request() or self.servers['c0'].take().request(), 'next')
@@ -151,7 +151,7 @@
         self.servers['o'].let()
         self.ask(self.client(), 'next', 'PUT', '/once/k', b'hi')
         name = None
-        while name is None:             # a connection without a request is no send
+        while name is None:  # a connection without a request is no send
             name = self.servers['o'].take().request()
         self.assertEqual(name, 'next')
         self.assertEqual(self.finish(), ['next'])
@@ -163,12 +163,12 @@
     def test_its_connection_does_not_come_up_within_its_limit(self):
         client, begun = self.client(), time.monotonic()
         self.ask(client, 'late', 'PUT', '/once/k', b'x' * 100_000, 'Req-Deadline: 0.5\r\n')
-        self.in_time(client, begun, (503,))             # it surely never left
+        self.in_time(client, begun, (503,))  # it surely never left
 
     def test_its_last_byte_has_not_come_and_no_time_runs(self):
         client = self.client()
         self.ask(client, 'slow', 'PUT', '/once/k', b'', 'Content-Length: 100000\r\nReq-Deadline: 0.4\r\n')
-        client.say(b'x' * 80_000)       # held, and the rest would be held unread
+        client.say(b'x' * 80_000)  # held, and the rest would be held unread
         time.sleep(1.2)
         self.assertFalse(client.ended_yet() or client.buffer)
         self.servers['o'].let()
@@ -185,7 +185,7 @@
         client.socket.setblocking(False)
         try:
             while client.socket.send(b'x' * 65_536):
-                pass                    # as much as the systems between take
+                pass  # as much as the systems between take
         except BlockingIOError:
             client.socket.settimeout(PATIENCE)
         self.in_time(client, time.monotonic(), (503,))
@@ -197,7 +197,7 @@
     def test_a_list_comes_indented_over_many_chunks(self):
         rows = [self.row('o'), entry('c9 "}', hostPort=self.servers['c0'].address)]
         for at in range(0, len(text := told(6, *rows, indent=2)), 7):
-            self.watch.say(chunk(text[at:at + 7]))
+            self.watch.say(chunk(text[at : at + 7]))
         self.assertIn('caches=1', self.until('list'))
         self.watch.say(chunk(b'\n') + chunk(told(7, self.row('c0'), reset=False)))
         self.assertIn('caches=2', self.until('list'))
@@ -217,7 +217,7 @@
         self.watch.say(chunk(told(6, self.row('c0', lifecycle='DRAINING'), reset=False)))
         self.watch.reset()
         self.go_on()
-        self.assertIn('caches=0', self.until('list'))           # the system keeps what came before the reset
+        self.assertIn('caches=0', self.until('list'))  # the system keeps what came before the reset
         self.assertIn(b'index=6', self.agent.watch()[1])
 
     def test_one_ends_with_a_line_half_there_and_the_next_tells_the_drain(self):
@@ -239,7 +239,9 @@
         self.go_on()
         watch, first = other.watch()
         self.assertIn(b'index=5', first)
-        watch.say(chunk(told(3, self.row('o'), self.row('c0', lifecycle='DRAINING'))))      # it is behind, and says so
+        watch.say(
+            chunk(told(3, self.row('o'), self.row('c0', lifecycle='DRAINING')))
+        )  # it is behind, and says so
         self.assertIn('caches=0', self.until('list'))
         self.finish()
         self.assertEqual((len(other.lines), other.all_seen()), (1, []))
@@ -263,8 +265,10 @@
         self.ask(client, 'early')
         self.signal(signal.SIGTERM)
         self.signal(signal.SIGHUP)
-        self.until('page read')         # in the turn of the one it deals with the other
-        self.assertEqual(select.select([self.servers[name].socket for name in self.names], [], [], 0.3)[0], [])
+        self.until('page read')  # in the turn of the one it deals with the other
+        self.assertEqual(
+            select.select([self.servers[name].socket for name in self.names], [], [], 0.3)[0], []
+        )
         watch.say(chunk(told(5, self.row('c0', lifecycle='DRAINING'), self.row('o', lifecycle='DRAINING'))))
         self.until('draining')
         self.assertEqual(client.answered()[0], 503)
@@ -289,14 +293,18 @@
     watches = False
 
     def rows(self):
-        return super().rows() + [entry('%s-%04d' % ('cache' * 24, number), zone='b' * 60, hostPort='127.0.0.1:%d' % (10_000 + number))
-                                 for number in range(1_022)]
+        return super().rows() + [
+            entry(
+                '%s-%04d' % ('cache' * 24, number), zone='b' * 60, hostPort='127.0.0.1:%d' % (10_000 + number)
+            )
+            for number in range(1_022)
+        ]
 
     def test_it_is_ready_in_time_without_discovery_and_takes_the_list_indented(self):
         begun = time.monotonic()
         status = None
         while status != 200:
-            self.assertLess(time.monotonic() - begun, 5.0)      # its agent takes nobody
+            self.assertLess(time.monotonic() - begun, 5.0)  # its agent takes nobody
             try:
                 line = self.client()
                 line.say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -305,9 +313,9 @@
                 time.sleep(0.02)
         with open('/proc/%d/stat' % self.running.pid, encoding='ascii') as file:
             spent = sum(map(int, file.read().rpartition(')')[2].split()[11:13])) / os.sysconf('SC_CLK_TCK')
-        self.assertLess(spent, 1.5)     # seconds of a core: ready within 10 s with a sixth of one
+        self.assertLess(spent, 1.5)  # seconds of a core: ready within 10 s with a sixth of one
         watch = self.agent.take()
-        while watch.ended_yet():        # those that were given up meanwhile
+        while watch.ended_yet():  # those that were given up meanwhile
             watch = self.agent.take()
         self.assertIn(b'index=4', watch.head())
         watch.say(HEAD)
@@ -333,7 +341,7 @@
         hop.request()
         port = self.agent.port
         self.watch.close()
-        self.agent.socket.close()       # from here on dials are refused
+        self.agent.socket.close()  # from here on dials are refused
         idle = [self.client() for _ in range(3 * self.sockets)]
         for line in idle[::2]:
             line.say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -369,7 +377,7 @@
             try:
                 pipe = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
                 break
-            except OSError:             # nobody has it open yet
+            except OSError:  # nobody has it open yet
                 self.assertIsNone(self.running.poll())
                 time.sleep(0.01)
         os.set_blocking(pipe, True)
@@ -383,7 +391,7 @@
         reading = self.give(self.agent)
         next(reading)
         self.signal(signal.SIGHUP)
-        os.unlink(self.path)            # who opens it again has another pipe
+        os.unlink(self.path)  # who opens it again has another pipe
         os.mkfifo(self.path)
         for _ in reading:
             pass
@@ -423,7 +431,7 @@
         waiting = [self.client() for _ in range(6)]
         for line in waiting:
             line.say(b'GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n')
-        time.sleep(1.0)                 # the time at which the door is shut has passed
+        time.sleep(1.0)  # the time at which the door is shut has passed
         self.go_on()
         self.assertEqual([line.answered()[0] for line in waiting], [404] * 6)
         self.assertEqual(self.finish_only(), 0)
@@ -454,7 +462,7 @@
 
     def test_its_servers_hang_for_longer_than_sigkill_waits(self):
         reads, writes = self.client(), self.client()
-        self.ask(reads, 'r')            # the limit is 6 s, and SIGKILL may come 3.7 s after SIGTERM
+        self.ask(reads, 'r')  # the limit is 6 s, and SIGKILL may come 3.7 s after SIGTERM
         self.ask(writes, 'w', 'PUT', '/once/k', b'hi')
         for name in 'co':
             self.servers['c0' if name == 'c' else 'o'].take().request()
@@ -501,14 +509,18 @@
         hop.answer(503, b'', b'Srv-Declined: 1\r\nConnection: close\r\n')
         hop.close()
         self.go_on()
-        again = self.servers['o'].take()        # it surely never ran, so it goes once more, on a connection of its own
+        again = self.servers[
+            'o'
+        ].take()  # it surely never ran, so it goes once more, on a connection of its own
         self.assertEqual(again.request(), 'a')
         again.answer()
         self.assertEqual(client.answered()[0], 200)
 
     def test_an_answer_comes_before_the_request_has_left(self):
         client = self.client()
-        client.say(b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 100000\r\n\r\n' + b'x' * 80_000)
+        client.say(
+            b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 100000\r\n\r\n' + b'x' * 80_000
+        )
         hop = self.servers['o'].take()
         hop.head()
         hop.answer(503, b'', b'Srv-Declined: 1\r\n')
@@ -531,7 +543,7 @@
         hop = self.servers['c0'].take()
         hop.request()
         hop.answer(body=b'x' * 1_000_000)
-        time.sleep(2.0)                 # twice as long as a client may take to close
+        time.sleep(2.0)  # twice as long as a client may take to close
         status, body = client.answered()
         self.assertEqual((status, len(body)), (200, 1_000_000))
 
@@ -548,7 +560,7 @@
         hop.request()
         hop.answer(body=b'x' * 800_000)
         others = [self.client() for _ in range(14)]
-        for number in range(25):        # over two seconds
+        for number in range(25):  # over two seconds
             others[number % 14].say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
             time.sleep(0.1)
         status, body = client.answered()
@@ -575,7 +587,7 @@
         begun = time.monotonic()
         self.signal(signal.SIGTERM)
         client.ended()
-        self.assertTrue(client.was_reset)       # an orderly end would say that this was all
+        self.assertTrue(client.was_reset)  # an orderly end would say that this was all
         self.assertEqual(self.running.wait(PATIENCE), 0)
         self.assertLess(time.monotonic() - begun, 3.7)
 
@@ -586,7 +598,7 @@
         hop.request()
         hop.say(b'HTTP/1.1 200 X\r\nContent-Length: 150000\r\n\r\n' + b'x' * 90_000)
         client.head()
-        for _ in range(6):              # to some two seconds after the limit
+        for _ in range(6):  # to some two seconds after the limit
             time.sleep(0.4)
             hop.say(b'x' * 10_000)
         while len(client.buffer) < 150_000 and client.more():
@@ -626,7 +638,8 @@
                 else:
                     hop.socket.shutdown(socket.SHUT_WR)
             except OSError:
-                pass                    # the node gave it up, as what the client got shows
+                pass  # the node gave it up, as what the client got shows
+
         server = threading.Thread(target=give)
         server.start()
         self.addCleanup(server.join)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -40,10 +40,16 @@
         first, counts = wire.value(), made.counts['hops_committed']
         cache.protocol.dataReceived(b'x' * 99_997)
         self.assertEqual((first, counts), (b'HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc', 1))
-        self.assertEqual((len(wire.value()), wire.protocol.phase, cache.ended), (len(first) + 99_997, RESTING, False))
+        self.assertEqual(
+            (len(wire.value()), wire.protocol.phase, cache.ended), (len(first) + 99_997, RESTING, False)
+        )
 
     def test_a_server_that_breaks_off_shows_the_client_that_it_is_not_whole(self):
-        for answer in (LARGE + b'abc', CHUNKED + b'11000\r\n' + b'x' * 0x11000 + b'\r\n', b'HTTP/1.1 200 OK\r\n\r\n' + b'x' * 70_000):
+        for answer in (
+            LARGE + b'abc',
+            CHUNKED + b'11000\r\n' + b'x' * 0x11000 + b'\r\n',
+            b'HTTP/1.1 200 OK\r\n\r\n' + b'x' * 70_000,
+        ):
             made = node()
             wire, cache = sent(made)
             cache.protocol.dataReceived(answer)
@@ -53,17 +59,23 @@
     def test_in_chunks_and_until_the_end_it_is_whole_for_either_kind_of_client(self):
         body = b'z' * 0x20000
         for minor, ending in ((1, b'\r\n0\r\n\r\n'), (0, b'zz')):
-            for answer, closes in ((CHUNKED + b'20000;a=b\r\n' + body + b'\r\n0\r\nA: b\r\n\r\n', False),
-                                   (b'HTTP/1.0 200 OK\r\n\r\n' + body, True)):
+            for answer, closes in (
+                (CHUNKED + b'20000;a=b\r\n' + body + b'\r\n0\r\nA: b\r\n\r\n', False),
+                (b'HTTP/1.0 200 OK\r\n\r\n' + body, True),
+            ):
                 with self.subTest(minor=minor, closes=closes):
                     made = node()
-                    wire, cache = sent(made, 'GET /read/k HTTP/1.%d\r\nHost: x\r\nReq-Id: %%d\r\n\r\n' % minor)
+                    wire, cache = sent(
+                        made, 'GET /read/k HTTP/1.%d\r\nHost: x\r\nReq-Id: %%d\r\n\r\n' % minor
+                    )
                     for at in range(0, len(answer), 4_999):
-                        cache.protocol.dataReceived(answer[at:at + 4_999])
+                        cache.protocol.dataReceived(answer[at : at + 4_999])
                     if closes:
                         lost(cache)
-                    self.assertEqual((wire.value()[-len(ending):], wire.value().count(b'z'), wire.half_closed),
-                                     (ending, len(body), minor == 0))
+                    self.assertEqual(
+                        (wire.value()[-len(ending) :], wire.value().count(b'z'), wire.half_closed),
+                        (ending, len(body), minor == 0),
+                    )
 
     def test_a_client_that_reads_slowly_stops_the_server_and_is_given_up_in_time(self):
         made = node()
@@ -81,10 +93,10 @@
         wire, cache = sent(made)
         for piece in (LARGE, b'x' * 100_000):
             cache.protocol.dataReceived(piece)
-        made.reactor.pump([0.1] * 20)   # longer, and it would be asked to go
+        made.reactor.pump([0.1] * 20)  # longer, and it would be asked to go
         wire.protocol.dataReceived(b'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: second\r\n\r\n')
         cache.protocol.dataReceived(LARGE + b'x')
-        made.reactor.pump([0.1] * 50)   # a second beyond the first one's limit; nothing came for 5 s
+        made.reactor.pump([0.1] * 50)  # a second beyond the first one's limit; nothing came for 5 s
         before = wire.aborted
         made.reactor.pump([0.1] * 12)
         self.assertEqual((before, wire.aborted), (False, True))
@@ -125,13 +137,15 @@
                 made.reactor.pump([0.1] * 14)
                 before = wire.value()
                 made.reactor.pump([0.1] * 2)
-                self.assertEqual((before, status(wire), wire.value().endswith(b'4\r\nabcd\r\n')), (b'', 200, True))
+                self.assertEqual(
+                    (before, status(wire), wire.value().endswith(b'4\r\nabcd\r\n')), (b'', 200, True)
+                )
                 self.assertEqual((len(made.errands), made.counts['hops_committed']), (0, 1))
 
     def test_it_is_begun_sooner_where_the_node_reads_late(self):
         made = node()
         wire, cache = sent(made)
-        cache.age = 500                 # milliseconds for which the bytes lay unread
+        cache.age = 500  # milliseconds for which the bytes lay unread
         cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
         made.reactor.pump([0.1] * 11)
         self.assertEqual(status(wire), 200)
@@ -153,7 +167,9 @@
         broken(cache)
         again = dialled(made)
         again.protocol.dataReceived(CHUNKED + b'2\r\nef\r\n0\r\n\r\n')
-        self.assertEqual((len(made.reactor.tcpClients), status(wire), wire.value()[-2:]), (dials + 1, 200, b'ef'))
+        self.assertEqual(
+            (len(made.reactor.tcpClients), status(wire), wire.value()[-2:]), (dials + 1, 200, b'ef')
+        )
 
     def test_one_that_breaks_off_afterwards_or_is_spoilt_shows_that_to_either_kind_of_client(self):
         for minor in (1, 0):
@@ -163,7 +179,9 @@
                 cache.protocol.dataReceived(CHUNKED + b'4\r\nabcd\r\n')
                 made.reactor.pump([0.1] * 16)
                 spoil(cache)
-                self.assertEqual((status(wire), wire.aborted, wire.value().endswith(b'0\r\n\r\n')), (200, True, False))
+                self.assertEqual(
+                    (status(wire), wire.aborted, wire.value().endswith(b'0\r\n\r\n')), (200, True, False)
+                )
 
     def test_one_whose_server_fell_silent_is_answered_at_the_limit(self):
         made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
@@ -186,13 +204,16 @@
     def test_of_two_attempts_the_one_of_which_more_is_here_is_passed_on(self):
         made = node(known=TWO_CACHES)
         wire, cache = sent(made)
-        made.reactor.advance(0.6)       # its copy is due
+        made.reactor.advance(0.6)  # its copy is due
         copy = dialled(made)
         self.assertIsNot(copy.protocol, cache.protocol)
         cache.protocol.dataReceived(CHUNKED + b'2\r\nab\r\n')
         copy.protocol.dataReceived(CHUNKED + b'5\r\nABCDE\r\n')
         made.reactor.pump([0.1] * 10)
-        self.assertEqual((status(wire), wire.value().endswith(b'ABCDE\r\n'), cache.ended, copy.ended), (200, True, True, False))
+        self.assertEqual(
+            (status(wire), wire.value().endswith(b'ABCDE\r\n'), cache.ended, copy.ended),
+            (200, True, True, False),
+        )
 
     def test_a_failure_or_a_miss_is_not_passed_on(self):
         for code in (404, 500, 503):
@@ -216,10 +237,12 @@
     @staticmethod
     def unread(made, wire, data):
         """These bytes lie unread, and are read in the reactor's next turn after somebody looked."""
+
         def looked_at(count, flags):
             made.reactor.callLater(0, wire.protocol.dataReceived, data)
             del wire.recv
             return data[:count]
+
         wire.recv = looked_at
 
     def test_the_last_piece_of_an_answer_at_the_limit(self):
@@ -244,7 +267,7 @@
         made.reactor.pump([0.1] * 23)
         self.unread(made, wire, b'\r\n')
         made.reactor.pump([0.1] * 11)
-        self.assertEqual((wire.value(), len(made.errands)), (b'', 1))       # not a 408
+        self.assertEqual((wire.value(), len(made.errands)), (b'', 1))  # not a 408
 
     def test_one_that_drips_so_that_something_is_always_unread_goes_at_the_next_look(self):
         made = node()
@@ -257,7 +280,7 @@
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
-        cache.unread = b'x'             # as while this node stood still
+        cache.unread = b'x'  # as while this node stood still
         made.reactor.pump([0.1] * 35)
         before = wire.aborted
         cache.unread = None
@@ -284,7 +307,7 @@
             wire, cache = sent(made)
             cache.protocol.dataReceived(LARGE)
             made.reactor.pump([0.1] * 19)
-            for _ in range(3):          # each pause begins with a piece
+            for _ in range(3):  # each pause begins with a piece
                 cache.protocol.dataReceived(b'x' * 1_000)
                 made.reactor.pump([0.1] * pause)
             self.assertEqual((pause, wire.aborted), (pause, ended))
@@ -295,7 +318,7 @@
         cache.protocol.dataReceived(LARGE)
         made.reactor.pump([0.1] * 15)
         wire.producer.pauseProducing()
-        made.reactor.pump([0.1] * 50)   # beyond the limit, far longer than a server may be silent
+        made.reactor.pump([0.1] * 50)  # beyond the limit, far longer than a server may be silent
         wire.producer.resumeProducing()
         made.reactor.pump([0.1] * 19)
         before = wire.aborted
@@ -324,7 +347,7 @@
         wire = asked(made, PUT.replace('100000', '2000000') + 'abc')
         origin = carried(made)
         origin.protocol.dataReceived(said(503, 'full', 'Srv-Declined: 1\r\n'))
-        for _ in range(20):             # pieces 1.5 s apart, among clients that come
+        for _ in range(20):  # pieces 1.5 s apart, among clients that come
             for _ in range(3):
                 asked(made, 'GET /read/k HTTP/1.1\r\n')
             made.reactor.pump([0.1] * 15)
@@ -343,7 +366,9 @@
         wire.protocol.dataReceived(b'z' * 99_997)
         origin.flush()
         self.assertTrue(before.endswith(b'Content-Length: 100000\r\n\r\nabc'))
-        self.assertEqual((origin.value().count(b'z'), tx.limit, tx.hops[0].weight), (99_997, made.clock() + 20_000, 1))
+        self.assertEqual(
+            (origin.value().count(b'z'), tx.limit, tx.hops[0].weight), (99_997, made.clock() + 20_000, 1)
+        )
         self.assertTrue(origin.protocol.left)
 
     def test_a_server_lost_in_the_body_never_ran_it_and_gets_no_second_try(self):
@@ -352,7 +377,7 @@
         origin, dials = carried(made), len(made.reactor.tcpClients)
         lost(origin)
         self.assertEqual((status(wire), wire.half_closed, len(made.reactor.tcpClients)), (503, True, dials))
-        wire.protocol.dataReceived(b'x' * 99_997)       # which the client sends before it reads
+        wire.protocol.dataReceived(b'x' * 99_997)  # which the client sends before it reads
         self.assertFalse(wire.aborted or wire.producerState == 'paused')
 
     def test_one_that_found_no_connection_goes_elsewhere(self):
@@ -375,7 +400,9 @@
         origin = carried(made)
         lost(wire)
         self.assertEqual((origin.aborted, len(made.passages), made.counts['hops_unsent']), (True, 0, 1))
-        self.assertEqual((made.counts['rolled_back'], made.counts['abandoned']), (0, 0))       # it had its last word
+        self.assertEqual(
+            (made.counts['rolled_back'], made.counts['abandoned']), (0, 0)
+        )  # it had its last word
 
     def test_a_body_at_64_kb_a_second_is_waited_for_and_one_that_drips_is_not(self):
         for pieces, told in ((6_400, None), (10, 408)):
@@ -385,18 +412,25 @@
             for _ in range(40):
                 made.reactor.advance(0.1)
                 wire.protocol.dataReceived(b'x' * min(pieces, 2_000))
-            self.assertEqual((status(wire), origin.aborted, wire.protocol.phase == HALF), (told, told == 408, told is None))
+            self.assertEqual(
+                (status(wire), origin.aborted, wire.protocol.phase == HALF), (told, told == 408, told is None)
+            )
 
     def test_no_connection_yet_the_client_is_paused(self):
         made = node()
         wire = asked(made, PUT + 'z' * 70_000)
         held = wire.producerState
         origin = carried(made)
-        self.assertEqual((held, wire.producerState, origin.value().count(b'z')), ('paused', 'producing', 70_000))
+        self.assertEqual(
+            (held, wire.producerState, origin.value().count(b'z')), ('paused', 'producing', 70_000)
+        )
 
     def test_a_chunk_out_of_form_ends_it(self):
         made = node()
-        wire = asked(made, PUT.replace('Content-Length: 100000', 'Transfer-Encoding: chunked') + '11000\r\n' + 'x' * 0x11000)
+        wire = asked(
+            made,
+            PUT.replace('Content-Length: 100000', 'Transfer-Encoding: chunked') + '11000\r\n' + 'x' * 0x11000,
+        )
         origin = carried(made)
         wire.protocol.dataReceived(b'\r\nnoise\r\n')
         self.assertEqual((status(wire), origin.aborted), (400, True))
@@ -439,12 +473,12 @@
                 at, size = 0, 1
                 try:
                     while at < len(self.body):
-                        data = self.body[at:at + size]
+                        data = self.body[at : at + size]
                         link.sendall(b'%x\r\n%s\r\n' % (len(data), data))
                         at, size = at + len(data), size % 65_536 * 3 + 1
                     link.sendall(b'0\r\n\r\n')
                 except OSError:
-                    return              # a copy that lost its race
+                    return  # a copy that lost its race
 
     def shutdown(self):
         self.door.close()
@@ -468,23 +502,29 @@
     def test_32_mb_each_way_in_pieces(self):
         before, wanted = self.most_kb(), hashlib.sha256(self.body).hexdigest()
         done = []
-        threads = [threading.Thread(target=lambda number=number: done.append(self.read(number))) for number in range(4)]
+        threads = [
+            threading.Thread(target=lambda number=number: done.append(self.read(number)))
+            for number in range(4)
+        ]
         for thread in threads:
             thread.start()
         with socket.create_connection(('127.0.0.1', self.listen)) as link:
-            link.sendall(b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: up\r\nContent-Length: %d\r\n\r\n' % self.SIZE)
+            link.sendall(
+                b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: up\r\nContent-Length: %d\r\n\r\n' % self.SIZE
+            )
             for at in range(0, self.SIZE, 7_777):
-                link.sendall(self.body[at:at + 7_777])
+                link.sendall(self.body[at : at + 7_777])
             self.assertEqual(link.recv(15), b'HTTP/1.1 200 OK')
         for thread in threads:
             thread.join(60)
         self.assertEqual((done, self.servers['o'].got), ([wanted] * 4, wanted))
-        self.assertLess(self.most_kb() - before, self.GROWTH_KB)        # of 160 MB that went through
+        self.assertLess(self.most_kb() - before, self.GROWTH_KB)  # of 160 MB that went through
 
     def read(self, number):
         """A large answer, read by a client that stops now and then; its digest."""
         import http.client
         import time
+
         link = http.client.HTTPConnection('127.0.0.1', self.listen, timeout=10)
         link.request('GET', '/read/%d' % number, headers={'Req-Id': 'r%d' % number})
         answer, digest = link.getresponse(), hashlib.sha256()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -2,7 +2,18 @@
 
 import unittest
 
-from lilacdyke.net.http import ANSWER, MAX_BODY, MAX_HEAD, REQUEST, BadMessage, Chunks, Reader, answer, relayed, request
+from lilacdyke.net.http import (
+    ANSWER,
+    MAX_BODY,
+    MAX_HEAD,
+    REQUEST,
+    BadMessage,
+    Chunks,
+    Reader,
+    answer,
+    relayed,
+    request,
+)
 
 HEAD = b'PUT /read/k?q=1 HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nReq-Deadline: 0.5\r\nX-Own: 1\r\n'
 PLAIN = HEAD + b'Content-Length: 5\r\n\r\nhello'
@@ -14,7 +25,7 @@
     reader, found = Reader(first), []
     try:
         for at in range(0, len(data), step or len(data)):
-            reader.feed(data[at:at + (step or len(data))])
+            reader.feed(data[at : at + (step or len(data))])
             while message := reader.take():
                 found.append((message.parts, dict(message.fields), bytes(message.body)))
     except BadMessage as err:
@@ -31,9 +42,15 @@
 
 class Splits(unittest.TestCase):
     def test_any_split_reads_the_same(self):
-        streams = [PLAIN + CHUNKED + PLAIN, b'\r\n' + PLAIN, HEAD + b'Content-Length: x\r\n\r\n', CHUNKED[:-9] + b'zz',
-                   b'GET / HTTP/1.1\r\nA: ' + b'a' * MAX_HEAD, CHUNKED.replace(b'3\r\nllo', b'ffffff\r\nllo'),
-                   CHUNKED.replace(b'he\r\n', b'he!\r\n')]
+        streams = [
+            PLAIN + CHUNKED + PLAIN,
+            b'\r\n' + PLAIN,
+            HEAD + b'Content-Length: x\r\n\r\n',
+            CHUNKED[:-9] + b'zz',
+            b'GET / HTTP/1.1\r\nA: ' + b'a' * MAX_HEAD,
+            CHUNKED.replace(b'3\r\nllo', b'ffffff\r\nllo'),
+            CHUNKED.replace(b'he\r\n', b'he!\r\n'),
+        ]
         for stream in streams:
             whole = read(stream)
             for step in (1, 2, 3, 7, 100):
@@ -56,18 +73,25 @@
 class Bad(unittest.TestCase):
     def test_out_of_form(self):
         cases = {
-            b'GET /\r\n\r\n': 400, b'GET / HTTP/2.0\r\n\r\n': 400, b'GET  / HTTP/1.1\r\n\r\n': 400,
-            b'GET / HTTP/1.1\r\nA : b\r\n\r\n': 400, b'GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n': 400,
-            b'GET / HTTP/1.1\r\nA: b\nB: c\r\n\r\n': 400, b'GET / HTTP/1.1\r\nA: \0\r\n\r\n': 400,
+            b'GET /\r\n\r\n': 400,
+            b'GET / HTTP/2.0\r\n\r\n': 400,
+            b'GET  / HTTP/1.1\r\n\r\n': 400,
+            b'GET / HTTP/1.1\r\nA : b\r\n\r\n': 400,
+            b'GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n': 400,
+            b'GET / HTTP/1.1\r\nA: b\nB: c\r\n\r\n': 400,
+            b'GET / HTTP/1.1\r\nA: \0\r\n\r\n': 400,
             b'GET / HTTP/1.1\r\nReq-Id: 1\r\nReq-Id: 2\r\n\r\n': 400,
             HEAD + b'Content-Length: 5\r\nContent-Length: 6\r\n\r\n': 400,
             HEAD + b'Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n': 400,
-            HEAD + b'Transfer-Encoding: gzip, chunked\r\n\r\n': 400, HEAD + b'Content-Length: -1\r\n\r\n': 400,
-            HEAD + b'Content-Length: +5\r\n\r\n': 400, HEAD + b'Content-Length: 33554433\r\n\r\n': 413,
+            HEAD + b'Transfer-Encoding: gzip, chunked\r\n\r\n': 400,
+            HEAD + b'Content-Length: -1\r\n\r\n': 400,
+            HEAD + b'Content-Length: +5\r\n\r\n': 400,
+            HEAD + b'Content-Length: 33554433\r\n\r\n': 413,
             HEAD + b'Transfer-Encoding: chunked\r\n\r\n2000001\r\n': 413,
             HEAD + b'Transfer-Encoding: chunked\r\n\r\n-1\r\n': 400,
             HEAD + b'Transfer-Encoding: chunked\r\n\r\n1;' + b'x' * 2000: 400,
-            b'GET /' + b'x' * MAX_HEAD: 431}
+            b'GET /' + b'x' * MAX_HEAD: 431,
+        }
         for data, status in cases.items():
             with self.subTest(data=data[-60:]):
                 self.assertEqual(read(data), ([], status))
@@ -105,16 +129,27 @@
         self.assertEqual({type(piece) for piece in pieces}, {bytes})
 
     def test_an_answer_is_framed_anew(self):
-        got = one(b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n', ANSWER)
-        self.assertEqual(b''.join(relayed(got, False)), b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nContent-Length: 2\r\n'
-                         b'Connection: close\r\n\r\nab')
+        got = one(
+            b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n',
+            ANSWER,
+        )
+        self.assertEqual(
+            b''.join(relayed(got, False)),
+            b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nContent-Length: 2\r\nConnection: close\r\n\r\nab',
+        )
 
     def test_an_answer_of_its_own(self):
-        self.assertEqual(b''.join(answer(503, True, 'no', 'Retry-After: 0.5\r\n')).split(b'\r\n')[-4:],
-                         [b'Content-Length: 2', b'Retry-After: 0.5', b'', b'no'])
+        self.assertEqual(
+            b''.join(answer(503, True, 'no', 'Retry-After: 0.5\r\n')).split(b'\r\n')[-4:],
+            [b'Content-Length: 2', b'Retry-After: 0.5', b'', b'no'],
+        )
 
     def test_who_keeps_the_connection(self):
-        for minor, header, lasting in ((b'1', b'', True), (b'0', b'', False), (b'1', b'Connection: Close\r\n', False),
-                                       (b'0', b'Connection: keep-alive\r\n', True)):
+        for minor, header, lasting in (
+            (b'1', b'', True),
+            (b'0', b'', False),
+            (b'1', b'Connection: Close\r\n', False),
+            (b'0', b'Connection: keep-alive\r\n', True),
+        ):
             message = one(b'GET / HTTP/1.%s\r\n%s\r\n' % (minor, header))
             self.assertEqual(message.lasting, lasting)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -8,12 +8,14 @@
 
 def made(*failing):
     """A run's tests, one good and one bad: (suite, their ids)."""
+
     class Tests(unittest.TestCase):
         def test_good(self):
             """Passes."""
 
         def test_bad(self):
             self.fail('a real fault')
+
     tests = [Tests('test_good'), Tests('test_bad')]
     return unittest.TestSuite([unittest.TestSuite(tests)]), [test.id() for test in tests]
 
@@ -36,10 +38,16 @@
         self.assertEqual(run(''), (False, ''))
 
     def test_what_fails_a_run(self):
-        for listed in ('{bad}, rain, 35\n{good}, rain, 35\n',            # one of them passes
-                       '{bad}, rain, 35\ntests.nowhere, rain, 35\n', '{bad}, rain, 35\n{bad}, rain, 35\n',
-                       '{bad}, rain, 35\n\n', '{bad}, rain, 35\n{good} rain\n', '{bad}, , 35\n', '{bad}, rain, \n',
-                       '{bad}, rain, 35\n' + 'tests.nowhere, rain, 35\n' * 3):
+        for listed in (
+            '{bad}, rain, 35\n{good}, rain, 35\n',  # one of them passes
+            '{bad}, rain, 35\ntests.nowhere, rain, 35\n',
+            '{bad}, rain, 35\n{bad}, rain, 35\n',
+            '{bad}, rain, 35\n\n',
+            '{bad}, rain, 35\n{good} rain\n',
+            '{bad}, , 35\n',
+            '{bad}, rain, \n',
+            '{bad}, rain, 35\n' + 'tests.nowhere, rain, 35\n' * 3,
+        ):
             with self.subTest(listed=listed):
                 self.assertFalse(run(listed)[0])
 
@@ -50,6 +58,7 @@
     def test_discovery_goes_by_it(self):
         """The command of the README loads this package's own loader."""
         import tests
+
         loader, asked = unittest.TestLoader(), []
         loader.discover = lambda *given: asked.append(given) or unittest.TestSuite()
         before = known_red.listed
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -40,7 +40,7 @@
         self.assertEqual(sum(self.near()), 0)
 
     def test_homes_leave_a_zone_that_is_slow(self):
-        far = sum(self.near(lag=1250, heard=1))     # a quarter of the goal: half of the keys
+        far = sum(self.near(lag=1250, heard=1))  # a quarter of the goal: half of the keys
         self.assertTrue(10 < far < 45 and sum(self.near(lag=2500, heard=1)) > 35, far)
 
     def test_homes_are_for_all_zones_when_fetches_wait(self):
@@ -54,7 +54,9 @@
         txs = [taken(made, key='hot') for _ in range(LOOKUPS)]
         usual = [taken(made, key='k%d' % n) for n in range(3 * LOOKUPS)]
         homes = {made.ranked(0, tx)[0].name for tx in (taken(made, key='hot') for _ in range(40))}
-        self.assertEqual((len(homes) > 3, txs[0].known, txs[1].known, usual[0].known), (True, False, True, False))
+        self.assertEqual(
+            (len(homes) > 3, txs[0].known, txs[1].known, usual[0].known), (True, False, True, False)
+        )
 
     def test_a_key_with_a_few_parts_of_many_caches_is_told_by_a_longer_past(self):
         """Incident ib45222: with 191 caches a key with 2% of the reads is four times a cache's fair part."""
@@ -103,7 +105,6 @@
         first.share, made.chance = FLOOR, lambda: 0.5
         self.assertIs(made.pick(0, tx), second)
 
-
     def test_all_set_aside_get_no_more_than_their_trickle(self):
         made, tx, *_ = self.state(0)
         made.chance = lambda: 0.5
@@ -118,7 +119,6 @@
         first.share = FLOOR
         self.assertIs(made.pick(0, write), second)
 
-
     def test_under_strain_writes_keep_to_what_a_cache_bears(self):
         made, *_ = self.state(0)
         made.smooth, made.poor, write = 1, 9, taken(made, KEPT, write=True)
@@ -175,7 +175,6 @@
         taken(made)
         self.assertEqual(made.copies_left, 0)
 
-
     def test_no_budget_no_further_hop_after_an_error(self):
         made = router(3)
         tx = taken(made, KEPT, write=True)
@@ -326,7 +325,7 @@
 
     def test_what_lay_at_the_door_for_long_is_rolled_back_with_nothing_sent(self):
         decisions = []
-        for now in (2_500, 2_501):              # a goal is 5,000
+        for now in (2_500, 2_501):  # a goal is 5,000
             made = router(1)
             tx = made.take(now, 0, 'k', 20_000, False, 0)
             decisions.append(made.step(now, tx)[0])
@@ -334,7 +333,7 @@
 
     def test_reads_that_lay_at_the_door_add_nothing_to_the_budget_of_copies(self):
         left = []
-        for now in (625, 626):                  # an eighth of the goal is 625
+        for now in (625, 626):  # an eighth of the goal is 625
             made = router(1)
             made.copies_left = 0
             made.take(now, 0, 'k', 20_000, False, 0)
@@ -486,8 +485,10 @@
                 self.assertEqual((hop.server.origin, verb, fetch.server.origin), (False, 'send', True))
                 made.hop_ended(20, fetch, 'lost', 10, False, 0)
                 verbs = [decision[0] for decision in iter(lambda: made.decide(20), None)]
-                self.assertEqual(('send' in verbs, 'abandon' in verbs, len(tx.hops)),
-                                 (True, False, 3) if row == KEPT else (False, True, 2))
+                self.assertEqual(
+                    ('send' in verbs, 'abandon' in verbs, len(tx.hops)),
+                    (True, False, 3) if row == KEPT else (False, True, 2),
+                )
 
     def test_and_waits_for_anothers_fetch_of_its_key(self):
         made = router(3, origin=True)
@@ -525,7 +526,6 @@
         made.step_fetch(0, tx)
         self.assertTrue(tx.queued and not tx.hops)
 
-
     def test_fetches_give_way_where_writes_would_come_late(self):
         made = router(2, origin=True)
         made.origin.lag, made.chance, tx = made.goal, lambda: 0.5, taken(made)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,22 @@
 from lilacdyke.net.tables import Deadlines, Table
 from lilacdyke.values import BadLine
 
-from .helpers import SETTINGS, Wire, asked, client, dialled, entry, grown, lost, node, page, refused, said, sent, starting
+from .helpers import (
+    SETTINGS,
+    Wire,
+    asked,
+    client,
+    dialled,
+    entry,
+    grown,
+    lost,
+    node,
+    page,
+    refused,
+    said,
+    sent,
+    starting,
+)
 
 WATCH = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 DECLINED = b'HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n'
@@ -62,7 +77,9 @@
         first = table.add('a')
         table.remove(first)
         second = table.add('b')
-        self.assertEqual((table.get(first), table.get(second), len(table), list(table)), (None, 'b', 1, ['b']))
+        self.assertEqual(
+            (table.get(first), table.get(second), len(table), list(table)), (None, 'b', 1, ['b'])
+        )
 
     def test_removing_twice_frees_once(self):
         table = Table()
@@ -117,7 +134,9 @@
 
     def test_one_line_whatever_the_values_hold(self):
         line = KeyValue().format(self.record(server='a b', reason='x\ny="1"', count=3))
-        self.assertTrue(line.endswith('level=info event="set aside" server="a b" reason="x\\ny=\\"1\\"" count=3'))
+        self.assertTrue(
+            line.endswith('level=info event="set aside" server="a b" reason="x\\ny=\\"1\\"" count=3')
+        )
 
     def test_the_same_fault_is_written_a_few_times_only(self):
         sparse = Sparse()
@@ -133,14 +152,20 @@
 
     def test_bad_requests(self):
         start = 'GET /read/k HTTP/1.1\r\n'
-        cases = {'nonsense\r\n\r\n': (400, True), 'GET /nope HTTP/1.1\r\nHost: x\r\n\r\n': (404, False),
-                 'GET / HTTP/1.1\r\nHost: x\r\n\r\n': (404, False), 'GET * HTTP/1.1\r\nHost: x\r\n\r\n': (404, False),
-                 'POST /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n': (405, False),
-                 start + 'Host: x\r\n\r\n': (400, True), start + 'Req-Id: 1\r\n\r\n': (400, True),
-                 start + 'Host: x\r\nReq-Id: 1\r\nReq-Deadline: soon\r\n\r\n': (400, True),
-                 start + 'Host: x\r\nReq-Id: 1\r\nReq-Deadline: -1\r\n\r\n': (400, True),
-                 start + 'Host: x\r\nReq-Id: 1\r\nReq-Owner: nobody\r\n\r\n': (400, True),
-                 start + 'Content-Length: 70000000\r\n\r\n': (413, True), start + 'a' * 20_000: (431, True)}
+        cases = {
+            'nonsense\r\n\r\n': (400, True),
+            'GET /nope HTTP/1.1\r\nHost: x\r\n\r\n': (404, False),
+            'GET / HTTP/1.1\r\nHost: x\r\n\r\n': (404, False),
+            'GET * HTTP/1.1\r\nHost: x\r\n\r\n': (404, False),
+            'POST /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n': (405, False),
+            start + 'Host: x\r\n\r\n': (400, True),
+            start + 'Req-Id: 1\r\n\r\n': (400, True),
+            start + 'Host: x\r\nReq-Id: 1\r\nReq-Deadline: soon\r\n\r\n': (400, True),
+            start + 'Host: x\r\nReq-Id: 1\r\nReq-Deadline: -1\r\n\r\n': (400, True),
+            start + 'Host: x\r\nReq-Id: 1\r\nReq-Owner: nobody\r\n\r\n': (400, True),
+            start + 'Content-Length: 70000000\r\n\r\n': (413, True),
+            start + 'a' * 20_000: (431, True),
+        }
         for text, expected in cases.items():
             with self.subTest(text=text[:60]):
                 wire = asked(node(), text)
@@ -148,15 +173,21 @@
 
     def test_a_read_that_may_have_a_body_is_not_taken_for_a_whole_one_by_its_head(self):
         start = b'GET /read/k HTTP/1.1\r\nHost: x\r\n'
-        for more in (b'Content-Length: 3\r\n', b'TRANSFER-ENCODING : chunked\r\n', b'content-length:3\r\nA: b\r\n'):
+        for more in (
+            b'Content-Length: 3\r\n',
+            b'TRANSFER-ENCODING : chunked\r\n',
+            b'content-length:3\r\nA: b\r\n',
+        ):
             with self.subTest(more=more):
                 self.assertFalse(one_read(start + more + b'\r\n'))
         for more in (b'', b'X-Content-Length: 3\r\n', b'A: content-length: 3\r\n'):
             self.assertTrue(one_read(start + more + b'\r\n'))
 
     def test_a_request_cut_at_any_byte_is_the_same_request(self):
-        text = (b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: 9\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n'
-                b'3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n')
+        text = (
+            b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: 9\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n'
+            b'3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n'
+        )
         for at in range(1, len(text)):
             made = node()
             wire = asked(made, text[:at].decode())
@@ -183,7 +214,7 @@
     def test_what_waited_too_long_is_refused_unread_and_its_connection_stays(self):
         made = node()
         protocol, wire = client(made)
-        wire.age = 251                          # a goal is 500
+        wire.age = 251  # a goal is 500
         protocol.dataReceived(b'GET /nowhere/k HTTP/1.1\r\n\r\n')
         first = status(wire), wire.ended
         wire.age = 0
@@ -192,8 +223,9 @@
 
     def test_a_second_request_behind_the_first_waits_for_its_answer(self):
         made = node()
-        wire, cache = sent(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n'
-                                 'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
+        wire, cache = sent(
+            made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\nGET /ready HTTP/1.1\r\nHost: x\r\n\r\n'
+        )
         cache.protocol.dataReceived(said())
         made.reactor.advance(0.001)
         self.assertEqual(wire.value().count(b'HTTP/1.1 200 OK'), 2)
@@ -213,7 +245,9 @@
         made = node()
         wire = asked(made, 'nonsense\r\n\r\n')
         made.reactor.advance(1.1)
-        self.assertEqual((wire.disconnecting, wire.aborted), (True, False))     # a reset would take the answer back
+        self.assertEqual(
+            (wire.disconnecting, wire.aborted), (True, False)
+        )  # a reset would take the answer back
 
     def test_one_whose_answer_has_not_left_is_not_closed_on(self):
         made = node()
@@ -253,7 +287,7 @@
         second = asked(made, text)
         cache.protocol.dataReceived(said())
         self.assertEqual((status(second), status(wire), len(made.reactor.tcpClients)), (409, 200, dials))
-        self.assertEqual(status(asked(made, text)), None)       # it is free again
+        self.assertEqual(status(asked(made, text)), None)  # it is free again
 
     def test_one_that_asks_for_nothing_there_is_again_and_again_loses_its_connection(self):
         wire = asked(node(), 'GET /nope HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -290,7 +324,7 @@
 
     def setUp(self):
         super().setUp()
-        self.made = node(limits={'cores': 1, 'memory_mb': 192, 'sockets': 32})      # four clients
+        self.made = node(limits={'cores': 1, 'memory_mb': 192, 'sockets': 32})  # four clients
         self.front = self.made.front
         self.reading = []
         self.front.port.stopReading = lambda: self.reading.append(False)
@@ -335,7 +369,7 @@
         self.assertEqual([wire.ended for wire in wires], [True] * 4 + [False] * 16)
 
     def test_idle_clients_do_not_keep_others_out(self):
-        self.front.budget = 32                  # two make way at a time
+        self.front.budget = 32  # two make way at a time
         wires = [asked(self.made, READY) for _ in range(4)]
         self.made.reactor.advance(0.2)
         self.front.full = True
@@ -349,16 +383,23 @@
         door = self.door()
         door.listening.accept = lambda: (wires.pop(0), 'there')
         late, gone, fine = wires[:3]
-        self.assertEqual((door.accept()[0], late.value()[:12], late.closed, gone.value(), gone.closed),
-                         (fine, b'HTTP/1.1 503', True, b'', True))
+        self.assertEqual(
+            (door.accept()[0], late.value()[:12], late.closed, gone.value(), gone.closed),
+            (fine, b'HTTP/1.1 503', True, b'', True),
+        )
 
     def door(self):
         return Door(Wire(), self.made.router.late, one_read, self.front.refusal, self.front.crowded)
 
     def test_the_door_closes_on_nobody_whose_request_is_not_all_there(self):
         read = b'GET /read/k HTTP/1.1\r\n\r\n'
-        for unread in (None, read[:9], read + b'GET', b'GET /read/k HTTP/1.1\r\nA: ' + b'x' * 20_000 + b'\r\n\r\n',
-                       b'PUT /once/k HTTP/1.1\r\nContent-Length: 2\r\n\r\nh'):
+        for unread in (
+            None,
+            read[:9],
+            read + b'GET',
+            b'GET /read/k HTTP/1.1\r\nA: ' + b'x' * 20_000 + b'\r\n\r\n',
+            b'PUT /once/k HTTP/1.1\r\nContent-Length: 2\r\n\r\nh',
+        ):
             with self.subTest(unread=unread and unread[:30]):
                 door, wire = self.door(), Wire()
                 wire.state, wire.age, wire.unread = 1, 300, unread
@@ -367,7 +408,12 @@
 
     def test_one_that_takes_no_answer_is_not_let_in_without_its_request(self):
         wires = [Wire(), Wire()]
-        wires[0].state, wires[0].age, wires[0].unread, wires[0].stuck = 1, 300, b'GET /read/k HTTP/1.1\r\n\r\n', True
+        wires[0].state, wires[0].age, wires[0].unread, wires[0].stuck = (
+            1,
+            300,
+            b'GET /read/k HTTP/1.1\r\n\r\n',
+            True,
+        )
         door, late = self.door(), wires[0]
         door.listening.accept = lambda: (wires.pop(0), 'there')
         self.assertEqual((door.accept()[0] is late, late.closed), (False, True))
@@ -377,6 +423,7 @@
 
         def none_left():
             raise OSError(EMFILE, 'too many open files')
+
         door.listening.accept = none_left
         _, cache = sent(self.made)
         cache.protocol.dataReceived(said())
@@ -398,12 +445,14 @@
         cache.protocol.dataReceived(said())
         self.made.caches.budget = 1
         dials = len(self.made.reactor.tcpClients)
-        asked(self.made, PUT % 'once')          # to the origin
+        asked(self.made, PUT % 'once')  # to the origin
         self.assertEqual((cache.disconnecting, len(self.made.reactor.tcpClients)), (True, dials + 1))
 
     def test_the_system_running_out_is_no_word_about_the_cache(self):
         asked(self.made)
-        self.made.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(ConnectBindError(EMFILE, 'full')))
+        self.made.reactor.tcpClients[-1][2].clientConnectionFailed(
+            None, Failure(ConnectBindError(EMFILE, 'full'))
+        )
         self.assertEqual(self.made.counts['hops_unsent'], 1)
 
 
@@ -412,7 +461,9 @@
         made = node()
         server = made.servers['c0']
         asked(made)
-        made.reactor.tcpClients[-1][2].clientConnectionFailed(None, Failure(ConnectionRefusedError(ECONNREFUSED)))
+        made.reactor.tcpClients[-1][2].clientConnectionFailed(
+            None, Failure(ConnectionRefusedError(ECONNREFUSED))
+        )
         made.reactor.advance(1)
         before = server.started
         made.caches.send(server, asked(made).protocol.errand.message, made.clock() + 100, lambda: True, False)
@@ -429,11 +480,20 @@
         return sorted(what[5:] for what in made.counts if what.startswith('hops_'))
 
     def test_what_an_answer_says(self):
-        cases = {said(200): 'committed', said(404): 'missing', said(500): 'error', said(302): 'error', said(400): 'rejected',
-                 said(503): 'error', said(503, more='Srv-Declined: 1\r\n'): 'refused',
-                 said(504, more='Srv-Declined: 1\r\n'): 'refused', b'HTTP/1.1 100 Continue\r\n\r\n' + said(): 'committed',
-                 b'nonsense\r\n\r\n': 'spoilt', said(200, 'x' * 70_000): 'committed',
-                 b'HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n': 'spoilt'}
+        cases = {
+            said(200): 'committed',
+            said(404): 'missing',
+            said(500): 'error',
+            said(302): 'error',
+            said(400): 'rejected',
+            said(503): 'error',
+            said(503, more='Srv-Declined: 1\r\n'): 'refused',
+            said(504, more='Srv-Declined: 1\r\n'): 'refused',
+            b'HTTP/1.1 100 Continue\r\n\r\n' + said(): 'committed',
+            b'nonsense\r\n\r\n': 'spoilt',
+            said(200, 'x' * 70_000): 'committed',
+            b'HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n': 'spoilt',
+        }
         for answer, how in cases.items():
             with self.subTest(answer=answer[:60]):
                 made = node()
@@ -476,7 +536,9 @@
         wire, cache = sent(made, PUT % 'once')
         dials = len(made.reactor.tcpClients)
         lost(cache)
-        self.assertEqual((self.ended(made), status(wire), len(made.reactor.tcpClients)), (['lost'], 502, dials))
+        self.assertEqual(
+            (self.ended(made), status(wire), len(made.reactor.tcpClients)), (['lost'], 502, dials)
+        )
 
     def test_refused_connections_never_ran(self):
         made = node()
@@ -560,7 +622,7 @@
         _, cache = sent(made)
         asked(made)
         asked(made)
-        cache.protocol.dataReceived(said())     # serves the first of the two
+        cache.protocol.dataReceived(said())  # serves the first of the two
         made.reactor.advance(0.011)
         refused(made, -2)
         self.assertEqual(self.ended(made), ['committed'])
@@ -577,21 +639,26 @@
         made = node()
         server, message = made.router.caches[0], asked(made).protocol.errand.message
         refused(made)
-        repeat, first = (made.caches.send(server, message, made.clock() + 9_000, lambda: True, again) for again in (True, False))
+        repeat, first = (
+            made.caches.send(server, message, made.clock() + 9_000, lambda: True, again)
+            for again in (True, False)
+        )
         ended = []
         for trip in (repeat, first):
             trip.done.addCallback(lambda ending: ended.append(ending[0]))
         pool = made.caches.pools[server]
         repeat.by = made.clock() - 1
         wire = dialled(made)
-        self.assertEqual((ended, first.link is wire.protocol, pool.waiting), (['unsent'], True, type(pool.waiting)()))
+        self.assertEqual(
+            (ended, first.link is wire.protocol, pool.waiting), (['unsent'], True, type(pool.waiting)())
+        )
 
     def test_what_has_not_left_whole_need_not_where_nothing_may_be_cancelled(self):
         made = node()
         made.place.terms.may_cancel = False
         wire = asked(made)
         cache = dialled(made, stuck=True)
-        cache.protocol.left = False             # the system took a part
+        cache.protocol.left = False  # the system took a part
         lost(wire)
         self.assertEqual((cache.aborted, len(made.passages)), (True, 0))
 
@@ -612,28 +679,42 @@
 class Discovered(Quiet):
     def test_a_change_reaches_the_module(self):
         made = node()
-        watched(made).protocol.dataReceived(chunk({'generation': 5, 'reset': False, 'instances': [
-            entry('c0', state='DRAINING'), entry('c1')]}))
+        watched(made).protocol.dataReceived(
+            chunk(
+                {'generation': 5, 'reset': False, 'instances': [entry('c0', state='DRAINING'), entry('c1')]}
+            )
+        )
         self.assertEqual(([s.name for s in made.router.caches], made.discovery.version), (['c1'], 5))
 
     def test_what_a_whole_list_lacks_is_gone(self):
         made = node()
-        watched(made).protocol.dataReceived(chunk({'generation': 5, 'reset': True, 'instances': [entry('c9')]}))
+        watched(made).protocol.dataReceived(
+            chunk({'generation': 5, 'reset': True, 'instances': [entry('c9')]})
+        )
         self.assertEqual(([s.name for s in made.router.caches], made.router.origin), (['c9'], None))
 
     def test_bad_lines_end_the_watch_and_keep_the_list(self):
         good = {'generation': 5, 'reset': True, 'instances': [entry('c9')]}
-        bad = [dict(good, generation='5'), dict(good, reset=0), dict(good, instances={}), 7, [],
-               dict(good, instances=[entry('c9', hostPort='cache.local:80')]),
-               dict(good, instances=[entry('c9', state='ASLEEP')]),
-               dict(good, instances=[entry('c9', weight=float('nan'))]), dict(good, instances=[entry('c9', cell=True)])]
+        bad = [
+            dict(good, generation='5'),
+            dict(good, reset=0),
+            dict(good, instances={}),
+            7,
+            [],
+            dict(good, instances=[entry('c9', hostPort='cache.local:80')]),
+            dict(good, instances=[entry('c9', state='ASLEEP')]),
+            dict(good, instances=[entry('c9', weight=float('nan'))]),
+            dict(good, instances=[entry('c9', cell=True)]),
+        ]
         for line in [chunk(value) for value in bad] + [b'3\r\n{\n\n\r\n', b'zz\r\n', b'0\r\n\r\n']:
             with self.subTest(line=line[:70]):
                 made = node()
                 wire = watched(made)
                 wire.protocol.dataReceived(line)
-                self.assertEqual((wire.aborted, [s.name for s in made.router.caches], made.discovery.version),
-                                 (True, ['c0'], 4))
+                self.assertEqual(
+                    (wire.aborted, [s.name for s in made.router.caches], made.discovery.version),
+                    (True, ['c0'], 4),
+                )
 
     def test_no_watch_is_no_list(self):
         made = node()
@@ -667,7 +748,7 @@
         made = node()
         watched(made)
         without, longest = 0, 0
-        for _ in range(1_200):          # 12 s: a watch that is open is told at once
+        for _ in range(1_200):  # 12 s: a watch that is open is told at once
             made.reactor.advance(0.01)
             without = 0 if made.discovery.watch else without + 1
             longest = max(longest, without)
@@ -676,7 +757,9 @@
     def test_where_lists_are_asked_for_it_is_no_longer_without_one(self):
         for within in (0.4, 0.3, 0.05):
             with self.subTest(within=within):
-                made = node(settings=grown(membershipMode='on_request', safety={'stopSendingWithinS': within}))
+                made = node(
+                    settings=grown(membershipMode='on_request', safety={'stopSendingWithinS': within})
+                )
                 dialled(made).protocol.dataReceived(WATCH)
                 without, longest = 0, 0
                 for _ in range(1_200):
@@ -686,9 +769,12 @@
                 self.assertTrue(1 <= longest <= 100 * within, longest)
 
     def test_discovery_that_turns_calls_away_is_asked_ever_less_and_one_that_hangs_up_is_not(self):
-        for head, least, most in ((DECLINED, 8, 14), (b'HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n', 90, 240)):
+        for head, least, most in (
+            (DECLINED, 8, 14),
+            (b'HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n', 90, 240),
+        ):
             made, calls = node(settings=grown(membershipMode='on_request')), 0
-            for _ in range(2_000):      # 20 s
+            for _ in range(2_000):  # 20 s
                 if len(made.reactor.tcpClients) > calls:
                     calls = len(made.reactor.tcpClients)
                     dialled(made).protocol.dataReceived(head)
@@ -707,7 +793,12 @@
         """From when discovery could be reached until the list is in force: whatever the calls before that came to, and the one under
         way then, which says nothing more, or trickles."""
         chance = Random(7)
-        for mode, within, most in (('pushed', 0.4, 5.0), ('on_request', 0.4, 5.0), ('pushed', 9.0, 5.8), ('on_request', 9.0, 5.8)):
+        for mode, within, most in (
+            ('pushed', 0.4, 5.0),
+            ('on_request', 0.4, 5.0),
+            ('pushed', 9.0, 5.8),
+            ('on_request', 9.0, 5.8),
+        ):
             longest = 0
             for _ in range(60):
                 made = node(settings=grown(membershipMode=mode, safety={'stopSendingWithinS': within}))
@@ -718,12 +809,19 @@
 
     def play(self, made, chance, reached):
         """Calls that fail until then, in any way; the first one after it is answered at once. When the list was in force."""
-        calls, trickling, change = 0, None, chunk({'generation': 9, 'reset': False, 'instances': [entry('c0', state='DRAINING')]})
+        calls, trickling, change = (
+            0,
+            None,
+            chunk({'generation': 9, 'reset': False, 'instances': [entry('c0', state='DRAINING')]}),
+        )
         while made.router.caches:
             self.assertLess(made.clock(), reached + 100_000)
             if len(made.reactor.tcpClients) > calls:
                 calls = len(made.reactor.tcpClients)
-                how, trickling = chance.choice(('refused', 'no connection', 'silent', 'head', 'trickle', 'declined')), None
+                how, trickling = (
+                    chance.choice(('refused', 'no connection', 'silent', 'head', 'trickle', 'declined')),
+                    None,
+                )
                 if made.clock() >= reached:
                     dialled(made).protocol.dataReceived(WATCH + change)
                 elif how == 'refused':
@@ -747,9 +845,13 @@
         old.protocol.dataReceived(chunk({'generation': 9, 'reset': True, 'instances': []}))
         lost(old)
         made.reactor.advance(0.9)
-        self.assertEqual((moved, old.aborted, made.reactor.tcpClients[-1][1], len(made.reactor.tcpClients)),
-                         (True, True, 8501, 2))
-        self.assertEqual((made.discovery.version, made.discovery.failures, len(made.router.caches)), (4, 0, 1))
+        self.assertEqual(
+            (moved, old.aborted, made.reactor.tcpClients[-1][1], len(made.reactor.tcpClients)),
+            (True, True, 8501, 2),
+        )
+        self.assertEqual(
+            (made.discovery.version, made.discovery.failures, len(made.router.caches)), (4, 0, 1)
+        )
         self.assertIn(b'index=4 ', dialled(made).value())
 
     def test_a_move_does_not_inherit_the_old_waits(self):
@@ -766,8 +868,14 @@
 
     def test_the_page_is_read_again_and_a_bad_one_changes_nothing(self):
         made = node()
-        for text, port in ((page(discovery='127.0.0.1:8501'), 8501), ('{', 8501), ('[' * 100_000, 8501),
-                           (page(discovery='127.0.0.1:8501', listen='x'), 8501), (page(), 8500), (page(), 8500)):
+        for text, port in (
+            (page(discovery='127.0.0.1:8501'), 8501),
+            ('{', 8501),
+            ('[' * 100_000, 8501),
+            (page(discovery='127.0.0.1:8501', listen='x'), 8501),
+            (page(), 8500),
+            (page(), 8500),
+        ):
             with self.subTest(text=text[:80]), tempfile.NamedTemporaryFile('w') as file:
                 file.write(text)
                 file.flush()
@@ -796,7 +904,7 @@
             made.listed(True, [Entry(entry('c%d' % number)), Entry(entry('o', 'origin'))])
             counts.append((len(made.servers), len(made.caches.pools), len(made.router.known)))
             if number == 6:
-                made.reactor.pump([0.1] * 21)   # the hop's limit
+                made.reactor.pump([0.1] * 21)  # the hop's limit
         self.assertEqual(counts, [(3, 3, 3), (3, 3, 3), (2, 2, 2)])
 
     def test_a_new_server_at_the_address_of_one_gone_is_new(self):
@@ -806,8 +914,10 @@
         made.listed(False, [Entry(entry('c0', state='DELETED')), Entry(entry('c9', startedAtMs=1e12))])
         dials = len(made.reactor.tcpClients)
         asked(made)
-        self.assertEqual((cache.disconnecting, len(made.reactor.tcpClients), sorted(made.servers)),
-                         (True, dials + 1, ['c9', 'o']))
+        self.assertEqual(
+            (cache.disconnecting, len(made.reactor.tcpClients), sorted(made.servers)),
+            (True, dials + 1, ['c9', 'o']),
+        )
 
     def test_connections_to_who_drains_are_not_kept(self):
         made = node()
@@ -822,7 +932,10 @@
         """Which ports a node of zone b dials for forty new keys, with two caches in either zone."""
         settings = dict(SETTINGS, zone=1, fees=dict(SETTINGS['fees'], **fees))
         rows = [entry('c%d' % n, zone='ab'[n % 2], hostPort='127.0.0.1:%d' % (8000 + n)) for n in range(4)]
-        made = node(settings=settings, known={'generation': 1, 'reset': True, 'instances': rows + [entry('o', 'origin')]})
+        made = node(
+            settings=settings,
+            known={'generation': 1, 'reset': True, 'instances': rows + [entry('o', 'origin')]},
+        )
         made.router.often, before = False, len(made.reactor.tcpClients)
         for key in range(40):
             asked(made, 'GET /read/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n\r\n' % (key, key))
@@ -877,7 +990,9 @@
         before = made.phase, list(open_)
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
         wire = asked(made)
-        self.assertEqual((before, made.phase, open_[:1], status(wire)), ((STARTING, []), DRAINING, [SERVING], 503))
+        self.assertEqual(
+            (before, made.phase, open_[:1], status(wire)), ((STARTING, []), DRAINING, [SERVING], 503)
+        )
 
     def test_nor_longer_than_a_lost_watch_takes_and_its_exit_counts_from_sigterm(self):
         made = starting()
