--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -36,10 +36,19 @@
 class Door(Quiet):
     def test_what_is_asked_has_its_answer(self):
         made, door = desk()
-        cases = {'GET /v1/readyz': 200, 'POST /v1/readyz': 405, 'GET /v1/node/drain': 405, 'POST /v1/node/activate': 200,
-                 'GET /v1': 404, 'POST /v1/cache-servers/c0/stop': 404, 'POST /v1/cache-servers/c9/suspend': 404,
-                 'POST /v1/cache-servers/o/suspend': 404, 'POST /v1/cache-servers/c%30/suspend': 200,
-                 'POST http://x:1/v1/cache-servers/c0/resume?a=b': 200, 'POST  /v1/node/drain': 400}
+        cases = {
+            'GET /v1/readyz': 200,
+            'POST /v1/readyz': 405,
+            'GET /v1/node/drain': 405,
+            'POST /v1/node/activate': 200,
+            'GET /v1': 404,
+            'POST /v1/cache-servers/c0/stop': 404,
+            'POST /v1/cache-servers/c9/suspend': 404,
+            'POST /v1/cache-servers/o/suspend': 404,
+            'POST /v1/cache-servers/c%30/suspend': 200,
+            'POST http://x:1/v1/cache-servers/c0/resume?a=b': 200,
+            'POST  /v1/node/drain': 400,
+        }
         for line, told in cases.items():
             with self.subTest(line=line):
                 self.assertEqual(status(call(door, line + ' HTTP/1.1\r\nHost: x\r\n\r\n')), told)
@@ -47,7 +56,9 @@
     def test_a_call_byte_by_byte_and_in_chunks(self):
         made, door = desk()
         wire = call(door, '')
-        for byte in b'\r\nPOST /v1/node/drain HTTP/1.1\r\ntransfer-ENCODING: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n':
+        for (
+            byte
+        ) in b'\r\nPOST /v1/node/drain HTTP/1.1\r\ntransfer-ENCODING: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n':
             wire.protocol.dataReceived(bytes([byte]))
         self.assertEqual((status(wire), made.phase), (200, AWAY))
 
@@ -88,15 +99,19 @@
 
     def test_two_calls_out_and_one_back(self):
         made = router(2)
-        self.assertEqual([made.suspend(5, 'c0'), made.suspend(6, 'c0'), made.resume(7, 'c0'), made.banned('c0')],
-                         [True, True, True, False])
+        self.assertEqual(
+            [made.suspend(5, 'c0'), made.suspend(6, 'c0'), made.resume(7, 'c0'), made.banned('c0')],
+            [True, True, True, False],
+        )
 
     def test_one_unknown_is_owed_a_no_and_one_deleted_while_out_comes_back(self):
         made = router(2)
         made.suspend(5, 'c0')
         made.list_replaced(6, [(made.known['c1'], 'ready', 1, None, 0, 0)])
-        self.assertEqual((made.suspend(7, 'x'), made.resume(7, 'x'), made.resume(7, 'c0'), made.resume(8, 'c0')),
-                         (False, False, True, False))
+        self.assertEqual(
+            (made.suspend(7, 'x'), made.resume(7, 'x'), made.resume(7, 'c0'), made.resume(8, 'c0')),
+            (False, False, True, False),
+        )
 
     def test_it_comes_back_cold_whatever_an_old_list_says(self):
         made = router(2)
@@ -106,7 +121,7 @@
         made.resume(900, 'c0')
         made.list_changed(1_000, [(server, 'ready', 1, None, 0, 0)])
         self.assertEqual((server.started, server.doubt, made.presence(1_000, server) < 0.3), (900, 0, True))
-        made.list_changed(1_000, [(server, 'ready', 1, 700, 0, 0)])      # the restart that the list heard of
+        made.list_changed(1_000, [(server, 'ready', 1, 700, 0, 0)])  # the restart that the list heard of
         self.assertEqual(server.started, 700)
 
     def test_it_comes_back_drained_if_the_list_says_so(self):
@@ -148,7 +163,9 @@
         resting, _ = asked(made, READY), post(door, 'node/drain')
         late, server = sent(made)
         server.protocol.dataReceived(said())
-        self.assertEqual((status(asked(made, READY)), status(late), late.ended, resting.ended), (503, 200, True, False))
+        self.assertEqual(
+            (status(asked(made, READY)), status(late), late.ended, resting.ended), (503, 200, True, False)
+        )
         made.reactor.pump([0.25] * 14)
         self.assertTrue(resting.ended)
 
@@ -164,7 +181,9 @@
         made, door = desk()
         post(door, 'node/drain')
         made.reactor.advance(0.3)
-        self.assertEqual((post(door, 'node/activate'), made.phase, status(asked(made, READY))), (200, SERVING, 200))
+        self.assertEqual(
+            (post(door, 'node/activate'), made.phase, status(asked(made, READY))), (200, SERVING, 200)
+        )
         resting = asked(made, READY)
         made.reactor.pump([0.25] * 8)
         self.assertFalse(resting.ended)
@@ -173,5 +192,7 @@
         made, door = desk()
         post(door, 'node/drain')
         made.drain()
-        self.assertEqual((made.phase, post(door, 'node/activate'), post(door, 'node/drain')), (DRAINING, 503, 200))
+        self.assertEqual(
+            (made.phase, post(door, 'node/activate'), post(door, 'node/drain')), (DRAINING, 503, 200)
+        )
         self.assertEqual(status(call(door, 'GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n')), 503)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,7 +33,10 @@
 
     def test_one_heir_at_a_time_and_another_after_it_died(self):
         elder = Succession(384, 32)
-        self.assertEqual([elder.heir_came(), elder.heir_came(), elder.heir_gone(), elder.heir_came()], [True, False, None, True])
+        self.assertEqual(
+            [elder.heir_came(), elder.heir_came(), elder.heir_gone(), elder.heir_came()],
+            [True, False, None, True],
+        )
 
     def test_an_ending_elder_does_not_take_clients_again(self):
         elder = Succession(384, 32)
@@ -81,6 +84,7 @@
 
     def kin_of(self, made):
         from lilacdyke.net.handover import Kin
+
         return Kin(made, made.reactor, made.deadlines, made.clock, self.folder.name, 384, 32)
 
     def says(self, **line):
@@ -93,11 +97,24 @@
         heir.discovery.version, heir.kin = None, self.kin_of(heir)
         heir.kin.serves = lambda: None
         heir.begin(dict(told, v=1), None)
-        self.assertEqual((heir.phase, heir.ready(), heir.router.banned('c0'), heir.servers['c0'].state, heir.servers['o'].state,
-                          heir.discovery.version), ('away', False, True, 'banned', 'ready', 4))
+        self.assertEqual(
+            (
+                heir.phase,
+                heir.ready(),
+                heir.router.banned('c0'),
+                heir.servers['c0'].state,
+                heir.servers['o'].state,
+                heir.discovery.version,
+            ),
+            ('away', False, True, 'banned', 'ready', 4),
+        )
 
     def test_what_is_given_and_cannot_be_used_means_a_plain_start(self):
-        for told in ({}, {'list': 3, 'away': True}, {'list': self.made.legacy()['list'], 'hand': {'c0': 7}, 'away': False}):
+        for told in (
+            {},
+            {'list': 3, 'away': True},
+            {'list': self.made.legacy()['list'], 'hand': {'c0': 7}, 'away': False},
+        ):
             with self.subTest(told=told):
                 heir = starting(operator='127.0.0.1:9002')
                 heir.kin = self.kin_of(heir)
@@ -125,7 +142,10 @@
 
     def test_a_call_at_the_other_binds_this_one(self):
         self.says(call=['suspend', 'c0'], n=7)
-        self.assertEqual((self.made.router.banned('c0'), json.loads(self.wire.value().splitlines()[-1])), (True, {'done': 7}))
+        self.assertEqual(
+            (self.made.router.banned('c0'), json.loads(self.wire.value().splitlines()[-1])),
+            (True, {'done': 7}),
+        )
 
     def test_ready_stays_yes_while_the_elder_empties(self):
         self.says(serves=True)
@@ -145,11 +165,20 @@
         self.says(serves=True)
         yielded = self.made.front.yielded, self.made.router.handed
         self.heir.connectionLost()
-        self.assertEqual((yielded, self.made.front.yielded, self.made.router.handed), ((True, True), False, False))
+        self.assertEqual(
+            (yielded, self.made.front.yielded, self.made.router.handed), ((True, True), False, False)
+        )
         self.assertGreater(self.made.front.budget, 100)
 
     def test_lines_out_of_form_end_the_link_only(self):
-        for line in (b'[]\n', b'{"call": ["stop"]}\n', b'nonsense\n', b'{"call": 3, "n": 1}\n', b'{"v": 2}\n', b'\xff\n'):
+        for line in (
+            b'[]\n',
+            b'{"call": ["stop"]}\n',
+            b'nonsense\n',
+            b'{"call": 3, "n": 1}\n',
+            b'{"v": 2}\n',
+            b'\xff\n',
+        ):
             with self.subTest(line=line):
                 link, wire = Link(self.made.kin, False), Wire()
                 link.kin.heir_came = lambda link: None
@@ -175,7 +204,7 @@
     def test_sigterm_ends_it_and_an_answer_that_comes_then_begins_nothing(self):
         self.made.drain()
         ended = self.made.phase, self.made.reactor.hasStopped
-        self.made.reactor.advance(1.1)          # it asks nobody for longer
+        self.made.reactor.advance(1.1)  # it asks nobody for longer
         self.assertEqual((ended, self.made.phase, self.made.front.port), ((STOPPED, True), STOPPED, None))
 
     def test_sighup_is_not_lost_on_it(self):
@@ -185,7 +214,9 @@
         self.made.reread(path)
         before = len(self.made.reactor.tcpClients)
         self.made.reactor.advance(1.1)
-        self.assertEqual((before, [client[:2] for client in self.made.reactor.tcpClients]), (0, [('127.0.0.1', 8501)]))
+        self.assertEqual(
+            (before, [client[:2] for client in self.made.reactor.tcpClients]), (0, [('127.0.0.1', 8501)])
+        )
 
 
 class Caches(ThreadingHTTPServer):
@@ -251,15 +282,27 @@
     def begin(self, ready=True, **bends):
         """Start a process of the node, maybe bent by the trial's launcher: (process, its operators' port)."""
         door, path = free(), os.path.join(self.folder.name, 'page.json')
-        known = [entry(name, 'origin' if name == 'o' else 'std', hostPort='127.0.0.1:%d' % server.server_port)
-                 for name, server in self.servers.items()]
+        known = [
+            entry(name, 'origin' if name == 'o' else 'std', hostPort='127.0.0.1:%d' % server.server_port)
+            for name, server in self.servers.items()
+        ]
         with open(path, 'w', encoding='utf-8') as file:
-            file.write(page(listen='127.0.0.1:%d' % self.listen, operator='127.0.0.1:%d' % door, discovery='127.0.0.1:%d' % free(),
-                            limits={'cores': 1.0, 'memory_mb': 80, 'sockets': 384}, settings=SETTINGS,
-                            known={'generation': 4, 'reset': True, 'instances': known}))
+            file.write(
+                page(
+                    listen='127.0.0.1:%d' % self.listen,
+                    operator='127.0.0.1:%d' % door,
+                    discovery='127.0.0.1:%d' % free(),
+                    limits={'cores': 1.0, 'memory_mb': 80, 'sockets': 384},
+                    settings=SETTINGS,
+                    known={'generation': 4, 'reset': True, 'instances': known},
+                )
+            )
         program = ['lilacdyke.trial.launch', json.dumps(bends)] if bends else ['lilacdyke']
-        process = subprocess.Popen([sys.executable, '-m', *program, 'serve', '--config', path], stderr=subprocess.DEVNULL,
-                                   env=dict(os.environ, TMPDIR=self.folder.name))
+        process = subprocess.Popen(
+            [sys.executable, '-m', *program, 'serve', '--config', path],
+            stderr=subprocess.DEVNULL,
+            env=dict(os.environ, TMPDIR=self.folder.name),
+        )
         self.running.append(process)
         for _ in range(500 if ready else 0):
             if self.call(door, 'GET', '/v1/readyz') == 200:
@@ -292,7 +335,9 @@
             for _ in range(2):
                 link = link or http.client.HTTPConnection('127.0.0.1', self.listen, timeout=3)
                 try:
-                    link.request(method, path, body=b'x' if method == 'PUT' else None, headers={'Req-Id': name})
+                    link.request(
+                        method, path, body=b'x' if method == 'PUT' else None, headers={'Req-Id': name}
+                    )
                     answer = link.getresponse()
                     answer.read()
                 except (OSError, http.client.HTTPException) as err:
@@ -342,7 +387,9 @@
         self.assertEqual(self.call(self.door, 'POST', '/v1/cache-servers/c0/resume'), 200)
         self.halt(threads)
         ran = [name for _, name in self.servers['o'].seen]
-        self.assertEqual((self.bad, sent_out, [name for name in set(self.writes) if ran.count(name) != 1]), ([], [], []))
+        self.assertEqual(
+            (self.bad, sent_out, [name for name in set(self.writes) if ran.count(name) != 1]), ([], [], [])
+        )
         self.assertGreater(self.good, 300)
 
     def test_a_new_process_killed_before_it_is_ready_costs_nothing(self):
@@ -353,14 +400,14 @@
             new.kill()
             new.wait()
         new, _ = self.begin()
-        new.kill()                      # it served already, and is killed before SIGTERM comes to the old
+        new.kill()  # it served already, and is killed before SIGTERM comes to the old
         time.sleep(0.2)
         self.assertIsNone(self.first.poll())
         before = self.good
         time.sleep(0.3)
         self.halt(threads)
         self.assertGreater(self.good, before + 20)
-        self.assertLessEqual(len(self.bad), 8)          # what the killed one held is the clients'
+        self.assertLessEqual(len(self.bad), 8)  # what the killed one held is the clients'
 
     def test_sigterm_at_the_heir_leaves_the_door_to_the_elder_and_loses_nothing(self):
         threads = self.steady()
@@ -382,7 +429,9 @@
             silent.listen(1)
             began = time.monotonic()
             new, door = self.begin()
-            self.assertEqual((self.call(door, 'GET', '/v1/readyz'), time.monotonic() - began < 4), (200, True))
+            self.assertEqual(
+                (self.call(door, 'GET', '/v1/readyz'), time.monotonic() - began < 4), (200, True)
+            )
 
 
 class Standstills(Processes):
@@ -422,7 +471,7 @@
         new, _ = self.begin(False, stops={'<net.handover:Kin.given': 1})
         self.stopped(new)
         self.first.send_signal(signal.SIGTERM)
-        time.sleep(1.0)                 # the elder's door used to close 0.75 s after the signal
+        time.sleep(1.0)  # the elder's door used to close 0.75 s after the signal
         self.assertEqual(self.ask(10, 0.8), [200] * 10)
         new.send_signal(signal.SIGCONT)
         self.assertEqual((self.first.wait(4), self.ask(5, 2)), (0, [200] * 5))
--- a/tests/trial/test_holders.py
+++ b/tests/trial/test_holders.py
@@ -40,17 +40,19 @@
         # Chance of real time: each has three trials, and one is enough.
         for name in BROKEN:
             with self.subTest(name=name):
-                found = self.found[1, name].broken or holders.one(2, name).broken or holders.one(3, name).broken
+                found = (
+                    self.found[1, name].broken or holders.one(2, name).broken or holders.one(3, name).broken
+                )
                 self.assertIn(found[0][0], ('acts', 'two', 'number'))
 
 
-FILE = '''enabled = true
+FILE = """enabled = true
 installation = "here"
 seats = 1
 [tasks]
 folder = "%s"
 lease_s = 0.6
-'''
+"""
 
 
 class Hold(unittest.TestCase):
@@ -61,7 +63,13 @@
         self.addCleanup(self.folder.cleanup)
         self.path = os.path.join(self.folder.name, 'fleet.toml')
         with open(self.path, 'w', encoding='utf-8') as file:
-            file.write(FILE % self.folder.name + ''.join('[[planner]]\nname = "p%d"\naddress = "127.0.0.1:%d"\n' % (number, free()) for number in range(3)))
+            file.write(
+                FILE % self.folder.name
+                + ''.join(
+                    '[[planner]]\nname = "p%d"\naddress = "127.0.0.1:%d"\n' % (number, free())
+                    for number in range(3)
+                )
+            )
         self.planners = []
         for number in range(3):
             subprocess.run([*self.words('task', 'voter'), '--name', 'p%d' % number], check=True, timeout=20)
@@ -71,19 +79,31 @@
         return [sys.executable, '-m', 'lilacdyke', *words, '--file', self.path]
 
     def start(self, first, *words, out=subprocess.DEVNULL):
-        process = subprocess.Popen([*self.words(*first.split()), *words], stdout=out, stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [*self.words(*first.split()), *words], stdout=out, stderr=subprocess.DEVNULL
+        )
         self.addCleanup(process.communicate)
         self.addCleanup(process.kill)
         return process
 
     def test_the_command_has_its_number_and_its_own_status_and_the_next_has_a_higher_one(self):
-        first = self.start('task hold', 'job', '--', 'sh', '-c', 'echo $LILACDYKE_TASK_NUMBER; sleep 0.5; exit 7', out=subprocess.PIPE)
+        first = self.start(
+            'task hold',
+            'job',
+            '--',
+            'sh',
+            '-c',
+            'echo $LILACDYKE_TASK_NUMBER; sleep 0.5; exit 7',
+            out=subprocess.PIPE,
+        )
         before = int(first.communicate(timeout=10)[0])
         self.assertEqual(first.returncode, 7)
         first = self.start('task hold', 'job', '--', 'sleep', '1.5')
         time.sleep(0.6)
         begun = time.monotonic()
-        second = self.start('task hold', 'job', '--', 'sh', '-c', 'echo $LILACDYKE_TASK_NUMBER', out=subprocess.PIPE)
+        second = self.start(
+            'task hold', 'job', '--', 'sh', '-c', 'echo $LILACDYKE_TASK_NUMBER', out=subprocess.PIPE
+        )
         self.assertGreater(int(second.communicate(timeout=10)[0]), before + 1)
         self.assertEqual((second.returncode, first.wait(5)), (0, 0))
         self.assertGreater(time.monotonic() - begun, 0.6)
@@ -97,7 +117,10 @@
         self.assertEqual((listed.returncode, held.wait(8)), (0, 0))
 
     def test_with_most_voters_gone_the_command_is_ended_within_the_lease(self):
-        for words, code in ((('sleep', '30'), 70), (('sh', '-c', 'trap "" TERM; while :; do sleep 0.05; done'), 71)):
+        for words, code in (
+            (('sleep', '30'), 70),
+            (('sh', '-c', 'trap "" TERM; while :; do sleep 0.05; done'), 71),
+        ):
             with self.subTest(code=code):
                 held = self.start('task hold', 'job', '--', *words)
                 time.sleep(2.2)
@@ -135,7 +158,15 @@
     def test_what_cannot_be_read_is_never_an_empty_one(self):
         with self.assertRaises(BadLine):
             self.book.read()
-        for text in ('', '{"bound": 1}', '[]', '{"version": 2, "bound": 1, "voters": [], "lease": 1}', '{"version": 1, "bound": -1, "voters": [], "lease": 1}', 'null', '\0'):
+        for text in (
+            '',
+            '{"bound": 1}',
+            '[]',
+            '{"version": 2, "bound": 1, "voters": [], "lease": 1}',
+            '{"version": 1, "bound": -1, "voters": [], "lease": 1}',
+            'null',
+            '\0',
+        ):
             with open(self.book.path, 'w', encoding='utf-8') as file:
                 file.write(text)
             with self.subTest(text=text), self.assertRaises(BadLine):
@@ -143,15 +174,28 @@
 
     def test_voters_change_one_at_a_time(self):
         three, other = ['p0', 'p1', 'p2'], ['p0', 'p1', 'p3']
-        self.assertEqual([step(three, after) for after in (three, three[:2], [*three, 'p3'], other, [*three, 'p3', 'p4'])], [True, True, True, False, False])
+        self.assertEqual(
+            [step(three, after) for after in (three, three[:2], [*three, 'p3'], other, [*three, 'p3', 'p4'])],
+            [True, True, True, False, False],
+        )
 
     def test_a_planner_without_its_file_or_with_a_skipped_step_says_that_it_does_not_vote(self):
         self.book.write(5, ['p7', 'p8', 'p9'], 100)
         path = os.path.join(self.book.folder, 'fleet.toml')
         for name in ('p0', 'p1'):
             with open(path, 'w', encoding='utf-8') as file:
-                file.write(FILE % self.book.folder + ''.join('[[planner]]\nname = "%s"\naddress = "127.0.0.1:%d"\n' % (other, free()) for other in ('p0', 'p1')))
-            process = subprocess.Popen([sys.executable, '-m', 'lilacdyke', 'plan', '--file', path, '--name', name], stderr=subprocess.PIPE, text=True)
+                file.write(
+                    FILE % self.book.folder
+                    + ''.join(
+                        '[[planner]]\nname = "%s"\naddress = "127.0.0.1:%d"\n' % (other, free())
+                        for other in ('p0', 'p1')
+                    )
+                )
+            process = subprocess.Popen(
+                [sys.executable, '-m', 'lilacdyke', 'plan', '--file', path, '--name', name],
+                stderr=subprocess.PIPE,
+                text=True,
+            )
             line = next(line for line in process.stderr if 'vote' in line or 'serves' in line)
             process.kill()
             process.communicate()
--- a/tests/trial/test_off.py
+++ b/tests/trial/test_off.py
@@ -15,11 +15,33 @@
 from ..test_upgrade import free
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-STRAY = {'LILACDYKE_FLEET': 'fleet.toml', 'EDGE_FLEET': 'fleet.toml', 'FLEET': 'fleet.toml', 'LILACDYKE_SERVE_FLEET': 'fleet.toml',
-         'LILACDYKE_PLAN': '1', 'LILACDYKE_TRIAL': '1', 'LILACDYKE_MUTANT': 'tokens-not-taken', 'EDGE_PLANNERS': '127.0.0.1:7100',
-         'LILACDYKE_TASK_NUMBER': '7', 'LILACDYKE_VERDICTS': '1', 'LILACDYKE_TASKS': '1', 'EDGE_TASKS': 'job'}
-NEVER = ('lilacdyke.plan', 'lilacdyke.trial', 'lilacdyke.lab', 'msgpack', 'msgspec', 'numpy', 'matplotlib', 'rich', 'tomllib', 'jinja2')
-MEMORY_KB = 40_000                      # the start's most: some 33 MB, Python and Twisted
+STRAY = {
+    'LILACDYKE_FLEET': 'fleet.toml',
+    'EDGE_FLEET': 'fleet.toml',
+    'FLEET': 'fleet.toml',
+    'LILACDYKE_SERVE_FLEET': 'fleet.toml',
+    'LILACDYKE_PLAN': '1',
+    'LILACDYKE_TRIAL': '1',
+    'LILACDYKE_MUTANT': 'tokens-not-taken',
+    'EDGE_PLANNERS': '127.0.0.1:7100',
+    'LILACDYKE_TASK_NUMBER': '7',
+    'LILACDYKE_VERDICTS': '1',
+    'LILACDYKE_TASKS': '1',
+    'EDGE_TASKS': 'job',
+}
+NEVER = (
+    'lilacdyke.plan',
+    'lilacdyke.trial',
+    'lilacdyke.lab',
+    'msgpack',
+    'msgspec',
+    'numpy',
+    'matplotlib',
+    'rich',
+    'tomllib',
+    'jinja2',
+)
+MEMORY_KB = 40_000  # the start's most: some 33 MB, Python and Twisted
 
 
 class Off(unittest.TestCase):
@@ -27,23 +49,49 @@
         """Start the line `run`, let it serve, and look: (modules, kinds of descriptors, memory in KB)."""
         with open(os.path.join(ROOT, 'deploy', 'balancer.toml'), 'rb') as file:
             line = tomllib.load(file)['run']
-        more = {'installation': 'here', 'fleet': {'enabled': True}, 'planners': ['127.0.0.1:7100'], 'verdicts': {'span_s': 3.0},
-                'tasks': {'folder': folder}} if stray else {}
+        more = (
+            {
+                'installation': 'here',
+                'fleet': {'enabled': True},
+                'planners': ['127.0.0.1:7100'],
+                'verdicts': {'span_s': 3.0},
+                'tasks': {'folder': folder},
+            }
+            if stray
+            else {}
+        )
         path = os.path.join(folder, 'page.json')
         with open(path, 'w', encoding='utf-8') as file:
-            file.write(page(listen='127.0.0.1:%d' % free(), discovery='127.0.0.1:%d' % free(), settings=SETTINGS,
-                            known={'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('o', 'origin')]}, **more))
+            file.write(
+                page(
+                    listen='127.0.0.1:%d' % free(),
+                    discovery='127.0.0.1:%d' % free(),
+                    settings=SETTINGS,
+                    known={'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('o', 'origin')]},
+                    **more,
+                )
+            )
         if stray:
             with open(os.path.join(folder, 'p0.numbers'), 'w', encoding='utf-8') as file:
                 file.write('{"version": 1, "bound": 5, "voters": ["p0"], "lease": 1}')
             for name in ('fleet.toml', 'lilacdyke.toml', 'planner.toml'):
                 with open(os.path.join(folder, name), 'w', encoding='utf-8') as file:
                     file.write(TEXT + '[verdicts]\n[tasks]\nfolder = "%s"\n' % folder)
-        environ = dict(os.environ, EDGE_CONFIG=path, TMPDIR=folder, PYTHONPROFILEIMPORTTIME='1', **(STRAY if stray else {}))
-        line = line.replace('.venv/bin/python', sys.executable)         # CI's own may have another name; the words are the file's
+        environ = dict(
+            os.environ,
+            EDGE_CONFIG=path,
+            TMPDIR=folder,
+            PYTHONPROFILEIMPORTTIME='1',
+            **(STRAY if stray else {}),
+        )
+        line = line.replace(
+            '.venv/bin/python', sys.executable
+        )  # CI's own may have another name; the words are the file's
         log = os.path.join(folder, 'log')
         with open(log, 'wb') as file:
-            process = subprocess.Popen(['/bin/sh', '-c', line], cwd=ROOT, env=environ, stdout=file, stderr=file)
+            process = subprocess.Popen(
+                ['/bin/sh', '-c', line], cwd=ROOT, env=environ, stdout=file, stderr=file
+            )
         try:
             for _ in range(200):
                 with open(log, encoding='utf-8') as file:
@@ -53,8 +101,13 @@
                 time.sleep(0.05)
             self.assertIn('event=serving', text)
             time.sleep(0.3)
-            modules = {row.rsplit('|', 1)[1].strip() for row in text.splitlines() if row.startswith('import time:')}
-            found = [os.readlink('/proc/%d/fd/%s' % (process.pid, fd)).split(':')[0].replace(folder, '') for fd in os.listdir('/proc/%d/fd' % process.pid)]
+            modules = {
+                row.rsplit('|', 1)[1].strip() for row in text.splitlines() if row.startswith('import time:')
+            }
+            found = [
+                os.readlink('/proc/%d/fd/%s' % (process.pid, fd)).split(':')[0].replace(folder, '')
+                for fd in os.listdir('/proc/%d/fd' % process.pid)
+            ]
             with open('/proc/%d/status' % process.pid, encoding='ascii') as file:
                 memory = next(int(row.split()[1]) for row in file if row.startswith('VmHWM'))
             with open('/proc/net/unix', encoding='ascii') as file:
@@ -68,7 +121,9 @@
         with tempfile.TemporaryDirectory() as plain, tempfile.TemporaryDirectory() as strewn:
             before, after = self.start(plain, False), self.start(strewn, True)
         self.assertIn('lilacdyke.net.node', after[0])
-        self.assertEqual([name for name in after[0] if name.split('.')[0] in NEVER or name.startswith(NEVER[:3])], [])
+        self.assertEqual(
+            [name for name in after[0] if name.split('.')[0] in NEVER or name.startswith(NEVER[:3])], []
+        )
         self.assertEqual((before[0], before[1]), (after[0], after[1]))
         self.assertLess(after[2], MEMORY_KB)
         self.assertLess(abs(after[2] - before[2]), 2_000)
@@ -79,14 +134,31 @@
             for name, given in (('page.json', page(settings=SETTINGS, **more)), ('fleet.toml', text)):
                 with open(os.path.join(folder, name), 'w', encoding='utf-8') as file:
                     file.write(given)
-            done = subprocess.run([sys.executable, '-m', 'lilacdyke', 'serve', '--config', os.path.join(folder, 'page.json'), '--fleet',
-                                   os.path.join(folder, 'fleet.toml')], capture_output=True, text=True, timeout=20)
+            done = subprocess.run(
+                [
+                    sys.executable,
+                    '-m',
+                    'lilacdyke',
+                    'serve',
+                    '--config',
+                    os.path.join(folder, 'page.json'),
+                    '--fleet',
+                    os.path.join(folder, 'fleet.toml'),
+                ],
+                capture_output=True,
+                text=True,
+                timeout=20,
+            )
         return done.returncode, done.stderr
 
     def test_a_fleet_file_that_is_off_or_of_another_installation_is_one_line_and_exit_2(self):
-        for text, more, key in ((TEXT.replace('true', 'false'), {'installation': 'here'}, 'enabled'), (TEXT, {}, 'installation'),
-                                (TEXT, {'installation': 'there'}, 'installation'), (TEXT, {'installation': 'here'}, 'longest_s'),
-                                ('seats = [', {'installation': 'here'}, '')):
+        for text, more, key in (
+            (TEXT.replace('true', 'false'), {'installation': 'here'}, 'enabled'),
+            (TEXT, {}, 'installation'),
+            (TEXT, {'installation': 'there'}, 'installation'),
+            (TEXT, {'installation': 'here'}, 'longest_s'),
+            ('seats = [', {'installation': 'here'}, ''),
+        ):
             with self.subTest(key=key):
                 code, said = self.refused(text, **more)
                 self.assertEqual((code, said.count('\n')), (2, 1))
--- a/tests/trial/test_seat.py
+++ b/tests/trial/test_seat.py
@@ -13,7 +13,7 @@
 from ..test_upgrade import Processes, free
 
 MOST, LEASE = 40.0, 0.4
-FILE = '''enabled = true
+FILE = """enabled = true
 installation = "here-%d"
 seats = 1
 lease_s = %g
@@ -26,23 +26,40 @@
 what = "requests"
 most = %g
 floor = %g
-'''
+"""
 
 
 class Seat(Processes):
     def begin(self, ready=True, **bends):
         """As a node of a fleet whose planners are all gone."""
-        door, path, file = free(), os.path.join(self.folder.name, 'page.json'), os.path.join(self.folder.name, 'fleet.toml')
-        known = [entry(name, 'origin' if name == 'o' else 'std', hostPort='127.0.0.1:%d' % server.server_port)
-                 for name, server in self.servers.items()]
+        door, path, file = (
+            free(),
+            os.path.join(self.folder.name, 'page.json'),
+            os.path.join(self.folder.name, 'fleet.toml'),
+        )
+        known = [
+            entry(name, 'origin' if name == 'o' else 'std', hostPort='127.0.0.1:%d' % server.server_port)
+            for name, server in self.servers.items()
+        ]
         with open(path, 'w', encoding='utf-8') as out:
-            out.write(page(listen='127.0.0.1:%d' % self.listen, operator='127.0.0.1:%d' % door, discovery='127.0.0.1:%d' % free(),
-                           settings=SETTINGS, installation='here-%d' % self.listen, known={'generation': 4, 'reset': True, 'instances': known}))
+            out.write(
+                page(
+                    listen='127.0.0.1:%d' % self.listen,
+                    operator='127.0.0.1:%d' % door,
+                    discovery='127.0.0.1:%d' % free(),
+                    settings=SETTINGS,
+                    installation='here-%d' % self.listen,
+                    known={'generation': 4, 'reset': True, 'instances': known},
+                )
+            )
         with open(file, 'w', encoding='utf-8') as out:
             out.write(FILE % (self.listen, LEASE, free(), MOST, MOST))
         program = ['lilacdyke.trial.launch', json.dumps(bends)] if bends else ['lilacdyke']
-        process = subprocess.Popen([sys.executable, '-m', *program, 'serve', '--config', path, '--fleet', file], stderr=subprocess.DEVNULL,
-                                   env=dict(os.environ, TMPDIR=self.folder.name))
+        process = subprocess.Popen(
+            [sys.executable, '-m', *program, 'serve', '--config', path, '--fleet', file],
+            stderr=subprocess.DEVNULL,
+            env=dict(os.environ, TMPDIR=self.folder.name),
+        )
         self.running.append(process)
         for _ in range(500 if ready else 0):
             if self.call(door, 'GET', '/v1/readyz') == 200:
@@ -70,11 +87,13 @@
         return max((sum(1 for other in times if at <= other < at + 1) for at in times), default=0)
 
     def test_an_upgrade_never_spends_the_seat_twice_and_serves_on(self):
-        time.sleep(3 * LEASE)           # what a life before may have given has run out
+        time.sleep(3 * LEASE)  # what a life before may have given has run out
         begun = time.monotonic()
         alone = self.ask(1.0)
         new, _ = self.begin()
-        both = self.ask(1.0)            # the elder has half of the seat, the heir the other: new connections are the heir's
+        both = self.ask(
+            1.0
+        )  # the elder has half of the seat, the heir the other: new connections are the heir's
         self.first.send_signal(signal.SIGTERM)
         self.assertEqual(self.first.wait(5), 0)
         time.sleep(3 * LEASE)
--- a/tests/trial/test_trial.py
+++ b/tests/trial/test_trial.py
@@ -15,8 +15,14 @@
 from lilacdyke.trial.relay import DOWN, STORE, UP, End, Way
 
 # Played in CI: drawn ones, two that are set, and broken programs that a trial finds at its first seed.
-FIXED = [(seed, None, None) for seed in (1, 2, 3, 5, 8, 13, 21, 34)] + [(1, None, 'kills'), (1, None, 'absurd')]
-BROKEN = [(1, name, name) for name in ('lease-past-its-end', 'seat-held-twice', 'limit-read-once', 'waits-for-a-plan')]
+FIXED = [(seed, None, None) for seed in (1, 2, 3, 5, 8, 13, 21, 34)] + [
+    (1, None, 'kills'),
+    (1, None, 'absurd'),
+]
+BROKEN = [
+    (1, name, name)
+    for name in ('lease-past-its-end', 'seat-held-twice', 'limit-read-once', 'waits-for-a-plan')
+]
 
 
 class Trials(unittest.TestCase):
@@ -41,14 +47,18 @@
         # A machine that is short of time for a moment hides some: each has three trials, and one is enough.
         for task in BROKEN:
             with self.subTest(task=task):
-                found = self.found[task].broken or runs.one(2, *task[1:]).broken or runs.one(3, *task[1:]).broken
+                found = (
+                    self.found[task].broken or runs.one(2, *task[1:]).broken or runs.one(3, *task[1:]).broken
+                )
                 self.assertIn(found[0][0], ('limits', 'short'))
 
 
 class Behind(unittest.TestCase):
     def test_nothing_outlives_a_trial_that_is_killed(self):
         mark = 'lilacdyke.trial'
-        running = subprocess.Popen([sys.executable, '-m', 'lilacdyke.trial.runs', '[1, null, null]'], stdout=subprocess.DEVNULL)
+        running = subprocess.Popen(
+            [sys.executable, '-m', 'lilacdyke.trial.runs', '[1, null, null]'], stdout=subprocess.DEVNULL
+        )
         for _ in range(100):
             if len(self.children(running.pid)) >= 6:
                 break
@@ -92,6 +102,7 @@
             later = staticmethod(lambda wait, call, *given: clock.callLater(wait / 1e6, call, *given))
             chance, tells_old, old = __import__('random').Random(1), False, None
             opened = closed = staticmethod(lambda end: None)
+
         self.link, self.asked, self.there = Link, End(Link, UP), End(Link, DOWN)
         self.asked.other, self.there.other = self.there, self.asked
         self.wires = []
