--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/front.py
@@ -223,7 +223,7 @@
                 return False  # its answer has not left yet
             self.leave()
         elif self.phase == POURING:
-            if self.until is not None and not self.flow.paused:
+            if self.until is not None and self.flow and not self.flow.paused:
                 return False  # it is the server that gives no more: pour_due sees to that
             self.front.node.count('not_read')
             self.transport.abortConnection()
