--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -106,9 +106,9 @@
         node = self.node
         return dict(
             sorted(node.counts.items()),
-            open=len(node.errands),
-            out=len(node.passages),
-            clients=len(node.front.table),
+            open=len(node.active_requests),
+            out=len(node.attempts),
+            clients=len(node.listener.table),
             links=node.caches.open,
             descriptors=len(self.process.open)
             - node.desk.holds
--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -11,7 +11,7 @@
 from ..net import caches, http
 from ..net.caches import Caches, Link
 from ..net.discovery import Discovery
-from ..net.front import Client, Front
+from ..net.listener import Client, Listener
 from ..net.node import Node
 from ..net.tables import Deadlines, Table
 from ..plan import belief, verdicts
@@ -120,7 +120,7 @@
 
     def reply(self, pieces):
         if chance() < 0.02:
-            self.errand = None
+            self.active = None
         else:
             usual(self, pieces)
 
@@ -232,12 +232,12 @@
 
 
 def cut_at_the_limit(put, chance):
-    def pour_due(self, number):
+    def stream_due(self, number):
         client = self.table.get(number)
         if client and client.flow:
             self.cut_off(client)
 
-    put(Front, 'pour_due', pour_due)
+    put(Listener, 'stream_due', stream_due)
 
 
 def held_past_the_limit(put, chance):
@@ -245,7 +245,7 @@
 
 
 def held_without_limit(put, chance):
-    put(Front, 'held_due', lambda self, number: None)
+    put(Listener, 'held_due', lambda self, number: None)
 
 
 def wakeup_lost(put, chance):
@@ -328,7 +328,7 @@
 
 
 def silent_kept(put, chance):
-    put(Front, 'make_room', lambda self, places, need: None)
+    put(Listener, 'make_room', lambda self, places, need: None)
 
 
 def noise_raises(put, chance):
@@ -357,7 +357,7 @@
 
     def lost(self, reason=None):
         message = self.reader.message
-        if self.trip and message is not None and message.parts[1] == b'200':
+        if self.exchange and message is not None and message.parts[1] == b'200':
             message.body = bytes(self.reader.buffer)
             self.finish('committed', message)
         usual(self, reason)
@@ -417,7 +417,9 @@
 
 def idle_kept(put, chance):
     put(Node, 'send_away', lambda self, since: None)
-    put(Front, 'make_room', lambda self, places, need: None)  # else they go after 2.5 s of rest all the same
+    put(
+        Listener, 'make_room', lambda self, places, need: None
+    )  # else they go after 2.5 s of rest all the same
 
 
 def never_away(put, chance):
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -34,7 +34,7 @@
     return 'rejected' if status.startswith(b'4') else 'error'
 
 
-class Trip:
+class Exchange:
     """One hop under way: the client's request, until when it is waited for, and where it is."""
 
     __slots__ = ('pool', 'message', 'until', 'wanted', 'by', 'link', 'done', 'in_part')
@@ -82,7 +82,7 @@
         self.pool, self.reader, self.address = pool, Reader(ANSWER), pool.address
         self.sink = None  # the client that a large answer goes to as it comes
         self.flow = None  # a large request on its way
-        self.trip, self.unsent = None, b''  # unsent: what of the hop has not gone to the system
+        self.exchange, self.unsent = None, b''  # unsent: what of the hop has not gone to the system
         self.left = True  # whether the hop's last byte has gone there
         self.number, self.idle_until, self.timed = None, None, 0  # timed: when its deadline is; 0: none
         self.settled = 0  # when it may carry the next hop
@@ -92,16 +92,16 @@
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
 
-    def carry(self, trip):
+    def carry(self, exchange):
         """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more once
         all that it wrote has left."""
-        self.trip, trip.link = trip, self
-        source = trip.message.source
-        data = b''.join(request(trip.message, max(1, trip.until - self.pool.caches.clock())))
+        self.exchange, exchange.link = exchange, self
+        source = exchange.message.source
+        data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
             self.left = False
             self.transport.write(data)
-            self.flow = Flow(source, self.transport, trip.message.length is None, source.moved)
+            self.flow = Flow(source, self.transport, exchange.message.length is None, source.moved)
             source.carried(self)
             return
         self.unsent = data[push(self.transport, data) :]
@@ -130,13 +130,13 @@
         """The connection has ended: connectionLost tells."""
 
     def dataReceived(self, data):
-        if not self.trip and not self.sink:
+        if not self.exchange and not self.sink:
             self.close()
             return
         try:
             self.reader.feed(data)
             if self.sink:
-                self.pour()
+                self.stream()
             else:
                 self.read()
         except BadMessage as err:
@@ -158,8 +158,8 @@
             self.begin(self.reader.message)
         elif self.holds_part:
             self.piece_came = self.pool.caches.clock()
-            if self.trip.in_part:
-                self.trip.in_part()
+            if self.exchange.in_part:
+                self.exchange.in_part()
 
     @property
     def holds_part(self):
@@ -167,7 +167,7 @@
         that comes before its request has left is of no use."""
         message = self.reader.message
         return (
-            self.trip is not None
+            self.exchange is not None
             and self.left
             and message is not None
             and message.length is None
@@ -204,7 +204,7 @@
         if not self.sink:
             self.close()
 
-    def pour(self):
+    def stream(self):
         """What has come of a large answer goes on."""
         data, whole = self.reader.piece(), self.reader.whole
         sink, lasting = self.sink, self.reader.message.lasting
@@ -243,10 +243,10 @@
         if self.flow:
             self.flow.stop()
             self.flow = None
-        trip, self.trip = self.trip, None
-        if trip and trip.message.source:
-            trip.message.source.put_down(self)
-        return trip
+        exchange, self.exchange = self.exchange, None
+        if exchange and exchange.message.source:
+            exchange.message.source.put_down(self)
+        return exchange
 
     def finish(self, how, answer=None):
         """End the hop that is on it."""
@@ -258,7 +258,7 @@
         if answer and self.sink:
             sink, self.sink = self.sink, None
             sink.whole()
-        elif answer and self.trip:
+        elif answer and self.exchange:
             self.finish(ending(answer), answer)
 
     def give_up(self):
@@ -281,7 +281,7 @@
             self.ended()
         if self.sink:
             self.cut_off()
-        if self.trip:
+        if self.exchange:
             # Only a last byte that never left proves that the hop never ran.
             self.finish('lost' if self.left else 'unreachable')
 
@@ -300,20 +300,20 @@
         self.crowded = 0  # until when it counts as having no place for more connections
         self.refused = False  # whether nobody listened there lately, so that its process had ended
 
-    def send(self, trip):
+    def send(self, exchange):
         """Carry a hop on an idle connection, or open one for it."""
         now = self.caches.clock()
-        if not trip.wanted():
-            trip.over('unsent')
+        if not exchange.wanted():
+            exchange.over('unsent')
             return
         for link in self.resting[::-1]:
             if link.settled <= now and self.wake(link):
-                link.carry(trip)
+                link.carry(exchange)
                 return
         if not self.caches.room() or not self.may_dial() and not self.links:
-            trip.over('unsent')
+            exchange.over('unsent')
             return
-        self.waiting.append(trip)
+        self.waiting.append(exchange)
         if self.may_dial():
             self.dial()  # else the first that comes free is the one to wait for
 
@@ -364,12 +364,12 @@
         """A connection for the hop that has waited longest and may still leave; else it rests. Guards against what happened
         while hops waited: the server began to drain, the client left, a repeat's time is up."""
         while self.waiting:
-            trip = self.waiting.popleft()
-            late = trip.by is not None and self.caches.clock() > trip.by
-            if self.server.state == 'ready' and not late and trip.wanted():
-                link.carry(trip)
+            exchange = self.waiting.popleft()
+            late = exchange.by is not None and self.caches.clock() > exchange.by
+            if self.server.state == 'ready' and not late and exchange.wanted():
+                link.carry(exchange)
                 return
-            trip.over('unsent')
+            exchange.over('unsent')
         self.rest(link)
 
     def without(self, how):
@@ -468,13 +468,13 @@
                 pool.close_idle()
 
     def send(self, server, message, until, wanted, repeat):
-        """Start a hop; its Trip. wanted() tells whether it may still leave; a repeat leaves within the time that a connection
+        """Start a hop; its Exchange. wanted() tells whether it may still leave; a repeat leaves within the time that a connection
         may take to come up, which the rule on repeats sets aside for it."""
-        trip = Trip(
+        exchange = Exchange(
             self.pools[server], message, until, wanted, self.clock() + self.within if repeat else None
         )
-        trip.pool.send(trip)
-        return trip
+        exchange.pool.send(exchange)
+        return exchange
 
     def room(self):
         """Whether one more connection may be opened; the longest idle one makes way."""
--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -265,7 +265,7 @@
     def heir_serves(self):
         """The heir takes clients; this process empties itself."""
         self.succession.heir_serves()
-        say('heir serves', open=len(self.node.errands), clients=len(self.node.front.table))
+        say('heir serves', open=len(self.node.active_requests), clients=len(self.node.listener.table))
         self.tell_holds(0)
         self.watch_heir(0)
 
--- a/lilacdyke/net/front.py
+++ b/lilacdyke/net/listener.py
@@ -20,18 +20,18 @@
 # Where a client's connection stands: nothing has come on it yet; nothing is owed on it; part of a request is
 # here; a request is being answered; it has had its last answer and may close.
 # or a large answer is on its way.
-FRESH, RESTING, HALF, ASKED, PARTING, POURING = 'fresh', 'resting', 'half', 'asked', 'parting', 'pouring'
+FRESH, RESTING, HALF, ASKED, PARTING, STREAMING = 'fresh', 'resting', 'half', 'asked', 'parting', 'streaming'
 # How long it may stand there; while over half of the places are taken; and while nobody is accepted any more. In the order
 # in which they make way.
 STAYS = {
     FRESH: (15_000, 500, 500),
     PARTING: (10_000, 1_000, 1_000),
     HALF: (24_000, 24_000, 5_000),
-    POURING: (100_000, 100_000, 100_000),
+    STREAMING: (100_000, 100_000, 100_000),
     RESTING: (25_000, 1_000, 1_000),
 }
 CALM, BUSY, FULL = range(3)
-PACED = (HALF, POURING)  # bytes that come or go give them time
+PACED = (HALF, STREAMING)  # bytes that come or go give them time
 SLOW = 16_384  # bytes of a body that give a client a second more for the rest of it
 LOOK = 1_000  # between two looks at who has stayed for too long; a tenth while full
 AMPLE = 0.5  # part of the budget from which a new connection has an idle one make way
@@ -44,9 +44,9 @@
 class Client(Protocol):
     """One client's connection."""
 
-    def __init__(self, front):
-        self.front, self.reader = front, Reader(http.REQUEST)
-        self.number = self.errand = None  # errand: what the node makes of the present request
+    def __init__(self, listener):
+        self.listener, self.reader = listener, Reader(http.REQUEST)
+        self.number = self.active = None  # active: what the node makes of the present request
         self.phase = None  # one of those above, None once the connection has ended
         self.since = 0  # when its phase began; for a request, when its first byte came
         self.came = 0  # when the last bytes read came to this machine
@@ -65,7 +65,7 @@
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
-        self.front.opened(self)
+        self.listener.opened(self)
 
     def dataReceived(self, data):
         if self.phase == PARTING:
@@ -73,10 +73,10 @@
             return
         if self.phase == HALF:
             self.paced(len(data))
-        self.came = self.front.clock() - unread_for(self.transport)
+        self.came = self.listener.clock() - unread_for(self.transport)
         if self.phase in (FRESH, RESTING):
-            if self.front.too_late(self.came, data):
-                self.reply(self.front.refusal(True))
+            if self.listener.too_late(self.came, data):
+                self.reply(self.listener.refusal(True))
                 return
             self.begin()
         self.reader.feed(data)
@@ -84,14 +84,14 @@
             self.upload()
         else:
             self.advance()
-        if (self.errand or self.flow) and not self.flows and len(self.reader.buffer) > HELD:
+        if (self.active or self.flow) and not self.flows and len(self.reader.buffer) > HELD:
             self.transport.pauseProducing()
 
     def paced(self, count):
         """Bytes of a request have come. Those of a body give the rest of it time. Guards against one that sends as
         little as keeps it here."""
         if self.reader.message:
-            self.since = min(self.front.clock(), self.since + count * SECOND // SLOW)
+            self.since = min(self.listener.clock(), self.since + count * SECOND // SLOW)
 
     # --- a large request ----------------------------------------------------------------------------------
 
@@ -105,7 +105,7 @@
                 return
             data, whole = reader.piece(), reader.whole
         except BadMessage as err:
-            self.front.node.count('malformed')
+            self.listener.node.count('malformed')
             self.give_up_upload()
             self.refuse(err.status, str(err))
             return
@@ -113,18 +113,18 @@
         if whole:
             self.flows = self.link = None
             reader.reset()
-            self.front.put(self, ASKED)
+            self.listener.put(self, ASKED)
         link.body(data, whole)
-        if whole and self.errand:
-            self.front.node.body_came(self.errand, self.came)
+        if whole and self.active:
+            self.listener.node.body_came(self.active, self.came)
 
     def carried(self, link):
         """A connection carries the large request: its body goes there from here on, and nowhere else."""
         self.link = link
-        self.front.node.body_spent(self.errand)
+        self.listener.node.body_spent(self.active)
         self.moved()
         self.go_on()
-        self.front.again(self)
+        self.listener.again(self)
 
     def put_down(self, link):
         """The hop that carried the large request has ended."""
@@ -133,9 +133,9 @@
 
     def give_up_upload(self):
         """The large request will not come whole: nothing that was sent of it ran."""
-        errand, self.errand = self.errand, None
-        if errand:
-            self.front.node.client_gone(errand)
+        active, self.active = self.active, None
+        if active:
+            self.listener.node.client_gone(active)
 
     def left(self):
         """Whether it has gone, though nobody has read that yet."""
@@ -148,8 +148,8 @@
 
     def moved(self):
         """Bytes may go on again: it was not the client, or is not any more, that was slow."""
-        now = self.front.clock()
-        self.since = now if self.phase == POURING else max(self.since, now - STAYS[HALF][0] // 2)
+        now = self.listener.clock()
+        self.since = now if self.phase == STREAMING else max(self.since, now - STAYS[HALF][0] // 2)
 
     def pause(self):
         """Nothing more is read for now. Its last byte may lie unread all the same, so its time runs."""
@@ -157,11 +157,11 @@
         self.held = True
         if not self.timed:
             self.timed = True
-            self.front.deadlines.at(self.time_up(), self.front.held_due, self.number)
+            self.listener.deadlines.at(self.time_up(), self.listener.held_due, self.number)
 
     def time_up(self):
         """When its limit is, should the bytes that came last be the last of its request."""
-        return self.front.clock() - unread_for(self.transport) + (self.errand.wait if self.errand else 0)
+        return self.listener.clock() - unread_for(self.transport) + (self.active.wait if self.active else 0)
 
     def last_byte_missing(self):
         """Whether the last byte of a large request that is held has surely not come: some of a body of told length is missing, and
@@ -175,20 +175,20 @@
 
     # --- a large answer -----------------------------------------------------------------------------------
 
-    def pour(self, answer, minor):
+    def stream(self, answer, minor):
         """A large answer begins; its body follows as it comes."""
-        self.errand, self.answered, self.source = None, True, answer.source
+        self.active, self.answered, self.source = None, True, answer.source
         chunks = minor == b'1'
         self.lasting = self.lasting and (chunks or answer.length is not None)
-        self.front.put(self, POURING)
+        self.listener.put(self, STREAMING)
         self.transport.write(http.relayed_head(answer, self.lasting, chunks))
         self.flow = Flow(self.source, self.transport, chunks and answer.length is None, self.moved)
         self.source.sink = self
-        self.source.pour()
+        self.source.stream()
 
     def more(self, data):
         """A piece of it."""
-        self.since = self.front.clock()
+        self.since = self.listener.clock()
         self.flow.pass_on(data)
 
     def whole(self):
@@ -200,7 +200,7 @@
         """It will not be whole, and the client must not take it for that."""
         flow, self.flow, self.source = self.flow, None, None
         flow.stop()
-        self.front.node.count('broken_off')
+        self.listener.node.count('broken_off')
         self.transport.abortConnection()
 
     # --- its time -----------------------------------------------------------------------------------------
@@ -217,15 +217,15 @@
     def overdue(self):
         """It has stood where it is for too long. Whether it makes way."""
         if self.phase == PARTING:
-            if self.skips and self.front.clock() < self.since + STAYS[HALF][0]:
+            if self.skips and self.listener.clock() < self.since + STAYS[HALF][0]:
                 return False  # it still sends, slowly, and may read its answer only then
-            if waiting(self.transport) and self.front.clock() < self.since + STAYS[POURING][0]:
+            if waiting(self.transport) and self.listener.clock() < self.since + STAYS[STREAMING][0]:
                 return False  # its answer has not left yet
             self.leave()
-        elif self.phase == POURING:
+        elif self.phase == STREAMING:
             if self.until is not None and self.flow and not self.flow.paused:
-                return False  # it is the server that gives no more: pour_due sees to that
-            self.front.node.count('not_read')
+                return False  # it is the server that gives no more: stream_due sees to that
+            self.listener.node.count('not_read')
             self.transport.abortConnection()
         elif self.phase == HALF:
             if self.held and self.stalls() or self.spare():
@@ -253,20 +253,20 @@
 
     def stalls(self):
         """While this side reads no more of its body: whether that is not for too long."""
-        return self.front.clock() < self.since + STAYS[POURING][0]
+        return self.listener.clock() < self.since + STAYS[STREAMING][0]
 
     def begin(self):
         """The first byte of a request is here: its time runs from when it came."""
         self.spared = False
-        self.front.put(self, ASKED, self.came)
+        self.listener.put(self, ASKED, self.came)
 
     def advance(self):
         """Handle what is here, one request after the other."""
-        while not self.errand and not self.flow and self.phase not in (PARTING, None):
+        while not self.active and not self.flow and self.phase not in (PARTING, None):
             try:
                 message = self.reader.take()
             except BadMessage as err:
-                self.front.node.count('malformed')
+                self.listener.node.count('malformed')
                 self.refuse(err.status, str(err))
                 return
             if message is None and self.reader.large:
@@ -276,9 +276,9 @@
             if message is None:
                 self.hint()
                 if self.answered and not self.reader.begun:
-                    self.front.put(self, RESTING)
+                    self.listener.put(self, RESTING)
                 else:
-                    self.front.put(self, HALF, self.since)
+                    self.listener.put(self, HALF, self.since)
                 return
             self.lasting = message.lasting
             self.handle(message)
@@ -288,20 +288,20 @@
         self.lasting = message.lasting
         self.flows, message.source = message, self
         self.handle(message)
-        if self.errand:
-            self.front.put(self, HALF, self.since)
+        if self.active:
+            self.listener.put(self, HALF, self.since)
             self.upload()
 
     def handle(self, message):
         """A whole request. Guards against a fault of our own, which must not cost the client its answer."""
-        self.front.put(self, ASKED, self.since)
+        self.listener.put(self, ASKED, self.since)
         try:
-            self.front.requested(self, message)
+            self.listener.requested(self, message)
         except Exception:
             LOG.exception('fault')
-            if self.errand:
-                self.front.node.forget(self.errand)
-            if self.phase == POURING:
+            if self.active:
+                self.listener.node.forget(self.active)
+            if self.phase == STREAMING:
                 self.broken_off()
             else:
                 self.refuse(500, 'a fault in the node')
@@ -318,7 +318,7 @@
 
     def reply(self, pieces):
         """The one answer to the present request; pieces were written for a connection that lasts as told."""
-        self.errand, self.answered = None, True
+        self.active, self.answered = None, True
         data = b''.join(pieces)
         if not waiting(self.transport):
             data = data[push(self.transport, data) :]
@@ -334,36 +334,36 @@
         if not self.lasting:
             self.end()
         elif self.reader.begun:
-            self.came = self.front.clock()
+            self.came = self.listener.clock()
             self.begin()
-            self.front.again(self)  # in a turn of its own: many small requests may stand here
+            self.listener.again(self)  # in a turn of its own: many small requests may stand here
         else:
-            self.front.put(self, RESTING)
+            self.listener.put(self, RESTING)
         self.transport.resumeProducing()
 
     def end(self):
         """Close once the last answer is written. The client is let close first, for a while: ending with
         bytes unread would reset the connection, and with it the answer."""
-        self.front.put(self, PARTING)
+        self.listener.put(self, PARTING)
         self.transport.loseWriteConnection()
 
     def part(self):
         """Close between requests. One that crosses this is reset unread, and the client sends it anew."""
-        self.front.put(self, PARTING)
-        self.front.parted = self.front.clock()
+        self.listener.put(self, PARTING)
+        self.listener.parted = self.listener.clock()
         self.transport.loseConnection()
 
     def connectionLost(self, reason=None):
-        errand, self.errand = self.errand, None
+        active, self.active = self.active, None
         source, self.source = self.source, None
-        self.front.closed(self)
+        self.listener.closed(self)
         if source:
             source.drop()
-        if errand:
-            self.front.node.client_gone(errand)
+        if active:
+            self.listener.node.client_gone(active)
 
 
-class Front(Factory):
+class Listener(Factory):
     """The listening side, within its budget of descriptors."""
 
     noisy = False
@@ -416,7 +416,7 @@
 
     def opened(self, client):
         """A client has connected. Guards against clients that ask once and keep their connection, which leaves others,
-        or a front before the node, none to ask on: well before places run out the longest idle makes way. If
+        or a load balancer before the node, none to ask on: well before places run out the longest idle makes way. If
         all are taken nobody is accepted until one has gone; they wait in the system's queue and lose nothing."""
         client.number = self.table.add(client)
         self.came, self.met = self.clock(), self.met + 1
@@ -510,7 +510,7 @@
         """More was sent behind the request just answered: read it in a turn of its own."""
         self.deadlines.at(self.clock(), self.read_on, client.number)
 
-    def pour_due(self, number_):
+    def stream_due(self, number_):
         """The time of a large answer is up, whose first bytes came in time. Guards against one of which no more comes: its client can
         tell that it is not whole. What its server still gives goes on, as cutting it off would lose it."""
         client = self.table.get(number_)
@@ -519,11 +519,11 @@
             if silent and quiet(client.source.transport):
                 self.cut_off(client)
             else:
-                self.deadlines.at(max(self.clock() + LOOK, client.since + STALLED), self.pour_due, number_)
+                self.deadlines.at(max(self.clock() + LOOK, client.since + STALLED), self.stream_due, number_)
 
     def break_off(self, _):
         """The process ends soon after: what is on its way is broken off, as an exit would look like its end."""
-        for client in list(self.phases[POURING].values()):
+        for client in list(self.phases[STREAMING].values()):
             if client.flow:
                 self.cut_off(client)
 
@@ -541,10 +541,10 @@
         if client is None:
             return
         client.timed = False
-        if client.held and client.flows and client.errand:
+        if client.held and client.flows and client.active:
             due = self.clock() + LOOK if client.last_byte_missing() else client.time_up()
             if self.clock() >= due:
-                self.node.time_up(client.errand)
+                self.node.time_up(client.active)
             else:
                 client.timed = True
                 self.deadlines.at(due, self.held_due, number_)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -20,7 +20,7 @@
 from . import http
 from .caches import NOTES, Caches
 from .discovery import Discovery, read_list, started
-from .front import Front
+from .listener import Listener
 from .logs import LOG, say, warn
 from .sockets import Reactor, unread_for
 from .system import System
@@ -37,27 +37,27 @@
 FIGURES = 10 * SECOND  # between two lines of figures
 
 
-class Errand:
+class ActiveRequest:
     """A transaction that the node has taken, and the client it owes an answer."""
 
-    __slots__ = ('number', 'name', 'client', 'message', 'tx', 'passages', 'wait', 'shared')
+    __slots__ = ('number', 'name', 'client', 'message', 'tx', 'attempts', 'wait', 'shared')
 
     def __init__(self, client, message, wait):
         self.client, self.message, self.wait = client, message, wait
         self.name = message.field(b'req-id')
         self.number = self.tx = None
-        self.passages = []  # hops under way
+        self.attempts = []  # hops under way
         self.shared = False  # whether it counts in the fleet's limits
 
 
-class Passage:
-    """A hop under way for an errand."""
+class Attempt:
+    """A hop under way for an active."""
 
-    __slots__ = ('number', 'errand', 'hop', 'trip', 'begin_at', 'looked_at')
+    __slots__ = ('number', 'active', 'hop', 'exchange', 'begin_at', 'looked_at')
 
-    def __init__(self, errand, hop):
-        self.errand, self.hop = errand, hop
-        self.number = self.trip = None
+    def __init__(self, active, hop):
+        self.active, self.hop = active, hop
+        self.number = self.exchange = None
         self.looked_at = False  # whether its deadline has waited for what lay unread
         self.begin_at = None  # from when on an answer that is here in part is passed on
 
@@ -73,11 +73,11 @@
         self.chance = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
         self.servers, self.entries = {}, {}  # by name: the module's objects; what the list last said
-        self.errands, self.passages = Table(), Table()
+        self.active_requests, self.attempts = Table(), Table()
         self.ids = set()  # what clients call the transactions that are open
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         budget = self.part(self.descriptors() - SPARE)
-        self.front = Front(self, self.deadlines, self.clock, place.terms, budget)
+        self.listener = Listener(self, self.deadlines, self.clock, place.terms, budget)
         self.caches = Caches(
             reactor, self.deadlines, self.clock, place, budget, self.broken, self.fault, self.returned
         )
@@ -143,7 +143,7 @@
             warn('remembered list not read', reason=err)
         if told:
             self.inherit(told)
-        self.front.listen(self.reactor, *self.place.listen, *([fd] if fd is not None else []))
+        self.listener.listen(self.reactor, *self.place.listen, *([fd] if fd is not None else []))
         if told:
             self.serve()
         if self.discovery.pushed:
@@ -161,7 +161,7 @@
         if self.phase != STARTING:
             return
         self.phase = AWAY if self.gone_away else SERVING
-        self.front.see_to_door()
+        self.listener.see_to_door()
         if self.kin:
             self.share_out()
             self.kin.serves()
@@ -196,7 +196,7 @@
         """SIGTERM: answer all that is taken and all that still comes, then exit. Who waits at the door of a node that starts is
         owed an answer too, but not by a list that is only remembered: first discovery speaks, or its watch is lost."""
         since = self.clock() if since is None else since
-        if self.phase == STARTING and self.front.port:
+        if self.phase == STARTING and self.listener.port:
             self.ending = self.ending or (signum, since)
         elif self.phase == STARTING:
             self.phase = STOPPED
@@ -204,29 +204,29 @@
         elif self.can_serve():
             self.phase = DRAINING
             if not self.handed:  # else the heir's door is the same
-                self.front.show_all()
+                self.listener.show_all()
             say(
                 'draining',
                 signal=signum,
-                open=len(self.errands),
-                clients=len(self.front.table),
+                open=len(self.active_requests),
+                clients=len(self.listener.table),
                 succeeded=self.succeeded,
             )
             if self.kin:
                 self.kin.succession.end()
-            self.last = since + min(self.front.slowest, GRACE) + COMING
-            for errand in self.errands:
-                self.hasten(errand)
-            self.deadlines.at(self.last, self.front.break_off, 0)
+            self.last = since + min(self.listener.slowest, GRACE) + COMING
+            for active in self.active_requests:
+                self.hasten(active)
+            self.deadlines.at(self.last, self.listener.break_off, 0)
             self.deadlines.at(since + COMING, self.leave, since)
 
-    def hasten(self, errand):
+    def hasten(self, active):
         """The process ends soon, and owes an answer before. Guards against SIGKILL, which does not wait for the longest limits."""
-        tx = errand.tx
+        tx = active.tx
         if self.last and tx.limit is not None and tx.limit > self.last:
             tx.limit = self.last
             self.router.alarm(tx.limit, tx)
-            self.deadlines.at(tx.limit, self.limit_due, errand.number)
+            self.deadlines.at(tx.limit, self.limit_due, active.number)
 
     def reread(self, path):
         """SIGHUP: the page may name another address of discovery. All else in it is for the next start; a page
@@ -244,19 +244,19 @@
         """Clients have stopped coming: ask those that are idle to go, and exit once nothing is owed."""
         now = self.clock()
         # With an heir nobody comes anew, so there is time: who rests for long is unlikely to ask just now.
-        self.front.close_idle(RESTED if self.succeeded and now < since + 4 * COMING else 0)
+        self.listener.close_idle(RESTED if self.succeeded and now < since + 4 * COMING else 0)
         # With an heir the queue is held on to until the exit: should the heir stand still, nobody else looks at it.
         held = self.handed or self.holding
-        if now >= self.last - COMING or not held and self.front.nobody_comes(since + COMING):
-            self.front.shut_door()
+        if now >= self.last - COMING or not held and self.listener.nobody_comes(since + COMING):
+            self.listener.shut_door()
         if (
-            not len(self.front.table)
-            and (self.front.shut or not self.holding and held)
+            not len(self.listener.table)
+            and (self.listener.shut or not self.holding and held)
             or now >= self.last + COMING // 5
         ):
             self.phase = STOPPED
             self.discovery.close()
-            say('stopped', open=len(self.errands), **self.counts)
+            say('stopped', open=len(self.active_requests), **self.counts)
             self.reactor.stop()
         else:
             self.deadlines.at(now + COMING // 20, self.leave, since)
@@ -268,7 +268,7 @@
         self.gone_away = True
         if self.phase == SERVING:
             self.phase, self.emptied = AWAY, self.clock()
-            say('away', open=len(self.errands), clients=len(self.front.table))
+            say('away', open=len(self.active_requests), clients=len(self.listener.table))
             self.deadlines.at(self.emptied + COMING, self.send_away, self.emptied)
         return self.phase in (AWAY, DRAINING)
 
@@ -283,7 +283,7 @@
     def send_away(self, since):
         """While the node is emptied: who rests on a connection is asked to go, who just rested there a little later."""
         if self.phase == AWAY and since == self.emptied:
-            self.front.close_idle(RESTED if self.clock() < since + 4 * COMING else 0)
+            self.listener.close_idle(RESTED if self.clock() < since + 4 * COMING else 0)
             self.deadlines.at(self.clock() + COMING // 5, self.send_away, since)
 
     def suspend(self, name):
@@ -324,11 +324,11 @@
 
     def door_fd(self):
         """The listening socket, while there is one to give."""
-        return self.front.port.fileno() if self.can_serve() and not self.succeeded else None
+        return self.listener.port.fileno() if self.can_serve() and not self.succeeded else None
 
     def holds(self):
         """Descriptors that this process holds or may still take."""
-        return SPARE + max(len(self.front.table) + self.caches.open, self.kin.succession.kept)
+        return SPARE + max(len(self.listener.table) + self.caches.open, self.kin.succession.kept)
 
     @staticmethod
     def part(room):
@@ -337,18 +337,18 @@
 
     def share_out(self):
         """Who takes clients, and how many descriptors are this process's, may have changed."""
-        self.router.handed, self.front.yielded = self.handed, self.succeeded
+        self.router.handed, self.listener.yielded = self.handed, self.succeeded
         if self.succeeded:
-            self.front.budget = max(LEAST, len(self.front.table))
+            self.listener.budget = max(LEAST, len(self.listener.table))
             self.caches.shrink(LEAST)
         elif self.handed:  # what the heir was told of is all there is
-            self.front.budget = max(LEAST, self.kin.succession.kept // 2)
+            self.listener.budget = max(LEAST, self.kin.succession.kept // 2)
             self.caches.budget = max(LEAST, self.kin.succession.kept // 2, self.caches.open)
         else:
-            self.front.budget = self.caches.budget = self.part(self.kin.succession.room)
-        if self.front.port:
-            self.front.see_to_room()
-            self.front.see_to_door()
+            self.listener.budget = self.caches.budget = self.part(self.kin.succession.room)
+        if self.listener.port:
+            self.listener.see_to_room()
+            self.listener.see_to_door()
         if self.fleet:
             self.fleet.hand_over()
 
@@ -385,149 +385,149 @@
 
     def take(self, client, message, row, key, wait, since):
         """A client's request has come whole, or the head of a large one: one answer is owed from here on."""
-        errand = client.errand = Errand(client, message, wait)
+        active = client.active = ActiveRequest(client, message, wait)
         limit = None if message.source else since + wait
-        errand.number = self.errands.add(errand)
-        self.ids.add(errand.name)
+        active.number = self.active_requests.add(active)
+        self.ids.add(active.name)
         self.count('taken')
         write = message.parts[0] == b'PUT'
-        errand.tx = self.router.take(self.clock(), row, key, limit, write, since)
-        errand.tx.ref, errand.shared = errand, self.fleet is not None and not errand.tx.refused
+        active.tx = self.router.take(self.clock(), row, key, limit, write, since)
+        active.tx.ref, active.shared = active, self.fleet is not None and not active.tx.refused
         if limit is not None:
-            self.deadlines.at(limit, self.limit_due, errand.number)
-        self.hasten(errand)
+            self.deadlines.at(limit, self.limit_due, active.number)
+        self.hasten(active)
         self.settle()
 
-    def body_spent(self, errand):
+    def body_spent(self, active):
         """A connection carries a large body, which cannot be sent a second time."""
-        errand.tx.spent = True
+        active.tx.spent = True
 
-    def body_came(self, errand, when):
+    def body_came(self, active, when):
         """The last byte of a large request came then: its time runs."""
-        limit = when + errand.wait
-        self.router.body_came(self.clock(), errand.tx, limit)
-        self.deadlines.at(limit, self.limit_due, errand.number)
-        self.hasten(errand)
-        for passage in errand.passages:
+        limit = when + active.wait
+        self.router.body_came(self.clock(), active.tx, limit)
+        self.deadlines.at(limit, self.limit_due, active.number)
+        self.hasten(active)
+        for attempt in active.attempts:
             if not self.place.terms.may_cancel:
-                self.deadlines.at(limit, self.patience_due, passage.number)
+                self.deadlines.at(limit, self.patience_due, attempt.number)
         self.settle()
 
-    def client_gone(self, errand):
+    def client_gone(self, active):
         """A client closed without waiting for its answer."""
-        self.forget(errand)
+        self.forget(active)
         self.count('gone')
-        self.router.client_gone(self.clock(), errand.tx)
-        for passage in errand.passages[:]:
+        self.router.client_gone(self.clock(), active.tx)
+        for attempt in active.attempts[:]:
             if (
-                passage.trip
-                and not passage.trip.whole
-                and (passage.trip.message.source or not self.place.terms.may_cancel)
+                attempt.exchange
+                and not attempt.exchange.whole
+                and (attempt.exchange.message.source or not self.place.terms.may_cancel)
             ):
-                passage.trip.cut(
+                attempt.exchange.cut(
                     'unsent'
                 )  # the rest of its body will not come, or need not leave: it never ran
         self.settle()
 
-    def wanted(self, errand):
+    def wanted(self, active):
         """Whether a hop of it may still leave. Guards against work for a client that has gone: its end may lie unread, and where
         nothing may be cancelled a hop that waits for a connection would leave for nobody."""
-        return self.errands.get(errand.number) is errand and not errand.client.left()
+        return self.active_requests.get(active.number) is active and not active.client.left()
 
-    def forget(self, errand):
+    def forget(self, active):
         """The client has its answer, or needs none; hops may still end, with nothing to hold on to. The client."""
-        self.errands.remove(errand.number)
-        self.ids.discard(errand.name)
-        self.over(errand)
-        client, errand.client, errand.message = errand.client, None, None
+        self.active_requests.remove(active.number)
+        self.ids.discard(active.name)
+        self.over(active)
+        client, active.client, active.message = active.client, None, None
         return client
 
-    def over(self, errand):
-        """Once an errand is over and no hop of it is out, what it spent of the fleet's limits is free."""
-        if not errand.shared or self.errands.get(errand.number) is errand:
+    def over(self, active):
+        """Once an active is over and no hop of it is out, what it spent of the fleet's limits is free."""
+        if not active.shared or self.active_requests.get(active.number) is active:
             return
-        for passage in errand.passages:
-            self.deadlines.at(self.clock(), self.not_wanted, passage.number)
-        if not errand.passages:
-            errand.shared = False
-            self.router.shares.done(errand.tx.profile)
+        for attempt in active.attempts:
+            self.deadlines.at(self.clock(), self.not_wanted, attempt.number)
+        if not active.attempts:
+            active.shared = False
+            self.router.shares.done(active.tx.profile)
 
     def not_wanted(self, number):
-        """A hop of an errand that is over: should it wait for a connection that the limits do not let be opened, it never leaves."""
-        passage = self.passages.get(number)
-        if passage and passage.trip and not passage.trip.link:
-            passage.trip.cut('unsent')
+        """A hop of an active that is over: should it wait for a connection that the limits do not let be opened, it never leaves."""
+        attempt = self.attempts.get(number)
+        if attempt and attempt.exchange and not attempt.exchange.link:
+            attempt.exchange.cut('unsent')
             self.settle()
 
-    def reply(self, errand, status, text):
+    def reply(self, active, status, text):
         """The final answer of the node's own."""
-        client = self.forget(errand)
-        client.reply(http.answer(status, self.front.stay(client), text))
+        client = self.forget(active)
+        client.reply(http.answer(status, self.listener.stay(client), text))
 
     def limit_due(self, number):
         """The client's limit: hops end, and the module answers. Should it not, one is owed all the same."""
-        errand = self.errands.get(number)
-        if errand is None or self.read_first(errand.passages, self.limit_due, number):
+        active = self.active_requests.get(number)
+        if active is None or self.read_first(active.attempts, self.limit_due, number):
             return
-        for passage in errand.passages[:]:
-            passage.trip.cut('expired')
+        for attempt in active.attempts[:]:
+            attempt.exchange.cut('expired')
         self.settle()
-        if self.errands.get(number) is errand:
+        if self.active_requests.get(number) is active:
             LOG.error('limit passed without a decision')
-            self.reply(errand, 504, 'out of time\n')
-            self.router.client_gone(self.clock(), errand.tx)
+            self.reply(active, 504, 'out of time\n')
+            self.router.client_gone(self.clock(), active.tx)
 
-    def read_first(self, passages, due, number):
+    def read_first(self, attempts, due, number):
         """Whether one of these attempts has something unread: it is read first, and the deadline comes again in the next turn; once for
         each attempt. Guards against cutting off an answer whose last piece came before its time was up."""
-        unread = [passage for passage in passages if not passage.looked_at and passage.trip.unread]
-        for passage in unread:
-            passage.looked_at = True
+        unread = [attempt for attempt in attempts if not attempt.looked_at and attempt.exchange.unread]
+        for attempt in unread:
+            attempt.looked_at = True
         if unread:
             self.deadlines.at(self.clock(), due, number)
         return bool(unread)
 
-    def time_up(self, errand):
+    def time_up(self, active):
         """The limit of a large request whose body is held unread: no hop of it can have left whole."""
-        errand.tx.limit = self.clock()
-        for passage in errand.passages[:]:
-            passage.trip.cut('unsent')
-        self.limit_due(errand.number)
+        active.tx.limit = self.clock()
+        for attempt in active.attempts[:]:
+            attempt.exchange.cut('unsent')
+        self.limit_due(active.number)
 
     # --- hops -------------------------------------------------------------------------------------------
 
     def patience_due(self, number):
         """A hop's own limit. Guards also against one that nobody waits for at a site where hops may not be
         cancelled: with the server gone silent it would be out for ever."""
-        passage = self.passages.get(number)
-        if passage and not self.read_first([passage], self.patience_due, number):
-            passage.trip.cut('expired')
+        attempt = self.attempts.get(number)
+        if attempt and not self.read_first([attempt], self.patience_due, number):
+            attempt.exchange.cut('expired')
             self.settle()
 
     def arrived(self, ending, number):
         """A hop has ended: by what came of it, or cut."""
-        passage, (how, answer) = self.passages.get(number), ending
-        self.passages.remove(number)
-        errand, hop = passage.errand, passage.hop
-        errand.passages.remove(passage)
+        attempt, (how, answer) = self.attempts.get(number), ending
+        self.attempts.remove(number)
+        active, hop = attempt.active, attempt.hop
+        active.attempts.remove(attempt)
         now = self.clock()
-        open_ = self.errands.get(errand.number) is errand
-        if open_ and how == 'unsent' and errand.client.left():
-            errand.client.see_off()
+        open_ = self.active_requests.get(active.number) is active
+        if open_ and how == 'unsent' and active.client.left():
+            active.client.see_off()
             open_ = False
         final = how in ('committed', 'rejected')  # rejected: it is the request that is bad, not the server
         if final and open_:
-            minor = errand.message.parts[2]
-            client = self.forget(errand)
+            minor = active.message.parts[2]
+            client = self.forget(active)
             self.count(how)
-            lasting = self.front.stay(client)
+            lasting = self.listener.stay(client)
             if how != 'committed':
                 client.reply(http.answer(400, lasting, 'turned away by the server\n'))
             elif answer.source:
-                client.until = errand.tx.limit
-                client.pour(answer, minor)
+                client.until = active.tx.limit
+                client.stream(answer, minor)
                 if client.until is not None:
-                    self.deadlines.at(client.until, self.front.pour_due, client.number)
+                    self.deadlines.at(client.until, self.listener.stream_due, client.number)
             else:
                 client.reply(http.relayed(answer, lasting))
         note = NOTES.get(answer.field(b'srv-cache'), 0) if answer else 0
@@ -535,7 +535,7 @@
         if self.fleet:
             self.fleet.ended(now, hop, how, now - hop.sent)
         self.router.hop_ended(now, hop, how, now - hop.sent, final or hop.tx.done, note)
-        self.over(errand)
+        self.over(active)
         self.settle()
 
     def broken(self, server, err):
@@ -558,28 +558,28 @@
         """A fault in the node itself."""
         LOG.error('fault', exc_info=(failure.type, failure.value, failure.getTracebackObject()))
 
-    def answer_in_part(self, passage):
+    def answer_in_part(self, attempt):
         """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further attempts and its race; but
         should it be a large one it is timed by its first bytes, and cut off at the limit it would be lost while its server
         gives it. So it is held for three quarters of the attempt's time, less what this node was late in reading it."""
         now = self.clock()
-        if passage.begin_at is None:
-            late = unread_for(passage.trip.link.transport)
-            passage.begin_at = (
-                passage.trip.until - (passage.trip.until - passage.hop.sent) // HEAD_START - late
+        if attempt.begin_at is None:
+            late = unread_for(attempt.exchange.link.transport)
+            attempt.begin_at = (
+                attempt.exchange.until - (attempt.exchange.until - attempt.hop.sent) // HEAD_START - late
             )
-            self.deadlines.at(max(now, passage.begin_at), self.begin_due, passage.number)
-        elif now >= passage.begin_at:
-            self.begin_due(passage.number)
+            self.deadlines.at(max(now, attempt.begin_at), self.begin_due, attempt.number)
+        elif now >= attempt.begin_at:
+            self.begin_due(attempt.number)
 
     def begin_due(self, number):
         """An answer held in part is passed on from here: of several attempts', the one of which most is here. A silent server's
         stays held: should no more come, its client is better told at the limit to try again."""
-        passage = self.passages.get(number)
-        if passage is None or self.errands.get(passage.errand.number) is not passage.errand:
+        attempt = self.attempts.get(number)
+        if attempt is None or self.active_requests.get(attempt.active.number) is not attempt.active:
             return
         now = self.clock()
-        links = [other.trip.link for other in passage.errand.passages if other.trip.link]
+        links = [other.exchange.link for other in attempt.active.attempts if other.exchange.link]
         links = [link for link in links if link.holds_part and link.still_gives(now)]
         if links:
             max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
@@ -648,36 +648,36 @@
 
     def do_send(self, hop, patience):
         """A hop goes out."""
-        errand, now = hop.tx.ref, self.clock()
-        limit = now + errand.wait if hop.tx.limit is None else hop.tx.limit
+        active, now = hop.tx.ref, self.clock()
+        limit = now + active.wait if hop.tx.limit is None else hop.tx.limit
         until = limit if patience is None else min(limit, now + patience)
-        passage = Passage(errand, hop)
-        passage.number = self.passages.add(passage)
-        errand.passages.append(passage)
+        attempt = Attempt(active, hop)
+        attempt.number = self.attempts.add(attempt)
+        active.attempts.append(attempt)
         if self.fleet:
             self.router.shares.sent(now, hop.server, self.router.presence(now, hop.server) < 1)
-        passage.trip = self.caches.send(
-            hop.server, errand.message, until, lambda: self.wanted(errand), hop.index > 0
+        attempt.exchange = self.caches.send(
+            hop.server, active.message, until, lambda: self.wanted(active), hop.index > 0
         )
-        passage.trip.in_part = lambda: self.answer_in_part(passage)
-        passage.trip.done.addCallback(self.arrived, passage.number).addErrback(self.fault)
+        attempt.exchange.in_part = lambda: self.answer_in_part(attempt)
+        attempt.exchange.done.addCallback(self.arrived, attempt.number).addErrback(self.fault)
         if hop.tx.limit is not None and (
             until < limit or not self.place.terms.may_cancel
-        ):  # else it ends with its errand
-            self.deadlines.at(until, self.patience_due, passage.number)
+        ):  # else it ends with its active
+            self.deadlines.at(until, self.patience_due, attempt.number)
 
     def do_cancel(self, hop):
         """A hop is not waited for any more."""
-        for passage in hop.tx.ref.passages:
-            if passage.hop is hop:
-                passage.trip.cut('cancelled')
+        for attempt in hop.tx.ref.attempts:
+            if attempt.hop is hop:
+                attempt.exchange.cut('cancelled')
                 return
 
     def do_roll_back(self, tx, after):
         """The client may safely try again."""
         self.count('rolled_back')
         client = self.forget(tx.ref)
-        client.reply(self.refusal(self.front.stay(client), after, tx.refused or 503))
+        client.reply(self.refusal(self.listener.stay(client), after, tx.refused or 503))
 
     @staticmethod
     def refusal(lasting, after, status=503):
@@ -716,8 +716,8 @@
         """A line of counts since the start."""
         say(
             'figures',
-            open=len(self.errands),
-            clients=len(self.front.table),
+            open=len(self.active_requests),
+            clients=len(self.listener.table),
             links=self.caches.open,
             memory_kb=self.system.memory_kb(),
             **self.counts,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -290,7 +290,7 @@
 
 def client(made):
     """A client's connection to the node: (protocol, wire)."""
-    protocol, wire = made.front.buildProtocol(None), Wire()
+    protocol, wire = made.listener.buildProtocol(None), Wire()
     protocol.makeConnection(wire)
     return protocol, wire
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,7 +7,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from lilacdyke.net.front import HALF, RESTING
+from lilacdyke.net.listener import HALF, RESTING
 
 from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, said, sent
 from .test_net import Quiet, status
@@ -53,7 +53,7 @@
             wire, cache = sent(made)
             cache.protocol.dataReceived(answer)
             broken(cache)
-            self.assertEqual((status(wire), wire.aborted, len(made.errands)), (200, True, 0))
+            self.assertEqual((status(wire), wire.aborted, len(made.active_requests)), (200, True, 0))
 
     def test_in_chunks_and_until_the_end_it_is_whole_for_either_kind_of_client(self):
         body = b'z' * 0x20000
@@ -139,7 +139,7 @@
                 self.assertEqual(
                     (before, status(wire), wire.value().endswith(b'4\r\nabcd\r\n')), (b'', 200, True)
                 )
-                self.assertEqual((len(made.errands), made.counts['hops_committed']), (0, 1))
+                self.assertEqual((len(made.active_requests), made.counts['hops_committed']), (0, 1))
 
     def test_it_is_begun_sooner_where_the_node_reads_late(self):
         made = node()
@@ -266,7 +266,7 @@
         made.reactor.pump([0.1] * 23)
         self.unread(made, wire, b'\r\n')
         made.reactor.pump([0.1] * 11)
-        self.assertEqual((wire.value(), len(made.errands)), (b'', 1))  # not a 408
+        self.assertEqual((wire.value(), len(made.active_requests)), (b'', 1))  # not a 408
 
     def test_one_that_drips_so_that_something_is_always_unread_goes_at_the_next_look(self):
         made = node()
@@ -360,7 +360,7 @@
         made = node()
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
-        tx, before = wire.protocol.errand.tx, origin.value()
+        tx, before = wire.protocol.active.tx, origin.value()
         made.reactor.advance(2.2)
         wire.protocol.dataReceived(b'z' * 99_997)
         origin.flush()
@@ -390,7 +390,7 @@
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
         lost(wire)
-        self.assertEqual((origin.aborted, len(made.errands)), (True, 0))
+        self.assertEqual((origin.aborted, len(made.active_requests)), (True, 0))
 
     def test_it_goes_too_where_hops_may_not_be_cancelled(self):
         made = node()
@@ -398,7 +398,7 @@
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
         lost(wire)
-        self.assertEqual((origin.aborted, len(made.passages), made.counts['hops_unsent']), (True, 0, 1))
+        self.assertEqual((origin.aborted, len(made.attempts), made.counts['hops_unsent']), (True, 0, 1))
         self.assertEqual(
             (made.counts['rolled_back'], made.counts['abandoned']), (0, 0)
         )  # it had its last word
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from lilacdyke.logic import Server
-from lilacdyke.net import front as front_module
+from lilacdyke.net import listener as listener_module
 from lilacdyke.net.discovery import Entry, started
 from lilacdyke.net.http import one_read
 from lilacdyke.net.logs import KeyValue, Sparse
@@ -192,7 +192,7 @@
             made = node()
             wire = asked(made, text[:at].decode())
             made.reactor.pump([0.1] * 22)
-            self.assertEqual(len(made.errands), 0)
+            self.assertEqual(len(made.active_requests), 0)
             wire.protocol.dataReceived(text[at:])
             origin = dialled(made)
             self.assertTrue(origin.value().endswith(b'Content-Length: 5\r\n\r\nabcde'), at)
@@ -202,14 +202,14 @@
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Deadline: 99\r\n')
         made.reactor.advance(0.5)
         wire.protocol.dataReceived(b'Req-Id: 1\r\n\r\n')
-        self.assertEqual(wire.protocol.errand.tx.limit, made.clock() + 20_000)
+        self.assertEqual(wire.protocol.active.tx.limit, made.clock() + 20_000)
 
     def test_what_lay_unread_has_used_up_its_time(self):
         made = node()
         protocol, wire = client(made)
         wire.age = 120
         protocol.dataReceived(b'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Deadline: 1\r\n\r\n')
-        self.assertEqual(protocol.errand.tx.limit, made.clock() + 8_800)
+        self.assertEqual(protocol.active.tx.limit, made.clock() + 8_800)
 
     def test_what_waited_too_long_is_refused_unread_and_its_connection_stays(self):
         made = node()
@@ -219,7 +219,7 @@
         first = status(wire), wire.ended
         wire.age = 0
         protocol.dataReceived(b'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n')
-        self.assertEqual((first, len(made.errands)), ((503, False), 1))
+        self.assertEqual((first, len(made.active_requests)), ((503, False), 1))
 
     def test_a_second_request_behind_the_first_waits_for_its_answer(self):
         made = node()
@@ -232,7 +232,7 @@
 
     def test_a_client_that_sends_ahead_without_end_is_paused(self):
         wire, _ = sent(node())
-        wire.protocol.dataReceived(b'x' * (front_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (listener_module.HELD + 1))
         self.assertEqual(wire.producerState, 'paused')
 
     def test_half_a_request_is_not_waited_for_without_end(self):
@@ -276,7 +276,7 @@
 
     def test_a_refused_client_that_goes_on_sending_is_not_read_and_not_reset_at_once(self):
         wire = asked(node(), 'PUT /read/k HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n')
-        wire.protocol.dataReceived(b'x' * (front_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (listener_module.HELD + 1))
         self.assertEqual((status(wire), wire.producerState, wire.aborted), (413, 'paused', False))
 
     def test_an_id_that_is_open_is_refused_and_the_first_goes_on(self):
@@ -310,13 +310,13 @@
         made = node()
         wire, cache = sent(made)
         lost(wire)
-        self.assertEqual((cache.disconnecting, len(made.errands), len(made.passages)), (True, 0, 0))
+        self.assertEqual((cache.disconnecting, len(made.active_requests), len(made.attempts)), (True, 0, 0))
 
     def test_a_fault_of_ours_is_answered(self):
         made = node()
         made.router.take = lambda *given: {}['fault']
         wire = asked(made)
-        self.assertEqual((status(wire), len(made.errands)), (500, 0))
+        self.assertEqual((status(wire), len(made.active_requests)), (500, 0))
 
 
 class Room(Quiet):
@@ -325,14 +325,14 @@
     def setUp(self):
         super().setUp()
         self.made = node(limits={'cores': 1, 'memory_mb': 192, 'sockets': 32})  # four clients
-        self.front = self.made.front
+        self.listener = self.made.listener
         self.reading = []
-        self.front.port.stopReading = lambda: self.reading.append(False)
-        self.front.port.startReading = lambda: self.reading.append(True)
+        self.listener.port.stopReading = lambda: self.reading.append(False)
+        self.listener.port.startReading = lambda: self.reading.append(True)
 
     def test_nobody_is_accepted_while_all_places_are_taken(self):
         protocols = [client(self.made)[0] for _ in range(4)]
-        self.front.closed(protocols[0])
+        self.listener.closed(protocols[0])
         self.assertEqual(self.reading, [False, True])
 
     def test_the_longest_idle_makes_way(self):
@@ -361,7 +361,7 @@
         self.assertEqual([status(wire) for wire in wires], [408] * 4)
 
     def test_who_asked_once_and_stays_makes_way_well_before_places_run_out(self):
-        self.front.budget, wires = 32, []
+        self.listener.budget, wires = 32, []
         for _ in range(20):
             wires.append(asked(self.made, READY))
             self.made.reactor.advance(0.15)
@@ -369,11 +369,11 @@
         self.assertEqual([wire.ended for wire in wires], [True] * 4 + [False] * 16)
 
     def test_idle_clients_do_not_keep_others_out(self):
-        self.front.budget = 32  # two make way at a time
+        self.listener.budget = 32  # two make way at a time
         wires = [asked(self.made, READY) for _ in range(4)]
         self.made.reactor.advance(0.2)
-        self.front.full = True
-        self.front.press()
+        self.listener.full = True
+        self.listener.press()
         self.assertEqual([wire.ended for wire in wires].count(True), 2)
 
     def test_the_door_turns_away_who_has_waited_for_long_and_lets_go_who_has_gone(self):
@@ -389,7 +389,7 @@
         )
 
     def door(self):
-        return Door(Wire(), self.made.router.late, one_read, self.front.refusal, self.front.crowded)
+        return Door(Wire(), self.made.router.late, one_read, self.listener.refusal, self.listener.crowded)
 
     def test_the_door_closes_on_nobody_whose_request_is_not_all_there(self):
         read = b'GET /read/k HTTP/1.1\r\n\r\n'
@@ -466,7 +466,7 @@
         )
         made.reactor.advance(1)
         before = server.started
-        made.caches.send(server, asked(made).protocol.errand.message, made.clock() + 100, lambda: True, False)
+        made.caches.send(server, asked(made).protocol.active.message, made.clock() + 100, lambda: True, False)
         dialled(made)
         self.assertEqual((before, server.started), (None, made.clock()))
 
@@ -563,9 +563,9 @@
         made.router.terms.may_cancel = False
         wire, _ = sent(made)
         lost(wire)
-        waiting = len(made.passages)
+        waiting = len(made.attempts)
         made.reactor.pump([0.1] * 21)
-        self.assertEqual((waiting, len(made.passages), made.caches.open), (1, 0, 0))
+        self.assertEqual((waiting, len(made.attempts), made.caches.open), (1, 0, 0))
 
     def test_a_kept_connection_carries_the_next_hop(self):
         made = node()
@@ -637,15 +637,15 @@
     def test_a_repeat_does_not_leave_later_than_a_connection_may_take_to_come_up(self):
         """The rule on repeats sets so much of their window aside, and no more: another's dial may come up later than its own."""
         made = node()
-        server, message = made.router.caches[0], asked(made).protocol.errand.message
+        server, message = made.router.caches[0], asked(made).protocol.active.message
         refused(made)
         repeat, first = (
             made.caches.send(server, message, made.clock() + 9_000, lambda: True, again)
             for again in (True, False)
         )
         ended = []
-        for trip in (repeat, first):
-            trip.done.addCallback(lambda ending: ended.append(ending[0]))
+        for exchange in (repeat, first):
+            exchange.done.addCallback(lambda ending: ended.append(ending[0]))
         pool = made.caches.pools[server]
         repeat.by = made.clock() - 1
         wire = dialled(made)
@@ -660,7 +660,7 @@
         cache = dialled(made, stuck=True)
         cache.protocol.left = False  # the system took a part
         lost(wire)
-        self.assertEqual((cache.aborted, len(made.passages)), (True, 0))
+        self.assertEqual((cache.aborted, len(made.attempts)), (True, 0))
 
     def test_a_hop_tells_how_long_it_is_waited_for_from_when_it_leaves(self):
         made = node()
@@ -673,7 +673,7 @@
         wire, _ = sent(made)
         made.router.decide = lambda now: None
         made.reactor.pump([0.1] * 21)
-        self.assertEqual((status(wire), len(made.errands)), (504, 0))
+        self.assertEqual((status(wire), len(made.active_requests)), (504, 0))
 
 
 class Discovered(Quiet):
@@ -952,7 +952,7 @@
     def test_nobody_is_let_in_before_discovery_has_spoken(self):
         """Herd day: sends to a server that had drained while the node was down, 0.45 s after its start."""
         made, open_ = starting(), []
-        made.front.port.startReading = lambda: open_.append(made.phase)
+        made.listener.port.startReading = lambda: open_.append(made.phase)
         before = (made.phase, made.ready())
         made.reactor.advance(0.4)
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
@@ -985,7 +985,7 @@
     def test_told_to_end_before_it_serves_it_lets_in_who_waits_once_discovery_has_spoken(self):
         """The remembered list may name a server that drained while nobody was here."""
         made, open_ = starting(), []
-        made.front.port.startReading = lambda: open_.append(made.phase)
+        made.listener.port.startReading = lambda: open_.append(made.phase)
         made.drain()
         before = made.phase, list(open_)
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
@@ -999,7 +999,7 @@
         made.drain()
         told = made.clock()
         refused(made)
-        self.assertEqual((made.phase, made.last), (DRAINING, told + made.front.slowest + 5_000))
+        self.assertEqual((made.phase, made.last), (DRAINING, told + made.listener.slowest + 5_000))
 
     def test_ready_only_when_it_can_serve(self):
         empty = {'generation': 0, 'reset': True, 'instances': []}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -78,7 +78,7 @@
         self.made.reactor.listenUNIX = self.made.reactor.connectUNIX = lambda *given, **named: None
         self.made.kin = kin = self.kin_of(self.made)
         self.wire, self.heir = Wire(), Link(kin, False)
-        self.made.front.port.fileno = lambda: 0
+        self.made.listener.port.fileno = lambda: 0
         self.wire.sendFileDescriptor = lambda fd: None
         self.heir.makeConnection(self.wire)
 
@@ -163,12 +163,12 @@
 
     def test_an_heir_that_dies_gives_the_door_back(self):
         self.says(serves=True)
-        yielded = self.made.front.yielded, self.made.router.handed
+        yielded = self.made.listener.yielded, self.made.router.handed
         self.heir.connectionLost()
         self.assertEqual(
-            (yielded, self.made.front.yielded, self.made.router.handed), ((True, True), False, False)
+            (yielded, self.made.listener.yielded, self.made.router.handed), ((True, True), False, False)
         )
-        self.assertGreater(self.made.front.budget, 100)
+        self.assertGreater(self.made.listener.budget, 100)
 
     def test_lines_out_of_form_end_the_link_only(self):
         for line in (
@@ -205,7 +205,7 @@
         self.made.drain()
         ended = self.made.phase, self.made.reactor.hasStopped
         self.made.reactor.advance(1.1)  # it asks nobody for longer
-        self.assertEqual((ended, self.made.phase, self.made.front.port), ((STOPPED, True), STOPPED, None))
+        self.assertEqual((ended, self.made.phase, self.made.listener.port), ((STOPPED, True), STOPPED, None))
 
     def test_sighup_is_not_lost_on_it(self):
         path = os.path.join(self.folder.name, 'page.json')
