--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -9,10 +9,12 @@
 from ..known import NO_WORD
 from ..logic import Router
 from ..net import caches, http
+from ..net.bodies import Download, Upload
 from ..net.caches import Caches, Link
+from ..net.client import ClientConnection
 from ..net.discovery import Discovery
-from ..net.listener import Client, Listener
 from ..net.node import Node
+from ..net.phases import Phases
 from ..net.tables import Deadlines, Table
 from ..plan import belief, verdicts
 from ..plan.belief import Belief, Seen
@@ -41,8 +43,8 @@
         self.drawn = drawn
 
     def scenario(self, seed):
-        """What it is played with: drawn, with troubles under which it should show, and made to fit where chance alone
-        comes there too seldom."""
+        """What it is played with: drawn, with troubles under which it should show, and made to fit where
+        chance alone comes there too seldom."""
         made = self.drawn(seed, self.kinds, self.most)
         return check(self.fit(made)) if self.fit else made
 
@@ -75,7 +77,8 @@
 
 
 def under(usual, whose, field, value):
-    """A method of the router, called with a field of something put otherwise for as long: whose(router, tx) has it."""
+    """A method of the router, called with a field of something put otherwise for as long: whose(router, tx)
+    has it."""
 
     def called(self, now, tx, *rest):
         owner = whose(self, tx)
@@ -90,7 +93,7 @@
 
 
 def leavers_served(put, chance):
-    put(Client, 'left', lambda self: False)
+    put(ClientConnection, 'left', lambda self: False)
 
 
 def window_ignored(put, chance):
@@ -116,7 +119,7 @@
 
 
 def answer_dropped(put, chance):
-    usual = Client.reply
+    usual = ClientConnection.reply
 
     def reply(self, pieces):
         if chance() < 0.02:
@@ -124,12 +127,12 @@
         else:
             usual(self, pieces)
 
-    put(Client, 'reply', reply)
+    put(ClientConnection, 'reply', reply)
 
 
 def answer_doubled(put, chance):
-    usual = Client.reply
-    put(Client, 'reply', lambda self, pieces: usual(self, pieces * (1 + (chance() < 0.02))))
+    usual = ClientConnection.reply
+    put(ClientConnection, 'reply', lambda self, pieces: usual(self, pieces * (1 + (chance() < 0.02))))
 
 
 def answers_mixed(put, chance):
@@ -232,12 +235,7 @@
 
 
 def cut_at_the_limit(put, chance):
-    def stream_due(self, number):
-        client = self.table.get(number)
-        if client and client.flow:
-            self.cut_off(client)
-
-    put(Listener, 'stream_due', stream_due)
+    put(Download, 'due', Download.cut_off)
 
 
 def held_past_the_limit(put, chance):
@@ -245,7 +243,7 @@
 
 
 def held_without_limit(put, chance):
-    put(Listener, 'held_due', lambda self, number: None)
+    put(Upload, 'due', lambda self: None)
 
 
 def wakeup_lost(put, chance):
@@ -328,7 +326,7 @@
 
 
 def silent_kept(put, chance):
-    put(Listener, 'make_room', lambda self, places, need: None)
+    put(Phases, 'make_room', lambda self, places, need: None)
 
 
 def noise_raises(put, chance):
@@ -417,9 +415,7 @@
 
 def idle_kept(put, chance):
     put(Node, 'send_away', lambda self, since: None)
-    put(
-        Listener, 'make_room', lambda self, places, need: None
-    )  # else they go after 2.5 s of rest all the same
+    put(Phases, 'make_room', lambda self, places, need: None)  # else they go after 2.5 s of rest all the same
 
 
 def never_away(put, chance):
@@ -805,7 +801,8 @@
 
 
 def guarded(*events, **more):
-    """A fleet of two sites with verdicts, whose traffic shows soon what is bad, and that lasts long enough to see its end."""
+    """A fleet of two sites with verdicts, whose traffic shows soon what is bad, and that lasts long enough to
+    see its end."""
 
     def fit(made):
         return replace(
@@ -834,7 +831,8 @@
 
 
 def bounded(what, most, **more):
-    """A fleet with one limit of this kind, and little else that could refuse: most is a part of what is asked, or a number."""
+    """A fleet with one limit of this kind, and little else that could refuse: most is a part of what is
+    asked, or a number."""
 
     def fit(made):
         bound = Bound(name='limit', what=what, most=round(RATE * most) if most < 1 else most)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -102,7 +102,8 @@
     # --- phases -----------------------------------------------------------------------------------------
 
     def start(self, folder=None):
-        """Begin; where operators have a door, first ask in this folder whether a process of this node is there."""
+        """Begin; where operators have a door, first ask in this folder whether a process of this node is
+        there."""
         if self.place.operator:
             from .operator import Desk  # what is off is not imported
 
@@ -133,9 +134,10 @@
             self.begin_or_end(None, None)
 
     def begin(self, told, fd):
-        """Take the remembered list, or what an elder gave, listen, and open the watch. Clients wait at the door for
-        discovery's first word, or for the first watch to be lost: guards against sends to servers that drained
-        while nobody was here, as the agent holds word of that from the start on. An elder's list is as new."""
+        """Take the remembered list, or what an elder gave, listen, and open the watch. Clients wait at the
+        door for discovery's first word, or for the first watch to be lost: guards against sends to servers
+        that drained while nobody was here, as the agent holds word of that from the start on. An elder's list
+        is as new."""
         try:
             self.discovery.version, _, entries = read_list(told.get('list') if told else self.place.known)
             self.remember(entries)
@@ -153,7 +155,8 @@
         self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
 
     def no_word(self, _):
-        """Guards against clients that wait at the door until their time is up: a call to discovery may wait its turn for longer."""
+        """Guards against clients that wait at the door until their time is up: a call to discovery may wait
+        its turn for longer."""
         self.serve()
 
     def serve(self):
@@ -193,8 +196,9 @@
         return self.phase != SERVING
 
     def drain(self, signum=signal.SIGTERM, since=None):
-        """SIGTERM: answer all that is taken and all that still comes, then exit. Who waits at the door of a node that starts is
-        owed an answer too, but not by a list that is only remembered: first discovery speaks, or its watch is lost."""
+        """SIGTERM: answer all that is taken and all that still comes, then exit. Who waits at the door of a
+        node that starts is owed an answer too, but not by a list that is only remembered: first discovery
+        speaks, or its watch is lost."""
         since = self.clock() if since is None else since
         if self.phase == STARTING and self.listener.port:
             self.ending = self.ending or (signum, since)
@@ -221,7 +225,8 @@
             self.deadlines.at(since + COMING, self.leave, since)
 
     def hasten(self, active):
-        """The process ends soon, and owes an answer before. Guards against SIGKILL, which does not wait for the longest limits."""
+        """The process ends soon, and owes an answer before. Guards against SIGKILL, which does not wait for
+        the longest limits."""
         tx = active.tx
         if self.last and tx.limit is not None and tx.limit > self.last:
             tx.limit = self.last
@@ -229,8 +234,8 @@
             self.deadlines.at(tx.limit, self.limit_due, active.number)
 
     def reread(self, path):
-        """SIGHUP: the page may name another address of discovery. All else in it is for the next start; a page
-        that cannot be read changes nothing."""
+        """SIGHUP: the page may name another address of discovery. All else in it is for the next start; a
+        page that cannot be read changes nothing."""
         if self.phase == STOPPED:
             return
         try:
@@ -245,7 +250,8 @@
         now = self.clock()
         # With an heir nobody comes anew, so there is time: who rests for long is unlikely to ask just now.
         self.listener.close_idle(RESTED if self.succeeded and now < since + 4 * COMING else 0)
-        # With an heir the queue is held on to until the exit: should the heir stand still, nobody else looks at it.
+        # With an heir the queue is held on to until the exit: should the heir stand still, nobody else looks
+        # at it.
         held = self.handed or self.holding
         if now >= self.last - COMING or not held and self.listener.nobody_comes(since + COMING):
             self.listener.shut_door()
@@ -281,7 +287,8 @@
         return self.phase == SERVING or self.handed
 
     def send_away(self, since):
-        """While the node is emptied: who rests on a connection is asked to go, who just rested there a little later."""
+        """While the node is emptied: who rests on a connection is asked to go, who just rested there a little
+        later."""
         if self.phase == AWAY and since == self.emptied:
             self.listener.close_idle(RESTED if self.clock() < since + 4 * COMING else 0)
             self.deadlines.at(self.clock() + COMING // 5, self.send_away, since)
@@ -430,12 +437,14 @@
         self.settle()
 
     def wanted(self, active):
-        """Whether a hop of it may still leave. Guards against work for a client that has gone: its end may lie unread, and where
-        nothing may be cancelled a hop that waits for a connection would leave for nobody."""
+        """Whether a hop of it may still leave. Guards against work for a client that has gone: its end may
+        lie unread, and where nothing may be cancelled a hop that waits for a connection would leave for
+        nobody."""
         return self.active_requests.get(active.number) is active and not active.client.left()
 
     def forget(self, active):
-        """The client has its answer, or needs none; hops may still end, with nothing to hold on to. The client."""
+        """The client has its answer, or needs none; hops may still end, with nothing to hold on to. The
+        client."""
         self.active_requests.remove(active.number)
         self.ids.discard(active.name)
         self.over(active)
@@ -453,7 +462,8 @@
             self.router.shares.done(active.tx.profile)
 
     def not_wanted(self, number):
-        """A hop of an active that is over: should it wait for a connection that the limits do not let be opened, it never leaves."""
+        """A hop of an active that is over: should it wait for a connection that the limits do not let be
+        opened, it never leaves."""
         attempt = self.attempts.get(number)
         if attempt and attempt.exchange and not attempt.exchange.link:
             attempt.exchange.cut('unsent')
@@ -478,8 +488,9 @@
             self.router.client_gone(self.clock(), active.tx)
 
     def read_first(self, attempts, due, number):
-        """Whether one of these attempts has something unread: it is read first, and the deadline comes again in the next turn; once for
-        each attempt. Guards against cutting off an answer whose last piece came before its time was up."""
+        """Whether one of these attempts has something unread: it is read first, and the deadline comes again
+        in the next turn; once for each attempt. Guards against cutting off an answer whose last piece came
+        before its time was up."""
         unread = [attempt for attempt in attempts if not attempt.looked_at and attempt.exchange.unread]
         for attempt in unread:
             attempt.looked_at = True
@@ -524,10 +535,7 @@
             if how != 'committed':
                 client.reply(http.answer(400, lasting, 'turned away by the server\n'))
             elif answer.source:
-                client.until = active.tx.limit
-                client.stream(answer, minor)
-                if client.until is not None:
-                    self.deadlines.at(client.until, self.listener.stream_due, client.number)
+                client.stream(answer, minor, active.tx.limit)
             else:
                 client.reply(http.relayed(answer, lasting))
         note = NOTES.get(answer.field(b'srv-cache'), 0) if answer else 0
@@ -544,8 +552,8 @@
         warn('answer not read', server=server.name, reason=err)
 
     def returned(self, server):
-        """A server takes connections again where nobody listened: its process is a new one, until the list says
-        otherwise."""
+        """A server takes connections again where nobody listened: its process is a new one, until the list
+        says otherwise."""
         if server.state == 'ready' and not server.origin:
             now = self.clock()
             self.count('returned')
@@ -559,9 +567,10 @@
         LOG.error('fault', exc_info=(failure.type, failure.value, failure.getTracebackObject()))
 
     def answer_in_part(self, attempt):
-        """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further attempts and its race; but
-        should it be a large one it is timed by its first bytes, and cut off at the limit it would be lost while its server
-        gives it. So it is held for three quarters of the attempt's time, less what this node was late in reading it."""
+        """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further
+        attempts and its race; but should it be a large one it is timed by its first bytes, and cut off at the
+        limit it would be lost while its server gives it. So it is held for three quarters of the attempt's
+        time, less what this node was late in reading it."""
         now = self.clock()
         if attempt.begin_at is None:
             late = unread_for(attempt.exchange.link.transport)
@@ -573,8 +582,9 @@
             self.begin_due(attempt.number)
 
     def begin_due(self, number):
-        """An answer held in part is passed on from here: of several attempts', the one of which most is here. A silent server's
-        stays held: should no more come, its client is better told at the limit to try again."""
+        """An answer held in part is passed on from here: of several attempts', the one of which most is here.
+        A silent server's stays held: should no more come, its client is better told at the limit to try
+        again."""
         attempt = self.attempts.get(number)
         if attempt is None or self.active_requests.get(attempt.active.number) is not attempt.active:
             return
@@ -591,7 +601,8 @@
         now, rows = self.clock(), [self.entry(entry) for entry in entries]
         (self.router.list_replaced if whole else self.router.list_changed)(now, rows)
         for server in [server for server in self.servers.values() if server.name not in self.router.known]:
-            # The module has forgotten it, so no hop is out there. Guards against growing with all that ever were.
+            # The module has forgotten it, so no hop is out there. Guards against growing with all that ever
+            # were.
             del self.servers[server.name]
             self.entries.pop(server.name, None)
             self.caches.forget(server)
@@ -726,8 +737,9 @@
 
 
 def serve(place, path, fleet=None, early=()):
-    """Run a node, whose page is at this path, until it has drained. fleet: what a fleet file says, read and checked, or None.
-    early: filled if SIGHUP came since before the page was read; it may have been read too soon."""
+    """Run a node, whose page is at this path, until it has drained. fleet: what a fleet file says, read and
+    checked, or None. early: filled if SIGHUP came since before the page was read; it may have been read too
+    soon."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,7 +7,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from lilacdyke.net.listener import HALF, RESTING
+from lilacdyke.net.phases import HALF, RESTING
 
 from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, said, sent
 from .test_net import Quiet, status
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from lilacdyke.logic import Server
-from lilacdyke.net import listener as listener_module
+from lilacdyke.net import client as client_module
 from lilacdyke.net.discovery import Entry, started
 from lilacdyke.net.http import one_read
 from lilacdyke.net.logs import KeyValue, Sparse
@@ -232,7 +232,7 @@
 
     def test_a_client_that_sends_ahead_without_end_is_paused(self):
         wire, _ = sent(node())
-        wire.protocol.dataReceived(b'x' * (listener_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (client_module.HELD + 1))
         self.assertEqual(wire.producerState, 'paused')
 
     def test_half_a_request_is_not_waited_for_without_end(self):
@@ -276,7 +276,7 @@
 
     def test_a_refused_client_that_goes_on_sending_is_not_read_and_not_reset_at_once(self):
         wire = asked(node(), 'PUT /read/k HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n')
-        wire.protocol.dataReceived(b'x' * (listener_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (client_module.HELD + 1))
         self.assertEqual((status(wire), wire.producerState, wire.aborted), (413, 'paused', False))
 
     def test_an_id_that_is_open_is_refused_and_the_first_goes_on(self):
