--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -38,7 +38,8 @@
 
 
 def fleet_file(path):
-    """What the fleet file at this path says; what is wrong with it ends the program with one line. Loaded only where one is named."""
+    """What the fleet file at this path says; what is wrong with it ends the program with one line. Loaded
+    only where one is named."""
     from .plan import limits
 
     try:
@@ -49,7 +50,8 @@
 
 
 def in_fleet(place, path):
-    """The fleet file that a node is to go by; the page must name the same installation and no longer requests."""
+    """The fleet file that a node is to go by; the page must name the same installation and no longer
+    requests."""
     from .plan import limits
 
     fleet = fleet_file(path)
@@ -140,8 +142,8 @@
 
 
 class Lazy(click.Group):
-    """A group whose commands are imported only when one of them is asked for: a node never loads the lab. module: where the
-    group of this name is."""
+    """A group whose commands are imported only when one of them is asked for: a node never loads the lab.
+    module: where the group of this name is."""
 
     def __init__(self, name, module, help):
         super().__init__(name, help=help)
--- a/lilacdyke/benchlink/serve.py
+++ b/lilacdyke/benchlink/serve.py
@@ -40,8 +40,8 @@
         return found
 
     def glance(self, read, text):
-        """Check what nothing here depends on. Guards against a report or a message that is out of form taking the
-        transaction with it: it is counted, and the first is logged."""
+        """Check what nothing here depends on. Guards against a report or a message that is out of form taking
+        the transaction with it: it is counted, and the first is logged."""
         try:
             optional(read, text)
         except BadLine as err:
--- a/lilacdyke/decode.py
+++ b/lilacdyke/decode.py
@@ -98,8 +98,8 @@
 
 
 def shape(tree):
-    """Refuse settings that mix the shapes of deployment: what is priced or used but, by another key, not there.
-    Returns the zones' names with their numbers, as lists on sockets name zones."""
+    """Refuse settings that mix the shapes of deployment: what is priced or used but, by another key, not
+    there. Returns the zones' names with their numbers, as lists on sockets name zones."""
     zones = find(tree, 'dcs', list)
     if not zones or not all(isinstance(zone, str) for zone in zones) or len(set(zones)) < len(zones):
         raise BadLine('out of form: dcs: %.200r' % zones)
--- a/lilacdyke/lab/__init__.py
+++ b/lilacdyke/lab/__init__.py
@@ -1,1 +1,2 @@
-"""The lab: fleets of real nodes against stand-ins, in simulated time or on loopback, with faults and judges."""
+"""The lab: fleets of real nodes against stand-ins, in simulated time or on loopback, with faults and
+judges."""
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -1,7 +1,7 @@
 """Plain policies to compare with: random choice, least in flight, round robin, rendezvous without copies.
 
-Owns patches of the module's choice, for comparison only: no node is ever run so. The gate, the list and the answers stay
-as they are.
+Owns patches of the module's choice, for comparison only: no node is ever run so. The gate, the list and the
+answers stay as they are.
 """
 
 from ..logic import Router
--- a/lilacdyke/lab/cli.py
+++ b/lilacdyke/lab/cli.py
@@ -1,7 +1,7 @@
 """`lilacdyke lab`: the words on its command line and its exit codes.
 
-Owns what is printed. Exit codes: 0 all well, 1 a rule broken or a mutant not caught, 2 wrong words or a wrong scenario.
-Must never do what a part's own module does; imports each part only where it is asked for.
+Owns what is printed. Exit codes: 0 all well, 1 a rule broken or a mutant not caught, 2 wrong words or a wrong
+scenario. Must never do what a part's own module does; imports each part only where it is asked for.
 """
 
 import json
@@ -291,7 +291,8 @@
 @click.option('--seeds', type=click.IntRange(2), default=8, show_default=True, help='Pairs of runs.')
 @click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
 def compare(names, against, seeds, jobs):
-    """This tree beside an earlier commit or a baseline: paired seeds, the difference with a confidence interval."""
+    """This tree beside an earlier commit or a baseline: paired seeds, the difference with a confidence
+    interval."""
     from . import compare as comparing
     from . import runs
 
--- a/lilacdyke/lab/compare.py
+++ b/lilacdyke/lab/compare.py
@@ -1,7 +1,7 @@
 """Compares: this tree beside an earlier commit or a baseline, on the same scenarios and seeds.
 
-Owns the other tree (made anew in a temporary folder, gone at the end) and the statistics of pairs. Both sides are played
-by this tree's lab. Must never write into the repository.
+Owns the other tree (made anew in a temporary folder, gone at the end) and the statistics of pairs. Both sides
+are played by this tree's lab. Must never write into the repository.
 """
 
 import io
@@ -26,7 +26,8 @@
 
 
 class Row:
-    """What one scenario came to: mean G on either side, the mean difference and its interval, breaches of either."""
+    """What one scenario came to: mean G on either side, the mean difference and its interval, breaches of
+    either."""
 
     __slots__ = ('name', 'pairs', 'here', 'there', 'mean', 'interval', 'broken')
 
@@ -58,7 +59,8 @@
 
 
 def other_tree(ref, folder):
-    """Lay out the package of a commit, with this tree's lab over it; what of it is the commit's own, in words."""
+    """Lay out the package of a commit, with this tree's lab over it; what of it is the commit's own, in
+    words."""
     try:
         commit = git('rev-parse', '--verify', '--quiet', ref + '^{commit}').decode().strip()
     except CannotCompare:
@@ -88,7 +90,8 @@
 
 
 def played(root, text, seed, patch):
-    """One run in the tree at that root; its outcome as plain values, or None if it could not be played there."""
+    """One run in the tree at that root; its outcome as plain values, or None if it could not be played
+    there."""
     done = subprocess.run(
         (sys.executable, '-m', 'lilacdyke.lab.worker'),
         cwd=root,
--- a/lilacdyke/lab/draw.py
+++ b/lilacdyke/lab/draw.py
@@ -1,7 +1,7 @@
 """Random scenarios: a seed gives a fleet, a load and a timeline of troubles.
 
-Owns what is drawn and how wide. The shapes are those of the deployments the project serves, small, with figures of the
-lab's own. Must never draw what the platform's pages rule out.
+Owns what is drawn and how wide. The shapes are those of the deployments the project serves, small, with
+figures of the lab's own. Must never draw what the platform's pages rule out.
 """
 
 from random import Random
@@ -236,8 +236,8 @@
 
 
 def with_large_bodies(made, seed):
-    """In one fleet of four some values, or all writes, are large; answers of all sizes come in all the forms of HTTP/1.1. Drawn apart,
-    so that the rest of a seed's scenario stays what it was."""
+    """In one fleet of four some values, or all writes, are large; answers of all sizes come in all the forms
+    of HTTP/1.1. Drawn apart, so that the rest of a seed's scenario stays what it was."""
     chance = Random('bodies/%d' % seed)
     if chance.random() >= 0.25:
         return made
@@ -256,7 +256,8 @@
 
 
 def without_large_bodies(made):
-    """Bodies that flow, and gaps between a hop's bytes, would tell when a hop came, not when it was let through."""
+    """Bodies that flow, and gaps between a hop's bytes, would tell when a hop came, not when it was let
+    through."""
     plain = Load()
     return replace(
         made,
@@ -342,7 +343,8 @@
 
 
 def watched(seed, kinds=None, most=5):
-    """The scenario of a seed with planners and verdicts in it: sites of several nodes, and traffic that shows what is bad."""
+    """The scenario of a seed with planners and verdicts in it: sites of several nodes, and traffic that shows
+    what is bad."""
     chance = Random('watched/%d' % seed)
     made = scenario(seed, kinds or WATCHED, most)
     work = sum(p.share * p.work_ms for p in made.profiles) / sum(p.share for p in made.profiles) / 1_000
--- a/lilacdyke/lab/explore.py
+++ b/lilacdyke/lab/explore.py
@@ -44,7 +44,8 @@
 
 
 def minimal(seed, rule, tries, kinds=None, most=4, patch=None, drawn=draw.scenario):
-    """The small scenario that a failing seed comes down to, breaking the same rule; and how many runs that took."""
+    """The small scenario that a failing seed comes down to, breaking the same rule; and how many runs that
+    took."""
 
     def fails(candidate):
         try:
--- a/lilacdyke/lab/eyes.py
+++ b/lilacdyke/lab/eyes.py
@@ -1,4 +1,5 @@
-"""Looks at what forwarders see of servers and at the words that act there, in a simulated process or in a real one.
+"""Looks at what forwarders see of servers and at the words that act there, in a simulated process or in a
+real one.
 
 Owns the two rows that judges of verdicts read. Must never change what it looks at.
 """
@@ -7,8 +8,10 @@
 
 
 def open_up(put, see):
-    """Have seen: see('seen', node, server, how, lasted, quick) as a hop ends that says something; see('word', node, server, least, most, wait, left, kind)
-    as a word begins to act on a server, changes or ends, with the kind it came of; times in microseconds of the node's clock. put(owner, name, value): swaps a method."""
+    """Have seen: see('seen', node, server, how, lasted, quick) as a hop ends that says something;
+    see('word', node, server, least, most, wait, left, kind) as a word begins to act on a server, changes
+    or ends, with the kind it came of; times in microseconds of the node's clock. put(owner, name, value):
+    swaps a method."""
     from ..plan.view import View
 
     saw, look = View.saw, View.look
@@ -20,7 +23,8 @@
     def looking(self, now):
         before = {server: server.word for server in self.node.router.known.values()}
         look(self, now)
-        # Those that end first: they all change in one call, though their rows are written one after the other.
+        # Those that end first: they all change in one call, though their rows are written one after the
+        # other.
         for server in sorted(
             self.node.router.known.values(), key=lambda server: server.word[2] < 1 or server.word[3] > 0
         ):
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -1,7 +1,7 @@
 """Troubles: what each kind of event does to the parts of a run, and how it is taken back.
 
-Owns the timeline. Those that need the network or a machine's clock exist only on simulated ground; elsewhere they are
-left out and said so. Must never know how nodes are built, nor tell them anything.
+Owns the timeline. Those that need the network or a machine's clock exist only on simulated ground; elsewhere
+they are left out and said so. Must never know how nodes are built, nor tell them anything.
 """
 
 from .scenario import TARGETS, Kind
@@ -261,7 +261,8 @@
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
     def do_away(self, index, event, what, span, chance):
-        """Staff has nodes emptied; the front sees it a moment later. They are called back after 4.5 s at the least."""
+        """Staff has nodes emptied; the front sees it a moment later. They are called back after 4.5 s at the
+        least."""
         for place in self.places(what):
             running = place.running
             if running is None or running.leaving:
@@ -471,7 +472,8 @@
                 office.running.reactor.drift(min(1.05, max(0.95, event.size)))
 
     def do_lower(self, index, event, what, span, chance):
-        """Operators lower a limit: size in tenths of what it was at first, but not under what seats own. After the span it is back."""
+        """Operators lower a limit: size in tenths of what it was at first, but not under what seats own.
+        After the span it is back."""
         bounds = self.stage.scenario.planning.bounds
         if bounds:
             bound = bounds[index % len(bounds)]
--- a/lilacdyke/lab/gain.py
+++ b/lilacdyke/lab/gain.py
@@ -1,8 +1,9 @@
-"""What verdicts are worth: the same days with none, with verdicts, with planners killed by turns, and one node that sees all.
+"""What verdicts are worth: the same days with none, with verdicts, with planners killed by turns, and one
+node that sees all.
 
 Owns the days and the table. Must never compare runs of different seeds.
 
-    python -m lilacdyke.lab.gain --nodes 40 --seeds 4 [--days slow,hung]
+python -m lilacdyke.lab.gain --nodes 40 --seeds 4 [--days slow,hung]
 """
 
 from collections import defaultdict
@@ -72,8 +73,9 @@
 
 
 def played(task):
-    """One run: its figures, what was broken, and of the first trouble's servers: hops that came there meanwhile, and when half and all of the forwarders
-    acted on them, seconds from its start; harsh words on servers that nothing ailed."""
+    """One run: its figures, what was broken, and of the first trouble's servers: hops that came there
+    meanwhile, and when half and all of the forwarders acted on them, seconds from its start; harsh words on
+    servers that nothing ailed."""
     name, form, seed, nodes, rate, length = task
     given = day(name, form, nodes, rate, length)
     outcome = runs.one(given, seed, rows=True, hashed=False)
@@ -123,8 +125,8 @@
 @click.option('--forms', default=','.join(FORMS), show_default=True)
 @click.option('--jobs', type=click.IntRange(0), default=0)
 def main(nodes, seeds, rate, length, days, forms, jobs):
-    """Print, for each day in each form: G, revenue in goal, hops a transaction, hops that came to servers in trouble, wrong words a minute, and seconds
-    until half and all forwarders acted on a trouble."""
+    """Print, for each day in each form: G, revenue in goal, hops a transaction, hops that came to servers in
+    trouble, wrong words a minute, and seconds until half and all forwarders acted on a trouble."""
     days, forms = days.split(','), forms.split(',')
     tasks = [
         (name, form, seed, nodes, rate, length) for name in days for form in forms for seed in range(seeds)
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -1,7 +1,8 @@
-"""Simulated ground: node processes, the stand-ins' one, and the network between them, all in one real process.
+"""Simulated ground: node processes, the stand-ins' one, and the network between them, all in one real
+process.
 
-The seam's second home: what net/system.py asks of the machine is answered here from the simulated one. Owns the wiring
-of world, network and reactors. Must never let real time or real sockets into a run.
+The seam's second home: what net/system.py asks of the machine is answered here from the simulated one. Owns
+the wiring of world, network and reactors. Must never let real time or real sockets into a run.
 """
 
 import json
@@ -261,8 +262,8 @@
 
 
 def play(scenario, seed, patch=None, progress=None):
-    """Play a scenario on simulated ground; its Stage, with all that was seen. patch: called with the ground before
-    anything is built; progress: called with the part of the run that is over."""
+    """Play a scenario on simulated ground; its Stage, with all that was seen. patch: called with the ground
+    before anything is built; progress: called with the part of the run that is over."""
     if not _BEGUN:
         globalLogBeginner.beginLoggingTo([observe], discardBuffer=True, redirectStandardIO=False)
     log, ground = logging.getLogger('lilacdyke'), Ground(scenario, seed)
--- a/lilacdyke/lab/held.py
+++ b/lilacdyke/lab/held.py
@@ -1,7 +1,8 @@
 """Judges of verdicts: how long one acts, on how many servers, by whose evidence, and against whose own eyes.
 
-Owns what is broken about words that act at forwarders (rows 'word'), beside what all forwarders saw (rows 'seen'), on the one true clock. Shares no
-code with the program. Must never take a verdict's own account of its age or its witnesses.
+Owns what is broken about words that act at forwarders (rows 'word'), beside what all forwarders saw (rows
+'seen'), on the one true clock. Shares no code with the program. Must never take a verdict's own account of
+its age or its witnesses.
 """
 
 from bisect import bisect_left, bisect_right
@@ -26,7 +27,8 @@
 
 
 def words(case):
-    """All words, each until the next on its server at its node, until the node ended, or until the server was out there anyway."""
+    """All words, each until the next on its server at its node, until the node ended, or until the server was
+    out there anyway."""
     last, found = {}, []
     for row in sorted(
         case.by['word']
@@ -99,7 +101,8 @@
     for one in acting:
         if not one.harsh:
             continue
-        # A witness may have been as old as S as a planner looked, its worst hop half as old again, and the word is not new either.
+        # A witness may have been as old as S as a planner looked, its worst hop half as old again, and the
+        # word is not new either.
         rows, lately = seen.between(one.server, one.begin - 5 * span // 2, one.begin), one.begin - span
         bad = {node for _, node, _, quick in rows if not quick} | {
             'n' + number
@@ -124,7 +127,8 @@
 
 
 def blindly(case, acting, seen):
-    """Own eyes first: none begins where the forwarder itself has seen a quick answer since anybody saw anything bad."""
+    """Own eyes first: none begins where the forwarder itself has seen a quick answer since anybody saw
+    anything bad."""
     for one in acting:
         if one.harsh:
             rows = seen.between(one.server, one.begin - 60_000_000, one.begin)
--- a/lilacdyke/lab/judges.py
+++ b/lilacdyke/lab/judges.py
@@ -1,7 +1,8 @@
 """The judges: the four rules, exactly, from what the stand-ins saw.
 
-Owns what counts as broken, with the figures of the scenario alone. Shares no code with the node and knows none of its
-words; node counters are read for accounting only. Must never look at anything but rows, nor excuse what a rule does not.
+Owns what counts as broken, with the figures of the scenario alone. Shares no code with the node and knows
+none of its words; node counters are read for accounting only. Must never look at anything but rows, nor
+excuse what a rule does not.
 """
 
 from bisect import bisect_left, bisect_right
@@ -165,8 +166,8 @@
 
 
 def client_apart(case, begin, end):
-    """Whether a trouble could have come between clients and their node: few bytes taken of a send. Clients sit in their
-    node's site, so cuts between sites do not."""
+    """Whether a trouble could have come between clients and their node: few bytes taken of a send. Clients
+    sit in their node's site, so cuts between sites do not."""
     return case.troubled({'dribble'}, begin, end)
 
 
@@ -222,7 +223,8 @@
 
 
 def together(case, asks, hops, profiles):
-    """What may not be out twice at once was not, as far as servers can tell: the second began while the first ran."""
+    """What may not be out twice at once was not, as far as servers can tell: the second began while the first
+    ran."""
     found = []
     worked = {row[2]: row[1] for row in case.by['worked']}
     began = {row[2]: row[1] - row[3] for row in case.by['worked']}
@@ -243,8 +245,8 @@
 
 
 def forsaken(case):
-    """Nothing is sent on for a client that has left, however it waited: servers see each hop's first byte, clients know when they
-    left."""
+    """Nothing is sent on for a client that has left, however it waited: servers see each hop's first byte,
+    clients know when they left."""
     left = {row[2]: row[1] for row in case.by['left']}
     return [
         Broken(
@@ -326,7 +328,8 @@
 
 
 def frozen(case, node, told, sent):
-    """Whether the node's process stood still from when it was told until the send, or bytes were held up on their way."""
+    """Whether the node's process stood still from when it was told until the send, or bytes were held up on
+    their way."""
     return any(
         (
             kind == 'standstill'
@@ -341,8 +344,8 @@
 
 
 def untold(case, grace):
-    """A node that does not listen: what discovery has to tell counts as told so late at most, from when it had it, was
-    not silent, and the node's process went on."""
+    """A node that does not listen: what discovery has to tell counts as told so late at most, from when it
+    had it, was not silent, and the node's process went on."""
     found, told_by = [], int(case.scenario.rules.told_s * 1e6)
     gone, apart = {}, [spell for spell in case.spells if spell[0] in ('silence', 'standstill', 'hup')]
     for row in case.rows:
@@ -380,8 +383,8 @@
 
 
 def hands(case):
-    """Nothing begun at a server that staff has out, from the node's yes until the call back; an emptied node says so, and
-    keeps nobody that rests."""
+    """Nothing begun at a server that staff has out, from the node's yes until the call back; an emptied node
+    says so, and keeps nobody that rests."""
     found, out = [], {}  # out: (node, server) -> since when
     empty = {}  # node -> since when
     for row in case.rows:
@@ -469,7 +472,8 @@
 
 
 def windows(came, started, end, capacity, rules):
-    """Each window of a cold spell as one more call ends it: (when, work in it, its calls, this one's work, what the server could do)."""
+    """Each window of a cold spell as one more call ends it: (when, work in it, its calls, this one's work,
+    what the server could do)."""
     window, warm = int(rules.fall_s * 1e6), rules.warm_s * 1e6
     load, first, last = 0, bisect_left(came, (started, 0)), bisect_right(came, (end, 0))
     tail = first
@@ -534,7 +538,8 @@
 
 
 def accounts(case):
-    """Node counters against what clients and servers saw; what is held at the end; processes that do not end."""
+    """Node counters against what clients and servers saw; what is held at the end; processes that do not
+    end."""
     found, answers = [], Counter()
     node_of = {row[2]: row[4] for row in case.by['ask']}
     for row in case.by['answer']:
@@ -614,8 +619,8 @@
 
 
 def in_force(case, name):
-    """Of one limit, the largest that may be in force, by time: [(from, most)]. One that was lowered holds a stated while later; one
-    that was raised at once."""
+    """Of one limit, the largest that may be in force, by time: [(from, most)]. One that was lowered holds a
+    stated while later; one that was raised at once."""
     planning, rows = case.scenario.planning, [(row[1], row[3]) for row in case.by['limit'] if row[2] == name]
     what = next(bound.what for bound in planning.bounds if bound.name == name)
     tail = (
@@ -653,8 +658,9 @@
 
 
 def limited(case):
-    """Every limit in sum, at each instant, as servers counted. Beyond it: over any second a tenth of a second's worth and one
-    request for each process of the fleet; at once, one for each process that stood still between look and act."""
+    """Every limit in sum, at each instant, as servers counted. Beyond it: over any second a tenth of a
+    second's worth and one request for each process of the fleet; at once, one for each process that stood
+    still between look and act."""
     found = []
     lives = len({row[2] for row in case.by['node']}) + 1
     still = sum(1 for kind, _, _, _ in case.spells if kind in STILL | {'starve', 'stop_planner'})
@@ -701,7 +707,8 @@
 
 
 def each_try(case, steps):
-    """What came to a server in the second before each that came, from nodes that held it to be out by the fleet's word."""
+    """What came to a server in the second before each that came, from nodes that held it to be out by the
+    fleet's word."""
     out = defaultdict(list)
     for word in held.words(case):
         if word.kind in ('silent', 'failing'):
@@ -718,7 +725,8 @@
 
 
 def each_cold(case, steps):
-    """What came to a server that warms up in the second before each that came, from nodes that the list had told of its start."""
+    """What came to a server that warms up in the second before each that came, from nodes that the list had
+    told of its start."""
     grace = case.slack + case.travel
     told = defaultdict(list)  # (node, server) -> when it was told anything of it
     for row in case.by['told']:
@@ -744,8 +752,9 @@
 
 
 def kept_short(case):
-    """Nobody is refused for a limit while less than its own part is spent, planners or none. Its own: an even part of the floor, of which half
-    may be given away; judged where one limit alone refuses, over a second in which refusals never cease: what was idle is not saved up."""
+    """Nobody is refused for a limit while less than its own part is spent, planners or none. Its own: an even
+    part of the floor, of which half may be given away; judged where one limit alone refuses, over a second in
+    which refusals never cease: what was idle is not saved up."""
     planning, found = case.scenario.planning, []
     refusing = [bound for bound in planning.bounds if bound.what in ('requests', 'open')]
     if len(refusing) != 1 or refusing[0].what != 'requests' or planning.seats not in (0, case.scenario.nodes):
@@ -780,12 +789,14 @@
 
 
 def closing(case, at):
-    """How many connections may have been closed by their node without the server knowing yet: as many as came lately."""
+    """How many connections may have been closed by their node without the server knowing yet: as many as came
+    lately."""
     return sum(1 for row in case.by['link'] if at - case.travel - case.slack <= row[1] < at)
 
 
 def arrivals_of(case, bound, profile_of):
-    """When servers got what a limit counts: the first byte of a request's first hop, or of each hop at the origin."""
+    """When servers got what a limit counts: the first byte of a request's first hop, or of each hop at the
+    origin."""
     first = {}
     if bound.what == 'fetches':
         return sorted(row[7] for row in case.by['hop'] if row[3] == 'origin')
@@ -805,7 +816,8 @@
 
 
 def each_open(case, bound, steps, profile_of):
-    """Requests that ran at servers, each time that one more did; a hop that ends as another begins is not with it."""
+    """Requests that ran at servers, each time that one more did; a hop that ends as another begins is not
+    with it."""
     ends = {}
     for kind in ('worked', 'dropped', 'refused'):
         for row in case.by[kind]:
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -1,7 +1,8 @@
 """Loopback ground: real node processes and the stand-ins on a real reactor, on addresses in 127.0.0.0/8 only.
 
-Owns the processes that it starts, their pages and logs, and the real clock. Each node sees the servers under addresses
-of its own, so that they know whose hop it is. Must never touch a process that it did not start, nor outlive its run.
+Owns the processes that it starts, their pages and logs, and the real clock. Each node sees the servers under
+addresses of its own, so that they know whose hop it is. Must never touch a process that it did not start, nor
+outlive its run.
 """
 
 import gc
@@ -172,7 +173,8 @@
 
     @staticmethod
     def free():
-        """How far the ports are moved, so that two labs on one machine do not meet; and what keeps others from the same."""
+        """How far the ports are moved, so that two labs on one machine do not meet; and what keeps others
+        from the same."""
         while True:
             with socket.socket() as probe:
                 probe.bind(('127.0.0.1', 0))
@@ -247,8 +249,9 @@
 
 
 def play(scenario, seed, watch=None, seconds=None, strangers=False, build=None, around=None):
-    """Play on loopback; its Stage. watch: called with the stage each second; seconds: the most that it goes on, None:
-    the scenario's own length. build, around: another ground than this one, and what watches the machine meanwhile."""
+    """Play on loopback; its Stage. watch: called with the stage each second; seconds: the most that it goes
+    on, None: the scenario's own length. build, around: another ground than this one, and what watches the
+    machine meanwhile."""
     from twisted.internet.epollreactor import EPollReactor
     from twisted.logger import globalLogBeginner
 
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -106,7 +106,8 @@
 @click.option('--seeds', default=20, show_default=True)
 @click.option('--lease', default=1.0, show_default=True)
 def lowered(seeds, lease):
-    """A limit is lowered while all is spent: seconds until servers get no more than the new one, plain and with a third of the fleet cut off."""
+    """A limit is lowered while all is spent: seconds until servers get no more than the new one, plain and
+    with a third of the fleet cut off."""
     for name, more in (
         ('all reached', []),
         (
@@ -139,7 +140,8 @@
 
 
 def until_held(case):
-    """From when a limit was lowered until the last half second in which servers got more than it, the burst and one each beyond it."""
+    """From when a limit was lowered until the last half second in which servers got more than it, the burst
+    and one each beyond it."""
     (_, at, _, most), first = case.by['limit'][-1], {}
     for row in case.by['hop']:
         first[row[4]] = min(first.get(row[4], row[7]), row[7])
@@ -160,9 +162,10 @@
     '--multiple', default=2.0, show_default=True, help='of what a cold server can do, at which it falls over'
 )
 def cold(nodes, seeds, multiple):
-    """What all nodes together send to cold servers in a window, against the budget N and the chance of 2 x root of N + 2; 1 is a fall.
-    Half of a busy fleet is replaced by servers that the list tells. One that stands at another's address before it does is no case of
-    this: who has not been told sends to it as to a warm one."""
+    """What all nodes together send to cold servers in a window, against the budget N and the chance of 2 x
+    root of N + 2; 1 is a fall. Half of a busy fleet is replaced by servers that the list tells. One that
+    stands at another's address before it does is no case of this: who has not been told sends to it as to a
+    warm one."""
     deploy = Event(at_s=2.5, kind='deploy', count=2, for_s=6.0, size=5.0)
     for count in nodes:
         third = -(-count // 3)
--- a/lilacdyke/lab/network.py
+++ b/lilacdyke/lab/network.py
@@ -1,8 +1,8 @@
 """A simulated network of machines: TCP sockets with bounded buffers, accept queues, resets and cuts.
 
-Owns what a kernel owns: descriptors, buffers, accept queues, the order of bytes, and how long they travel. Its sockets
-answer the calls that Twisted's transports and net/sockets.py make of real ones, so both run unchanged above it. Must
-never look into the bytes, nor know which machine is a node.
+Owns what a kernel owns: descriptors, buffers, accept queues, the order of bytes, and how long they travel.
+Its sockets answer the calls that Twisted's transports and net/sockets.py make of real ones, so both run
+unchanged above it. Must never look into the bytes, nor know which machine is a node.
 """
 
 import socket
@@ -185,7 +185,8 @@
             self.net.carry(self, None)
 
     def close(self):
-        """Give the descriptor back. Bytes unread, or a linger of nothing, reset the connection, as on Linux."""
+        """Give the descriptor back. Bytes unread, or a linger of nothing, reset the connection, as on
+        Linux."""
         if self.dead:
             return
         self.dead = True
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -1,7 +1,7 @@
 """Clients: they ask at their own pace, whether they are answered or not.
 
-Owns arrivals, connections to nodes, retries, and what each client got. Must never slow down because a node does, nor
-send a request that a client of the platform would not send.
+Owns arrivals, connections to nodes, retries, and what each client got. Must never slow down because a node
+does, nor send a request that a client of the platform would not send.
 """
 
 from bisect import bisect
@@ -311,8 +311,8 @@
         self.stage.later(int(wait) + 1, self.attempt, tx)
 
     def unreached(self, try_):
-        """The node took no connection: nothing was sent, unless this was the second try of one that crossed with a close. That
-        one may have run: the node is gone, and nobody knows."""
+        """The node took no connection: nothing was sent, unless this was the second try of one that crossed
+        with a close. That one may have run: the node is gone, and nobody knows."""
         self.quiet(try_)
         if try_.asked is not None:
             self.stage.see('cut', try_.id)
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -1,7 +1,7 @@
 """Discovery: the roster and its changes, and an agent on each node's machine that tells them late.
 
-Owns versions, lags and watches. What an agent has written to a node, or should have at the latest, counts as told.
-Must never tell a change before the ones that came ahead of it.
+Owns versions, lags and watches. What an agent has written to a node, or should have at the latest, counts as
+told. Must never tell a change before the ones that came ahead of it.
 """
 
 import json
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -1,7 +1,8 @@
-"""A cache server as a queue: cores, speed, what waits, what is kept, cold starts, falling over, repeats by mark.
+"""A cache server as a queue: cores, speed, what waits, what is kept, cold starts, falling over, repeats by
+mark.
 
-Owns what a server does with work, without I/O: bytes are servers.py's. The origin is one of these that has every
-value. Must never use a clock or chance but those it is given.
+Owns what a server does with work, without I/O: bytes are servers.py's. The origin is one of these that has
+every value. Must never use a clock or chance but those it is given.
 """
 
 from collections import OrderedDict, deque
@@ -38,7 +39,8 @@
 
 
 class Fleet:
-    """What the servers know of each other, as the platform gives it: marks by group, values, who missed what."""
+    """What the servers know of each other, as the platform gives it: marks by group, values, who missed
+    what."""
 
     def __init__(self):
         self.servers, self.origin = {}, None
@@ -121,7 +123,8 @@
         return True
 
     def fetched_now(self, key):
-        """Whether the origin is at work on a fetch of a key: then a miss is `pending`, where servers tell so."""
+        """Whether the origin is at work on a fetch of a key: then a miss is `pending`, where servers tell
+        so."""
         origin = self.fleet.origin
         if not self.caches.coalesce or origin is None:
             return False
@@ -149,7 +152,8 @@
         return True
 
     def push(self, now, work):
-        """Guards nobody: a server that is sent more than the multiple of what it can do, for the time, falls over."""
+        """Guards nobody: a server that is sent more than the multiple of what it can do, for the time, falls
+        over."""
         if not self.origin and not self.started:
             return
         sent = self.sent
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -1,7 +1,7 @@
 """Cache servers and the origin on the wire: connections, declines, spoilt answers, probes.
 
-Owns what comes and goes in bytes; what a server does with a hop is the model's. Must never answer a hop twice, nor one
-that was cancelled.
+Owns what comes and goes in bytes; what a server does with a hop is the model's. Must never answer a hop
+twice, nor one that was cancelled.
 """
 
 from zlib import crc32
--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -62,7 +62,8 @@
             self.ask(place, place.door, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
-        """What a node says to who asks whether it is ready; at a standstill or on its way out it says nothing."""
+        """What a node says to who asks whether it is ready; at a standstill or on its way out it says
+        nothing."""
         running = place.running
 
         def done(status):
--- a/lilacdyke/lab/parts/wire.py
+++ b/lilacdyke/lab/parts/wire.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 as the stand-ins speak it: requests in, answers out, and the other way round.
 
-Owns a reader of its own, apart from the node's: a fault in one must not hide in the other. Must never be lenient where
-the protocol page is strict, nor decide what is answered.
+Owns a reader of its own, apart from the node's: a fault in one must not hide in the other. Must never be
+lenient where the protocol page is strict, nor decide what is answered.
 """
 
 from zlib import crc32
--- a/lilacdyke/lab/reactor.py
+++ b/lilacdyke/lab/reactor.py
@@ -1,7 +1,9 @@
-"""What Twisted's reactor offers, over the simulated network and in simulated time: one for each simulated process.
+"""What Twisted's reactor offers, over the simulated network and in simulated time: one for each simulated
+process.
 
 Owns the turns of a process: what is due, then what its sockets tell, each turn costing it time. Twisted's own
-transports and ports run on it; only the sockets beneath are others. Must never let a call block, or run out of turn.
+transports and ports run on it; only the sockets beneath are others. Must never let a call block, or run out
+of turn.
 """
 
 from select import EPOLLERR, EPOLLHUP, EPOLLIN, EPOLLOUT
--- a/lilacdyke/lab/report.py
+++ b/lilacdyke/lab/report.py
@@ -1,7 +1,7 @@
 """A static page from records of runs: figures, breaches, and plots with the troubles marked.
 
-Owns the page and its plots. Reads records alone: a record that was cut short gives the page of what is in it. Must never
-play anything.
+Owns the page and its plots. Reads records alone: a record that was cut short gives the page of what is in it.
+Must never play anything.
 """
 
 import base64
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -1,6 +1,7 @@
 """Runs: one scenario played and judged, and many of them over the machine's cores.
 
-Owns what a run's outcome is, and the pool of workers. Must never let one run's end take the others' results with it.
+Owns what a run's outcome is, and the pool of workers. Must never let one run's end take the others' results
+with it.
 """
 
 import gc
@@ -70,8 +71,8 @@
 
 
 def many(tasks, jobs, each):
-    """Play (text, seed, patch) tasks on so many processes; each(index, outcome or exception) as they end. False if
-    interrupted: what had ended is with the caller already."""
+    """Play (text, seed, patch) tasks on so many processes; each(index, outcome or exception) as they end.
+    False if interrupted: what had ended is with the caller already."""
     if jobs == 1:
         for index, given in enumerate(tasks):
             try:
--- a/lilacdyke/lab/scenario.py
+++ b/lilacdyke/lab/scenario.py
@@ -1,7 +1,7 @@
 """Scenarios: what a run plays, as TOML, read strictly.
 
-Owns the form of a scenario and the words of its errors. Times are named by their unit (_s, _ms); rates are a second;
-shares are parts of one. Must never fill in what is wrong, nor know how a run is played.
+Owns the form of a scenario and the words of its errors. Times are named by their unit (_s, _ms); rates are a
+second; shares are parts of one. Must never fill in what is wrong, nor know how a run is played.
 """
 
 from pathlib import Path
--- a/lilacdyke/lab/shrink.py
+++ b/lilacdyke/lab/shrink.py
@@ -45,8 +45,8 @@
 
 
 def shrink(scenario, fails, tries=150):
-    """The smallest found that still fails, and how many were played. fails(scenario) tells; one that is no scenario any
-    more counts as not failing."""
+    """The smallest found that still fails, and how many were played. fails(scenario) tells; one that is no
+    scenario any more counts as not failing."""
     played, going = 0, True
     while going and played < tries:
         going = False
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -1,7 +1,7 @@
 """What is played: the parts of one run, put together from a scenario on either ground.
 
-Owns names, addresses, zones, and the run's beginning and end. The ground (ground.py simulated, loopback.py real) gives
-the clock, timers, ports, connections and node processes. Must never decide for a node.
+Owns names, addresses, zones, and the run's beginning and end. The ground (ground.py simulated, loopback.py
+real) gives the clock, timers, ports, connections and node processes. Must never decide for a node.
 """
 
 from math import log1p
@@ -204,7 +204,8 @@
         return server
 
     def warm(self):
-        """What servers keep at the start: most of the keys that would be theirs, by chance, the popular ones first."""
+        """What servers keep at the start: most of the keys that would be theirs, by chance, the popular ones
+        first."""
         scenario, chance = self.scenario, self.chance('warm')
         names = sorted(self.fleet.servers)
         for rank in range(scenario.load.keys):
--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/witness.py
@@ -1,7 +1,8 @@
 """What the stand-ins saw, row by row: the only thing that judges look at.
 
-Owns the kinds of rows and their fields, the record as JSON lines, and its hash. Times are whole microseconds since the
-run's start. Must never hold what only a node knows, save the counters that a node's process told at its end.
+Owns the kinds of rows and their fields, the record as JSON lines, and its hash. Times are whole microseconds
+since the run's start. Must never hold what only a node knows, save the counters that a node's process told at
+its end.
 """
 
 import hashlib
@@ -9,7 +10,8 @@
 
 # The fields of each kind of row, after its kind and its time.
 ROWS = {
-    # clients: a request whose last byte has been written; made: the first byte's time; wait: until it is given up
+    # clients: a request whose last byte has been written; made: the first byte's time; wait: until it is
+    # given up
     'ask': ('id', 'tx', 'node', 'profile', 'tenant', 'key', 'mark', 'begun', 'wait', 'attempt', 'fresh'),
     'again': ('id',),  # the same once more: the node had closed between requests
     'answer': ('id', 'status', 'digest', 'after'),  # after: Retry-After, seconds
@@ -38,12 +40,14 @@
     'node': ('node', 'what'),
     'fault': ('kind', 'what', 'until'),
     'counters': ('node', 'counts'),
-    # staff: out, back (called), returned, with a server; away, active; ready, open with a status; kept with a count
+    # staff: out, back (called), returned, with a server; away, active; ready, open with a status; kept with a
+    # count
     'hand': ('node', 'what', 'about'),
     'planner': ('planner', 'what'),
     'limit': ('name', 'most'),  # in force from then on
     'seats': ('server', 'count'),  # connections there, one having come
-    # forwarders, where there are verdicts (eyes.py): what a hop said of its server; a word that acts on one from now on, left: for how long
+    # forwarders, where there are verdicts (eyes.py): what a hop said of its server; a word that acts on one
+    # from now on, left: for how long
     'seen': ('node', 'server', 'how', 'lasted', 'quick'),
     'word': ('node', 'server', 'least', 'most', 'wait', 'left', 'kind'),
     'error': ('node', 'text'),
--- a/lilacdyke/lab/worker.py
+++ b/lilacdyke/lab/worker.py
@@ -1,5 +1,5 @@
-"""One run in a process of its own, for trees other than this one: a task as JSON on standard input, its outcome as JSON
-on standard output.
+"""One run in a process of its own, for trees other than this one: a task as JSON on standard input, its
+outcome as JSON on standard output.
 
 Owns nothing else. Must never print anything but that one line.
 """
--- a/lilacdyke/lab/world.py
+++ b/lilacdyke/lab/world.py
@@ -1,7 +1,7 @@
 """Simulated time: one heap of what happens when, and the only sources of chance.
 
-Owns the order of events: by time, and at one time by when they were asked for. Must never look at a real clock, at
-an object's address or hash, or draw from a source that is not seeded by name.
+Owns the order of events: by time, and at one time by when they were asked for. Must never look at a real
+clock, at an object's address or hash, or draw from a source that is not seeded by name.
 """
 
 from heapq import heappop, heappush
@@ -20,7 +20,8 @@
         self.current = None  # whose turn it is
 
     def chance(self, name):
-        """A source of random numbers of its own for each name, so that one more draw in a part moves no other part."""
+        """A source of random numbers of its own for each name, so that one more draw in a part moves no other
+        part."""
         return Random('%s/%s' % (self.seed, name))
 
     def at(self, when, call, *given):
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -50,7 +50,8 @@
         self.done = Deferred()  # fires once, with (ending, answer or None)
 
     def cut(self, how):
-        """It is not waited for any more, unless it has ended: its connection ends, which tells the server so."""
+        """It is not waited for any more, unless it has ended: its connection ends, which tells the server
+        so."""
         if self.done.called:
             return
         if self.link:
@@ -93,8 +94,8 @@
         self.transport.setTcpNoDelay(True)
 
     def carry(self, exchange):
-        """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more once
-        all that it wrote has left."""
+        """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more
+        once all that it wrote has left."""
         self.exchange, exchange.link = exchange, self
         source = exchange.message.source
         data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
@@ -110,7 +111,8 @@
             self.transport.registerProducer(self, False)
 
     def body(self, data, whole):
-        """More of a large request, and whether that was all. Its last byte has left once the system has all."""
+        """More of a large request, and whether that was all. Its last byte has left once the system has
+        all."""
         if not whole:
             self.flow.pass_on(data)
             return
@@ -163,8 +165,8 @@
 
     @property
     def holds_part(self):
-        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a large one. One
-        that comes before its request has left is of no use."""
+        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a
+        large one. One that comes before its request has left is of no use."""
         message = self.reader.message
         return (
             self.exchange is not None
@@ -329,8 +331,8 @@
             self.caches.shares.linked(self.caches.clock(), self.server, more)
 
     def declined(self):
-        """A new connection was turned away at its first hop, and closed: the server has no place for more. Guards against
-        places that lie idle at one node while others are turned away."""
+        """A new connection was turned away at its first hop, and closed: the server has no place for more.
+        Guards against places that lie idle at one node while others are turned away."""
         self.crowded = self.caches.clock() + self.caches.keep
 
     def dial(self):
@@ -361,8 +363,8 @@
             self.offer(link)
 
     def offer(self, link):
-        """A connection for the hop that has waited longest and may still leave; else it rests. Guards against what happened
-        while hops waited: the server began to drain, the client left, a repeat's time is up."""
+        """A connection for the hop that has waited longest and may still leave; else it rests. Guards against
+        what happened while hops waited: the server began to drain, the client left, a repeat's time is up."""
         while self.waiting:
             exchange = self.waiting.popleft()
             late = exchange.by is not None and self.caches.clock() > exchange.by
@@ -373,7 +375,8 @@
         self.rest(link)
 
     def without(self, how):
-        """A connection that was to come will not: unless others come, the hop that has waited longest has none to wait for."""
+        """A connection that was to come will not: unless others come, the hop that has waited longest has
+        none to wait for."""
         if len(self.waiting) > self.dials:
             self.waiting.popleft().over(how)
 
@@ -387,8 +390,8 @@
         self.without('unsent' if error in (EMFILE, ENFILE) else 'unreachable')
 
     def rest(self, link):
-        """A connection is free. Guards against servers that close one right after an answer, or send more than the
-        answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
+        """A connection is free. Guards against servers that close one right after an answer, or send more
+        than the answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
         if self.server.state != 'ready' or link.address != self.address:
             link.close()
             return
@@ -468,8 +471,8 @@
                 pool.close_idle()
 
     def send(self, server, message, until, wanted, repeat):
-        """Start a hop; its Exchange. wanted() tells whether it may still leave; a repeat leaves within the time that a connection
-        may take to come up, which the rule on repeats sets aside for it."""
+        """Start a hop; its Exchange. wanted() tells whether it may still leave; a repeat leaves within the
+        time that a connection may take to come up, which the rule on repeats sets aside for it."""
         exchange = Exchange(
             self.pools[server], message, until, wanted, self.clock() + self.within if repeat else None
         )
@@ -500,15 +503,16 @@
             next(iter(self.resting.values())).close()
 
     def rest(self, link):
-        """Note an idle connection and until when it is kept: well before the server ends it, and hardly at all where others
-        find no place."""
+        """Note an idle connection and until when it is kept: well before the server ends it, and hardly at
+        all where others find no place."""
         self.resting[link.number] = link
         now = self.clock()
         link.idle_until = now + (CROWDED if now < link.pool.crowded else self.keep)
         self.time(link)
 
     def time(self, link):
-        """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is to go sooner."""
+        """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is
+        to go sooner."""
         if not link.timed or link.idle_until < link.timed:
             link.timed = link.idle_until
             self.deadlines.at(link.idle_until, self.idle_due, link.number)
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -14,20 +14,21 @@
 from .sockets import Outgoing, connect
 from .tables import Table
 
-# What is told late adds up: a watch that hangs, one wait, one call that is answered at once. The sum stays under the 6 s after which a
-# change counts as told (docs/architecture.md).
+# What is told late adds up: a watch that hangs, one wait, one call that is answered at once. The sum stays
+# under the 6 s after which a change counts as told (docs/architecture.md).
 SILENCE = 30_000  # a watch has a line every 2 s; with no byte for so long it is dead
 PARTIAL = 35_000  # nor may bytes go on coming for longer with no whole line among them
 ANSWERED = 10_000  # for its head, where lists are pushed: the agent is on this machine and answers at once
 QUEUED = 30_000  # where they are asked for: calls wait their turn, and one given up was all for nothing
-# Backoff between tries: the first and the longest, as parts of the time in which sends to a server that drains have to cease. Guards
-# against such sends as discovery comes back: what the agent has counts as told from then on, watch or none. Doubles.
+# Backoff between tries: the first and the longest, as parts of the time in which sends to a server that
+# drains have to cease. Guards against such sends as discovery comes back: what the agent has counts as told
+# from then on, watch or none. Doubles.
 BACKOFF = 0.25, 0.625
 BACKOFF_LEAST = (
     100  # and the shortest, however soon sends have to cease; none is longer than a call may take to answer
 )
-# Where it turned the call away it has too many: backoff doubles from a quarter of this on. Guards against a retry storm, in which a whole
-# fleet that asks again at once keeps it shut for all.
+# Where it turned the call away it has too many: backoff doubles from a quarter of this on. Guards against a
+# retry storm, in which a whole fleet that asks again at once keeps it shut for all.
 BACKOFF_TURNED_AWAY, TURNED_AWAY = 30_000, (b'503', b'429')
 WORDS = {state: word for word, state in STATES.items()}
 MAX_LIST = 4 << 20  # one list on the watch, in bytes
@@ -135,7 +136,8 @@
             self.discovery.lost(self, 'ended')
 
     def joined(self, line):
-        """The list that ends with this line, which may be one of many if it comes indented; None while it is not all here."""
+        """The list that ends with this line, which may be one of many if it comes indented; None while it is
+        not all here."""
         if self.open or nests(line):
             self.depth += nests(TEXT.sub(b'', line))
         self.open += line + b' '
@@ -207,7 +209,8 @@
             self.open()
 
     def ask(self):
-        """The module wants a watch: unless one is lost and its retry due, whose wait spares a discovery that many call."""
+        """The module wants a watch: unless one is lost and its retry due, whose wait spares a discovery that
+        many call."""
         if not self.backing_off:
             self.open()
 
@@ -225,7 +228,8 @@
         self.deadlines.at(self.heard + self.within, self.silent, watch.number)
 
     def silent(self, number):
-        """Guards against a peer that vanished without a word, while connecting as later, and one that trickles."""
+        """Guards against a peer that vanished without a word, while connecting as later, and one that
+        trickles."""
         watch = self.table.get(number)
         if watch is None:
             return
--- a/lilacdyke/net/flow.py
+++ b/lilacdyke/net/flow.py
@@ -1,7 +1,8 @@
 """A body on its way from one connection to another, passed on as it comes.
 
-Owns the framing towards the sink and the back-pressure: while the sink takes no more, the source is not read. Must never
-hold bytes beyond what the sink's transport already has, or end a body that is not whole as if it were.
+Owns the framing towards the sink and the back-pressure: while the sink takes no more, the source is not read.
+Must never hold bytes beyond what the sink's transport already has, or end a body that is not whole as if it
+were.
 """
 
 PIECE = 32_768  # bytes read at a time, and held in a transport before the source pauses
--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -1,11 +1,12 @@
 """The link between two processes of one node while the second takes over from the first.
 
-Owns the socket in the private folder, its name, and the lines on it. Must never wait for a peer that says nothing, act on
-a line that it cannot read, or decide who takes clients: that is succession.py's.
+Owns the socket in the private folder, its name, and the lines on it. Must never wait for a peer that says
+nothing, act on a line that it cannot read, or decide who takes clients: that is succession.py's.
 
-Lines are JSON objects, one each. The elder begins with `{"v": 1, ...}` and its listening socket as a descriptor; then
-either side sends `{"call": [verb, name], "n": N}` and answers `{"done": N}`; the heir sends `{"serves": true}`, the elder
-`{"holds": descriptors}`. To an elder that began with `"beats": true` the heir sends `{"beat": true}` from then on, and does not stop.
+Lines are JSON objects, one each. The elder begins with `{"v": 1, ...}` and its listening socket as a
+descriptor; then either side sends `{"call": [verb, name], "n": N}` and answers `{"done": N}`; the heir sends
+`{"serves": true}`, the elder `{"holds": descriptors}`. To an elder that began with `"beats": true` the heir
+sends `{"beat": true}` from then on, and does not stop.
 """
 
 import json
@@ -71,7 +72,8 @@
             self.end()
 
     def told(self, line):
-        """One line. Guards against a peer of another version: what it says that is not known ends the link."""
+        """One line. Guards against a peer of another version: what it says that is not known ends the
+        link."""
         if not isinstance(line, dict):
             raise BadLine('no object')
         if 'v' in line and self.elder:
@@ -176,7 +178,8 @@
     # --- the start --------------------------------------------------------------------------------------
 
     def ask(self, begin):
-        """Look for an elder; begin(what it gave, its listening socket), or begin(None, None) where there is none."""
+        """Look for an elder; begin(what it gave, its listening socket), or begin(None, None) where there is
+        none."""
         self.begin = begin
         try:
             found = [name for name in os.listdir(self.folder) if name.startswith(self.prefix)]
@@ -278,8 +281,8 @@
             self.node.share_out()
 
     def watch_heir(self, _):
-        """Take clients again while an heir that serves stands still. One of an older version, which never beats, is not
-        watched."""
+        """Take clients again while an heir that serves stands still. One of an older version, which never
+        beats, is not watched."""
         if self.heir and self.heard is not None:
             if self.clock() > self.heard + QUIET and self.succession.heir == SERVES:
                 self.succession.heir_silent()
@@ -334,7 +337,8 @@
             link.call(verb, name, one)
 
     def short(self, name):
-        """The path of a socket. Guards against a private folder whose path is too long for a Unix socket's address."""
+        """The path of a socket. Guards against a private folder whose path is too long for a Unix socket's
+        address."""
         path = os.path.join(self.folder, name)
         if len(path.encode()) <= PATH_MOST:
             return path
--- a/lilacdyke/net/operator.py
+++ b/lilacdyke/net/operator.py
@@ -1,7 +1,7 @@
 """The operators' door: a second address on which staff call, one call to a connection.
 
-Owns who calls there, for how long, and the form of calls and answers. Must never keep a quick caller out for a slow
-one, touch a client's connection, or decide: each call is one of the node's, and its word is passed on.
+Owns who calls there, for how long, and the form of calls and answers. Must never keep a quick caller out for
+a slow one, touch a client's connection, or decide: each call is one of the node's, and its word is passed on.
 """
 
 from urllib.parse import unquote
@@ -146,8 +146,8 @@
             self.tell(call, name, reply)
 
     def tell(self, verb, name, reply):
-        """A call to the node. A yes to what changes something is given once it binds the other process of this node too, if
-        there is one."""
+        """A call to the node. A yes to what changes something is given once it binds the other process of
+        this node too, if there is one."""
         yes, status, no = WORDS[verb]
         if not self.node.bound(verb, name):
             reply(status, no)
--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -19,8 +19,8 @@
 
 
 class AnswersFirst:
-    """The order of a reactor's turn: operators first, as they wait for a second at most; then what servers answer is
-    read before what clients ask, as work that is nearly done must not wait for more of it."""
+    """The order of a reactor's turn: operators first, as they wait for a second at most; then what servers
+    answer is read before what clients ask, as work that is nearly done must not wait for more of it."""
 
     def doPoll(self, timeout):
         try:
@@ -52,8 +52,8 @@
 
 
 class Reactor(AnswersFirst, EPollReactor):
-    """Twisted's own on epoll, with that order. It also spares each event the logging context that nobody here uses;
-    what an event raises is caught and logged below this."""
+    """Twisted's own on epoll, with that order. It also spares each event the logging context that nobody here
+    uses; what an event raises is caught and logged below this."""
 
     shared = False  # whether another process of this node may listen at the same address
 
@@ -112,9 +112,9 @@
 
 
 class Door:
-    """A listening socket that lets in only who is still to be served. Guards against a queue of connections that
-    feeds on itself: those that have waited for too long, or have gone, would cost as much as those in time, and make
-    them late too. Here one costs a few calls to the system."""
+    """A listening socket that lets in only who is still to be served. Guards against a queue of connections
+    that feeds on itself: those that have waited for too long, or have gone, would cost as much as those in
+    time, and make them late too. Here one costs a few calls to the system."""
 
     MOST = 32  # turned away in a row, until other sockets have their turn
     LOOK = 16_384  # bytes looked at of what lies unread on one
@@ -139,7 +139,8 @@
             except OSError as err:
                 if err.errno not in (EMFILE, ENFILE):
                     raise
-                # Guards against what Twisted does without a descriptor: it accepts all that wait and closes them.
+                # Guards against what Twisted does without a descriptor: it accepts all that wait and closes
+                # them.
                 self.crowded()
                 raise BlockingIOError(EAGAIN, 'no descriptor') from None
             state, waited = tcp_info(came)
@@ -150,8 +151,8 @@
         raise BlockingIOError(EAGAIN, 'others first')
 
     def turn_away(self, came):
-        """Answer, if a request lies there whole and nothing more: closing on anything unread, or on what is still to come, would
-        take the answer back. Whether it was turned away; else it is let in."""
+        """Answer, if a request lies there whole and nothing more: closing on anything unread, or on what is
+        still to come, would take the answer back. Whether it was turned away; else it is let in."""
         try:
             if not self.whole(came.recv(self.LOOK, socket.MSG_PEEK | socket.MSG_DONTWAIT)):
                 return False
@@ -169,8 +170,8 @@
 
 
 def tcp_info(handle):
-    """A connection's state, and how long ago the system took the last bytes that came on it, as Linux tells that
-    to the millisecond."""
+    """A connection's state, and how long ago the system took the last bytes that came on it, as Linux tells
+    that to the millisecond."""
     try:
         told = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED + 4)
         return told[0], unpack_from('=I', told, LAST_RECEIVED)[0] * 10
@@ -179,16 +180,16 @@
 
 
 def guard(port, late, whole, answer, crowded):
-    """Put a Door before a port, which calls crowded() if there is no descriptor for the next, and let the system keep a new
-    connection to itself until its first bytes come, or for a second. whole(bytes): whether they are one request. Guards
-    against connections by the hundreds that say nothing: they take no place."""
+    """Put a Door before a port, which calls crowded() if there is no descriptor for the next, and let the
+    system keep a new connection to itself until its first bytes come, or for a second. whole(bytes): whether
+    they are one request. Guards against connections by the hundreds that say nothing: they take no place."""
     port.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 1)
     port.socket = Door(port.socket, late, whole, answer, crowded)
 
 
 def left(transport):
-    """Whether the other side has closed, or reset, a connection, though that may lie unread: behind bytes, or while nobody reads.
-    One that only ended its sending looks the same and is taken for gone."""
+    """Whether the other side has closed, or reset, a connection, though that may lie unread: behind bytes, or
+    while nobody reads. One that only ended its sending looks the same and is taken for gone."""
     return tcp_info(transport.getHandle())[0] in CLOSED
 
 
@@ -198,8 +199,8 @@
 
 
 def push(transport, data):
-    """Send at once, past the transport's buffer, which must hold nothing; how many bytes the system took. What a
-    connection has come to is left for the transport to find."""
+    """Send at once, past the transport's buffer, which must hold nothing; how many bytes the system took.
+    What a connection has come to is left for the transport to find."""
     try:
         return transport.getHandle().send(data)
     except OSError:
@@ -207,6 +208,6 @@
 
 
 def unread_for(transport):
-    """How long what came last on a connection has lain unread. Guards against a node that stood still: the client's
-    limit has run meanwhile."""
+    """How long what came last on a connection has lain unread. Guards against a node that stood still: the
+    client's limit has run meanwhile."""
     return tcp_info(transport.getHandle())[1]
--- a/lilacdyke/net/succession.py
+++ b/lilacdyke/net/succession.py
@@ -1,13 +1,14 @@
 """The order in which one process of a node takes over from another, without I/O.
 
-Owns which of the two takes new clients, and how many descriptors each may hold. Must never touch a socket or a clock, or
-leave a moment in which neither takes clients while one of them could.
+Owns which of the two takes new clients, and how many descriptors each may hold. Must never touch a socket or
+a clock, or leave a moment in which neither takes clients while one of them could.
 
-One Succession a process. It may have an elder (the process before it) and an heir (the one after it) at once. Inputs
-only update it; the host then looks at accepting, holding, room and kept.
+One Succession a process. It may have an elder (the process before it) and an heir (the one after it) at once.
+Inputs only update it; the host then looks at accepting, holding, room and kept.
 """
 
-# Where the heir stands: there is none; it has state and queue; it serves; it served, and has stood still since.
+# Where the heir stands: there is none; it has state and queue; it serves; it served, and has stood still
+# since.
 NONE, GIVEN, SERVES, SILENT = 'none', 'given', 'serves', 'silent'
 KEPT = 4  # one in so many descriptors stays an elder's, to take clients again
 
@@ -38,8 +39,9 @@
             self.heir = SERVES
 
     def heir_silent(self):
-        """Nothing was heard of it for too long. Guards against an heir that stands still right after its yes: both processes
-        hold the queue, and neither would look at it. That this one does so as well, should the heir go on, costs nothing."""
+        """Nothing was heard of it for too long. Guards against an heir that stands still right after its yes:
+        both processes hold the queue, and neither would look at it. That this one does so as well, should the
+        heir go on, costs nothing."""
         if self.heir == SERVES:
             self.heir = SILENT
 
@@ -84,6 +86,6 @@
 
     @property
     def room(self):
-        """How many descriptors clients and servers may hold here, while no heir serves: then what is let go is the
-        heir's."""
+        """How many descriptors clients and servers may hold here, while no heir serves: then what is let go
+        is the heir's."""
         return max(0, self.limit - self.spare - self.elder_holds)
--- a/lilacdyke/net/system.py
+++ b/lilacdyke/net/system.py
@@ -1,8 +1,8 @@
 """What a node asks of the machine it runs on, apart from connections: its clocks and its limits.
 
-The seam's first home; the second is in lilacdyke/lab/ground.py, over simulated machines. Connections need no seam
-of their own: what sockets.py asks past Twisted goes to the socket that a transport holds, and a simulated one answers
-the same calls. Must never know what a node does.
+The seam's first home; the second is in lilacdyke/lab/ground.py, over simulated machines. Connections need no
+seam of their own: what sockets.py asks past Twisted goes to the socket that a transport holds, and a
+simulated one answers the same calls. Must never know what a node does.
 """
 
 import resource
@@ -28,8 +28,9 @@
 
     @staticmethod
     def hold(name):
-        """Have a name on this machine that no other process has, until this one ends, however: what keeps it, or None if it is
-        another's. An abstract Unix socket: the kernel lets go of it with the process, and it leaves no file."""
+        """Have a name on this machine that no other process has, until this one ends, however: what keeps it,
+        or None if it is another's. An abstract Unix socket: the kernel lets go of it with the process, and it
+        leaves no file."""
         held = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
             held.bind('\0' + name)
--- a/lilacdyke/net/tables.py
+++ b/lilacdyke/net/tables.py
@@ -83,7 +83,8 @@
         waits for the reactor's next turn."""
         now = self.clock()
         if now > self.due + LATE and not self.stalled:
-            # Guards against calling late what lies unread: after a standstill sockets come first, for one turn.
+            # Guards against calling late what lies unread: after a standstill sockets come first, for one
+            # turn.
             self.stalled, self.timer = True, self.later(0, self.fire)
             return
         self.timer, self.stalled = None, False
--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -1,11 +1,12 @@
-"""A forwarder's side of verdicts: what it has seen of servers lately, and which of the fleet's verdicts act here. Pure.
+"""A forwarder's side of verdicts: what it has seen of servers lately, and which of the fleet's verdicts act
+here. Pure.
 
-Owns one forwarder's evidence (Seen) and what it was told (Belief). Must never let a verdict act beyond its span, against newer evidence of this
-forwarder's own, or on more servers than stated; nor name a server for a request: what follows of a verdict is a word that the module reads
-(known.NO_WORD), within its own rules.
+Owns one forwarder's evidence (Seen) and what it was told (Belief). Must never let a verdict act beyond its
+span, against newer evidence of this forwarder's own, or on more servers than stated; nor name a server for a
+request: what follows of a verdict is a word that the module reads (known.NO_WORD), within its own rules.
 
-Times are whole ticks of the caller's own clock. A server is told apart by (name, start), the start as lists have it, so that what was seen of one that
-has been restarted or replaced says nothing of its successor.
+Times are whole ticks of the caller's own clock. A server is told apart by (name, start), the start as lists
+have it, so that what was seen of one that has been restarted or replaced says nothing of its successor.
 """
 
 from .ledger import longer, shorter
@@ -26,8 +27,9 @@
 
 
 class Row:
-    """What was seen of one server in a spell: counts, answer times, when it last answered well and soon (fine), when it last
-    did not (foul), when it last answered well at all (heard); and how many hops on end were silent or failed (run), up to the newest."""
+    """What was seen of one server in a spell: counts, answer times, when it last answered well and soon
+    (fine), when it last did not (foul), when it last answered well at all (heard); and how many hops on end
+    were silent or failed (run), up to the newest."""
 
     __slots__ = (*FIELDS, 'times', 'fine', 'foul', 'heard', 'run')
 
@@ -68,7 +70,8 @@
 
 
 class Seen:
-    """One forwarder's own evidence, of two spells: the present one and the one before. late: from when on an answer is slow."""
+    """One forwarder's own evidence, of two spells: the present one and the one before. late: from when on an
+    answer is slow."""
 
     __slots__ = ('span', 'late', 'rows', 'before', 'since', 'runs')
 
@@ -108,9 +111,10 @@
                     rows[server].sent, rows[server].silent = rows[server].sent - rows[server].silent, 0
 
     def report(self, now):
-        """All that was seen in both spells, by server, as plain values: counts, times, the ages of the last answer that was good, of the last hop that was not, and of the
-        last answer (None: none), and how many hops on end were bad.
-        Told whole: a report that is lost, doubled or late changes nothing of what the next one says."""
+        """All that was seen in both spells, by server, as plain values: counts, times, the ages of the last
+        answer that was good, of the last hop that was not, and of the last answer (None: none), and how many
+        hops on end were bad. Told whole: a report that is lost, doubled or late changes nothing of what the
+        next one says."""
         self.turn(now)
         told = {}
         for server in list(dict.fromkeys([*self.rows, *self.before]))[:SERVERS]:
@@ -146,7 +150,8 @@
         return self.way, -self.sites, -self.witnesses, -self.weight
 
     def word(self, until, weight):
-        """What the module reads: until when, the least and the most of the server's turns, the wait to expect."""
+        """What the module reads: until when, the least and the most of the server's turns, the wait to
+        expect."""
         if self.kind == WELL:
             return until, BACK * weight, 1, 0
         left = 1 / max(1.0, self.factor) if self.kind == SLOW else LEFT[self.kind]
@@ -154,12 +159,14 @@
 
 
 class Belief:
-    """Which verdicts a forwarder may act on, and how much. Where it has fresh evidence of its own, that decides."""
+    """Which verdicts a forwarder may act on, and how much. Where it has fresh evidence of its own, that
+    decides."""
 
     __slots__ = ('span', 'held', 'good', 'bad', 'late')
 
     def __init__(self, span, chance, late=0):
-        # Not all go back to their own view at once: guards against a fleet that turns as one when its planners are gone.
+        # Not all go back to their own view at once: guards against a fleet that turns as one when its
+        # planners are gone.
         self.span = int(shorter(span) * (0.75 + 0.25 * chance()))
         self.late = late  # what answers must take for a slow server to be any trouble
         self.held, self.good, self.bad = (
@@ -177,7 +184,8 @@
             del seen[next(iter(seen))]
 
     def planned(self, asked, rows):
-        """Verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one with the newer evidence counts."""
+        """Verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one with the
+        newer evidence counts."""
         for name, started, kind, factor, took, witnesses, sites, age, weight, way in rows[:VERDICTS]:
             newest, server = asked - longer(age), (name, started)
             had = self.held.get(server)
@@ -187,7 +195,8 @@
             del self.held[next(iter(self.held))]
 
     def acts(self, now, server):
-        """The verdict that may act on a server now, or None: none, one that is too old, or own evidence as new that says otherwise."""
+        """The verdict that may act on a server now, or None: none, one that is too old, or own evidence as
+        new that says otherwise."""
         had = self.held.get(server)
         if had is None:
             return None
@@ -202,8 +211,9 @@
         )
 
     def words(self, now, servers):
-        """{server: (verdict, word)} of those that act. servers: {server: site}, all of this forwarder's list: no more of them are held down than
-        stated, of each site and in all, whoever said what; the least certain give way."""
+        """{server: (verdict, word)} of those that act. servers: {server: site}, all of this forwarder's list:
+        no more of them are held down than stated, of each site and in all, whoever said what; the least
+        certain give way."""
         acting = [
             (server, had)
             for server in list(self.held)
--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -1,6 +1,7 @@
 """What a voter keeps beyond its own life: a bound on the numbers that it has noted, and who the voters were.
 
-Owns one small file. Must never lose what it said was kept, nor take a file that it cannot read for an empty one.
+Owns one small file. Must never lose what it said was kept, nor take a file that it cannot read for an empty
+one.
 """
 
 import json
@@ -12,7 +13,8 @@
 
 
 class Book:
-    """One voter's file: {version, bound, voters, lease}. lease: the longest that it may have promised, ticks. A change is written beside it, forced to the disk, and put in its place by one call to the system."""
+    """One voter's file: {version, bound, voters, lease}. lease: the longest that it may have promised, ticks.
+    A change is written beside it, forced to the disk, and put in its place by one call to the system."""
 
     def __init__(self, folder, name):
         self.folder, self.path = folder, os.path.join(folder, name + '.numbers')
@@ -57,5 +59,6 @@
 
 
 def step(before, after):
-    """Whether any majority of the one and any of the other have a voter in common, whoever goes by which: one voter more, or one less, at a time."""
+    """Whether any majority of the one and any of the other have a voter in common, whoever goes by which: one
+    voter more, or one less, at a time."""
     return len(set(before) ^ set(after)) <= 1
--- a/lilacdyke/plan/check.py
+++ b/lilacdyke/plan/check.py
@@ -1,10 +1,12 @@
-"""A model checker for the ledger: small worlds of forwarders and planners, whose messages are lost, late, doubled and
-reordered, whose parts restart, lose their seats and get them again, and whose clocks differ; what planners have of their own changes.
+"""A model checker for the ledger: small worlds of forwarders and planners, whose messages are lost, late,
+doubled and reordered, whose parts restart, lose their seats and get them again, and whose clocks differ; what
+planners have of their own changes.
 
-Owns the worlds and the one thing that must hold in all of their states: for each budget, what all forwarders together may
-spend, or have open, is no more than the whole, as it was at the longest a lease and its tail ago. Must never help the ledger.
+Owns the worlds and the one thing that must hold in all of their states: for each budget, what all forwarders
+together may spend, or have open, is no more than the whole, as it was at the longest a lease and its tail
+ago. Must never help the ledger.
 
-    python -m lilacdyke.plan.check [--walks N] [--steps N] [--states N] [--seed N]
+python -m lilacdyke.plan.check [--walks N] [--steps N] [--states N] [--seed N]
 """
 
 import copy
@@ -137,7 +139,8 @@
     # --- what must hold ---------------------------------------------------------------------------------
 
     def whole(self):
-        """What there is of each budget: what planners had of their own counts until all they can have lent has run out."""
+        """What there is of each budget: what planners had of their own counts until all they can have lent
+        has run out."""
         since = self.now - longer(longer(LEASE) + longer(TAIL)) - 1
         return OWN * self.forwarders + sum(
             max(
@@ -250,8 +253,8 @@
 
 
 def search(forwarders, planners, states, purse=Purse, bank=Bank):
-    """All interleavings of a small world that is under way, breadth first, up to so many states: (states seen, depth reached
-    whole, most lent)."""
+    """All interleavings of a small world that is under way, breadth first, up to so many states: (states
+    seen, depth reached whole, most lent)."""
     first = primed(forwarders, planners, purse, bank)
     edge, seen, depth, lent = [first], {pickle.dumps(first)}, 0, 0
     while edge:
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -1,7 +1,7 @@
 """What ties a node to its fleet: the seat, the purse, the links to planners.
 
-Owns the connections to planners and the seat's hold. Must never keep a transaction waiting, nor end the node: whatever fails in here
-leaves the node with its own part, or with none if the seat is another's.
+Owns the connections to planners and the seat's hold. Must never keep a transaction waiting, nor end the node:
+whatever fails in here leaves the node with its own part, or with none if the seat is another's.
 """
 
 from ..net.logs import LOG, say, warn
@@ -26,7 +26,8 @@
         now, seats = self.clock(), [row.name for row in fleet.planner]
         self.rank = node.place.rank if node.place.rank < fleet.seats else None
         self.full = fleet.seat_parts(self.rank)
-        # What keeps the seat's two halves: the one that answers for gifts, and the one that is left to an heir.
+        # What keeps the seat's two halves: the one that answers for gifts, and the one that is left to an
+        # heir.
         self.held, self.left, self.seeking = None, None, False
         self.life = '%s-%x' % (node.place.name, int(node.chance() * (1 << 48)))
         self.purse = Purse(
@@ -59,8 +60,9 @@
     # --- the seat ---------------------------------------------------------------------------------------
 
     def take_seat(self, _):
-        """Have the seat's part, or what of it no other process on this machine has: an elder that still empties itself, or one that was
-        stopped and goes on some day. Until then only what is lent may be spent."""
+        """Have the seat's part, or what of it no other process on this machine has: an elder that still
+        empties itself, or one that was stopped and goes on some day. Until then only what is lent may be
+        spent."""
         self.seeking = False
         if self.rank is None:
             warn('no seat', rank=self.node.place.rank, seats=self.told.seats)
@@ -117,8 +119,9 @@
                 self.node.system.let_go(left)
 
     def seek_canary(self):
-        """Two forwarders of each site try servers that are held to be out, as it takes two to say that one answers again. Tries go through the gate
-        as any hop; with no canary nobody tries until the verdict ends."""
+        """Two forwarders of each site try servers that are held to be out, as it takes two to say that one
+        answers again. Tries go through the gate as any hop; with no canary nobody tries until the verdict
+        ends."""
         self.canary = Lease(
             self.node.reactor,
             self.deadlines,
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -1,8 +1,9 @@
 """A forwarder's side of its links to planners: when to dial, when to say what, what to believe. Without I/O.
 
-Owns what is known of each planner and the newest limits that any of them told. Inputs only update it; the host then pulls `decide(now)`
-until it gives None: ('dial', planner), ('say', planner, digest), ('end', planner, why), ('wake', when). Must never have a transaction wait:
-nobody asks it anything on a transaction's way, and what it learns the purse has.
+Owns what is known of each planner and the newest limits that any of them told. Inputs only update it; the
+host then pulls `decide(now)` until it gives None: ('dial', planner), ('say', planner, digest), ('end',
+planner, why), ('wake', when). Must never have a transaction wait: nobody asks it anything on a transaction's
+way, and what it learns the purse has.
 """
 
 from .ledger import longer
@@ -53,7 +54,8 @@
         )  # 300 that come at once do not speak at once
 
     def down(self, now, name):
-        """It has ended, or did not come up. The waits grow, and are drawn: guards against a herd at a planner that comes back."""
+        """It has ended, or did not come up. The waits grow, and are drawn: guards against a herd at a planner
+        that comes back."""
         contact = self.contacts[name]
         lasted = (
             contact.state == UP and contact.came is not None and contact.came >= contact.since + self.lease
@@ -63,7 +65,8 @@
         contact.state, contact.since, contact.next = DOWN, now, now + int(wait * (0.5 + self.chance()))
 
     def written(self, name, whole):
-        """Whether the system has taken all that was said to it. Guards against a peer that does not read: nothing is queued."""
+        """Whether the system has taken all that was said to it. Guards against a peer that does not read:
+        nothing is queued."""
         self.contacts[name].written = whole
 
     def planned(self, now, name, plan):
--- a/lilacdyke/plan/frames.py
+++ b/lilacdyke/plan/frames.py
@@ -1,8 +1,9 @@
 """Frames between forwarders and planners: MessagePack in a length, versioned, read strictly.
 
-Owns the form on the wire. A frame is four bytes of length (big-endian, MOST at most), then a MessagePack array
-[major, minor, kind, fields]. A newer minor version may bring fields that this one does not know: they are skipped. A newer
-major is refused. Must never guess at what is out of form, hold more than one frame's bytes, or touch a socket.
+Owns the form on the wire. A frame is four bytes of length (big-endian, MOST at most), then a MessagePack
+array [major, minor, kind, fields]. A newer minor version may bring fields that this one does not know: they
+are skipped. A newer major is refused. Must never guess at what is out of form, hold more than one frame's
+bytes, or touch a socket.
 """
 
 from struct import Struct
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -1,13 +1,16 @@
-"""Leases for tasks that one process does for the whole fleet: voters promise, a majority of promises is a lease. Pure.
-
-Owns the promises of a voter (Voter) and one process's seeking and holding of one task (Seeker). Must never do I/O, trust another's clock for more
-than its rate, or give a number twice.
-
-Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. What keeps two from holding at once: a voter promises a task to one
-seeker for a lease, a twentieth and more longer, from when it was asked; a seeker that has the promises of most voters holds for a lease, a twentieth and more
-shorter, from when it asked. Any two majorities have a voter in common, and a voter that starts says nothing until whatever a life before it
-promised has run out. What keeps numbers rising: before it holds, a seeker has most voters note a number above all that any of them has noted; a
-voter keeps a bound on those beyond its own life (`keep`).
+"""Leases for tasks that one process does for the whole fleet: voters promise, a majority of promises is a
+lease. Pure.
+
+Owns the promises of a voter (Voter) and one process's seeking and holding of one task (Seeker). Must never do
+I/O, trust another's clock for more than its rate, or give a number twice.
+
+Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. What keeps two from
+holding at once: a voter promises a task to one seeker for a lease, a twentieth and more longer, from when it
+was asked; a seeker that has the promises of most voters holds for a lease, a twentieth and more shorter, from
+when it asked. Any two majorities have a voter in common, and a voter that starts says nothing until whatever
+a life before it promised has run out. What keeps numbers rising: before it holds, a seeker has most voters
+note a number above all that any of them has noted; a voter keeps a bound on those beyond its own life
+(`keep`).
 """
 
 from .ledger import longer, shorter
@@ -26,7 +29,8 @@
 
 
 def silent(lease):
-    """How long a voter that starts says nothing: the longest that a promise before it can run, by another rate of its clock."""
+    """How long a voter that starts says nothing: the longest that a promise before it can run, by another
+    rate of its clock."""
     return longer(promised(lease)) + 1
 
 
@@ -40,8 +44,9 @@
 
 
 class Voter:
-    """One voter, from its start to its end. lease: the longest; keep(bound): have a bound written down for good, whether that was done; bound: the one
-    that a life before wrote down, None: none is known, so it does not vote; before: the longest lease that such a life may have promised."""
+    """One voter, from its start to its end. lease: the longest; keep(bound): have a bound written down for
+    good, whether that was done; bound: the one that a life before wrote down, None: none is known, so it does
+    not vote; before: the longest lease that such a life may have promised."""
 
     __slots__ = ('life', 'lease', 'keep', 'top', 'bound', 'mute', 'promises', 'last', 'waiting')
 
@@ -85,7 +90,8 @@
         }, []
 
     def newest(self, now, task, life, seq):
-        """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all the same."""
+        """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all
+        the same."""
         last = self.last.get((task, life))
         if last is not None and seq <= last[0]:
             return False
@@ -116,7 +122,8 @@
         return True
 
     def renew(self, now, task, life, seq, number, mine):
-        """Whether the promise goes on. A voter that knows of none, as it was restarted, gives it anew: who asks holds by others' promises."""
+        """Whether the promise goes on. A voter that knows of none, as it was restarted, gives it anew: who
+        asks holds by others' promises."""
         if mine is not None and mine.life != life or task not in self.promises and not self.room(now):
             return False
         self.promises[task] = Promise(life, now + promised(self.lease), seq, number)
@@ -155,8 +162,9 @@
 
 
 class Seeker:
-    """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives None: ('lost', number), ('got', number),
-    ('send', voter, message), ('wake', when). Between got and lost it holds; before each act the host asks `held(now)`."""
+    """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives
+    None: ('lost', number), ('got', number), ('send', voter, message), ('wake', when). Between got and lost it
+    holds; before each act the host asks `held(now)`."""
 
     __slots__ = (
         'task',
@@ -277,7 +285,8 @@
         self.verb, self.yes, self.no = None, {}, set()
 
     def failed(self, now):
-        """No majority. What was promised is given back, and the next try drawn from ever longer: guards against seekers that split the votes."""
+        """No majority. What was promised is given back, and the next try drawn from ever longer: guards
+        against seekers that split the votes."""
         renewing = self.verb == RENEW
         self.end_round()
         if renewing:
--- a/lilacdyke/plan/ledger.py
+++ b/lilacdyke/plan/ledger.py
@@ -1,22 +1,25 @@
-"""Who may spend how much of a budget that all forwarders share: gifts up, leases down, and a sum that always holds.
-
-Owns the promises. Each seat owns a fixed part of every budget, and the forwarder on it needs nobody to spend that. What it can
-spare it gives to a planner for a while (a promise not to spend it); a planner lends out what it was given and what is its own
-(`pool`), for a shorter while, and nothing else. So the sum of what all may spend never passes the whole, whatever messages are lost,
-late, doubled or reordered, whoever restarts or is cut off, and with any number of planners that know nothing of each other. Must
-never do I/O, read a clock, or trust another's clock for more than its rate.
-
-Times are whole ticks of the caller's own monotonic clock; amounts are whole grains. Rates of clocks differ by less than
-one part in DRIFT.
-
-How time is told apart without a common clock. A lease runs, for who borrows, from when it sent the digest that the plan
-answers; the planner counts it from when that digest came, which is later: it never ends first in the planner's books.
-A gift runs, for who gives, from when it sent the digest with it; the planner knows that this was not before it sent the plan that the digest
-echoes, plus the time that the giver held that: in the planner's books it never ends last.
-
-What is spent by being open (requests, connections) may stay so for a `tail` beyond the lease that let it begin: the planner charges
-leases for that much longer, gifts bind twice that longer, and who borrows does not say that it holds a smaller lease while more than that
-is still open.
+"""Who may spend how much of a budget that all forwarders share: gifts up, leases down, and a sum that always
+holds.
+
+Owns the promises. Each seat owns a fixed part of every budget, and the forwarder on it needs nobody to spend
+that. What it can spare it gives to a planner for a while (a promise not to spend it); a planner lends out
+what it was given and what is its own (`pool`), for a shorter while, and nothing else. So the sum of what all
+may spend never passes the whole, whatever messages are lost, late, doubled or reordered, whoever restarts or
+is cut off, and with any number of planners that know nothing of each other. Must never do I/O, read a clock,
+or trust another's clock for more than its rate.
+
+Times are whole ticks of the caller's own monotonic clock; amounts are whole grains. Rates of clocks differ by
+less than one part in DRIFT.
+
+How time is told apart without a common clock. A lease runs, for who borrows, from when it sent the digest
+that the plan answers; the planner counts it from when that digest came, which is later: it never ends first
+in the planner's books. A gift runs, for who gives, from when it sent the digest with it; the planner knows
+that this was not before it sent the plan that the digest echoes, plus the time that the giver held that: in
+the planner's books it never ends last.
+
+What is spent by being open (requests, connections) may stay so for a `tail` beyond the lease that let it
+begin: the planner charges leases for that much longer, gifts bind twice that longer, and who borrows does not
+say that it holds a smaller lease while more than that is still open.
 """
 
 DRIFT = 20
@@ -27,7 +30,8 @@
 
 
 class Parts(dict):
-    """Grains by key. A key with a colon is one of a family, each of which has what stands under the family's name."""
+    """Grains by key. A key with a colon is one of a family, each of which has what stands under the family's
+    name."""
 
     def __missing__(self, key):
         family, colon, _ = key.partition(':')
@@ -71,9 +75,10 @@
 
 
 class Purse:
-    """A forwarder's: what it may spend. own: Parts, the grains of each budget that are its seat's; lease, gift: how long those run;
-    tails: Parts, how long what began under a lease may stay open beyond it; units: Parts, what amounts must be a multiple of; whole: Parts,
-    all that there is of each budget, where that is known."""
+    """A forwarder's: what it may spend. own: Parts, the grains of each budget that are its seat's; lease,
+    gift: how long those run; tails: Parts, how long what began under a lease may stay open beyond it; units:
+    Parts, what amounts must be a multiple of; whole: Parts, all that there is of each budget, where that is
+    known."""
 
     __slots__ = (
         'life',
@@ -99,15 +104,15 @@
         self.seq, self.sent = 0, {}  # digests sent lately: by number, (planner, when)
         self.accounts = {planner: [] for planner in planners}  # by planner: its lives, the latest last
         self.share = share * max(1, len(planners))  # of its own it gives one planner at most one such part
-        # Guards against a forwarder that restarts and has forgotten what it gave: as much as it can have given counts as
-        # given until that would have run out.
+        # Guards against a forwarder that restarts and has forgotten what it gave: as much as it can have
+        # given counts as given until that would have run out.
         self.since = (
             now if own else None
         )  # since when the seat, or the half that answers for gifts, is this one's
 
     def seated(self, now, own, full, anew):
-        """Of the seat, whose part is `full`, this one has so much from now on. anew: it has taken over the half that answers for gifts: who had
-        that may have given as much as one gives."""
+        """Of the seat, whose part is `full`, this one has so much from now on. anew: it has taken over the
+        half that answers for gifts: who had that may have given as much as one gives."""
         self.own, self.full = own, full
         if anew:
             self.since = now
@@ -148,15 +153,16 @@
         return total
 
     def may(self, now, key):
-        """The grains that it may spend of a budget now. Guards against absurd plans: never more than there is."""
+        """The grains that it may spend of a budget now. Guards against absurd plans: never more than there
+        is."""
         found = self.own[key] - self.given(now, key) + self.borrowed(now, key)
         return found if self.whole is None else min(found, self.whole[key])
 
     # --- messages ---------------------------------------------------------------------------------------
 
     def digest(self, now, planner, spare, wants, used=()):
-        """The next digest to a planner. spare, wants: grains by key, what it can do without and what it lacks; used: a table of
-        those that are open now."""
+        """The next digest to a planner. spare, wants: grains by key, what it can do without and what it
+        lacks; used: a table of those that are open now."""
         used = dict(used)
         self.seq += 1
         self.forget(now)
@@ -164,8 +170,8 @@
         account, gifts = self.account(planner), {}
         if account and all(amount <= self.may(now, key) for key, amount in used.items()):
             account.held = account.version
-        # Nothing is given while gifts of a life before may bind: a planner counts the two apart, and would lend both; nor by one that shares
-        # its seat with another process.
+        # Nothing is given while gifts of a life before may bind: a planner counts the two apart, and would
+        # lend both; nor by one that shares its seat with another process.
         if account is not None and account.stamp is not None and self.own == self.full:
             for key, amount in [pair for pair in spare.items() if not self.shy(now, pair[0])][:KEYS]:
                 gifts[key] = self.give(
@@ -183,8 +189,9 @@
         }
 
     def give(self, now, planner, account, key, amount):
-        """Promise as much as is left to promise, beside what other planners have; what was promised before binds on until it runs
-        out. One planner is never given more than its part, over all of its lives: that is what a restarted forwarder counts on."""
+        """Promise as much as is left to promise, beside what other planners have; what was promised before
+        binds on until it runs out. One planner is never given more than its part, over all of its lives: that
+        is what a restarted forwarder counts on."""
         gifts = [gift for gift in account.gifts.get(key, ()) if gift.until >= now]
         lives = sum(
             bound(other.gifts.get(key, ()), now) for other in self.accounts[planner] if other is not account
@@ -213,8 +220,8 @@
             lives[:] = [account for account in lives[:-1] if account.gifts] + lives[-1:]
 
     def planned(self, now, planner, plan):
-        """A plan has come. Whether it is of use: one that answers no digest of ours that is still young, or that is older than
-        what is held, changes nothing."""
+        """A plan has come. Whether it is of use: one that answers no digest of ours that is still young, or
+        that is older than what is held, changes nothing."""
         asked = self.sent.get(plan['seq'])
         if asked is None or asked[0] != planner or plan['forwarder'] != self.life:
             return False
@@ -256,7 +263,8 @@
 
 
 class Look:
-    """What a planner found of one budget when it last looked at all forwarders; kept for a moment, and never better than what is so."""
+    """What a planner found of one budget when it last looked at all forwarders; kept for a moment, and never
+    better than what is so."""
 
     __slots__ = ('when', 'pool', 'charges', 'lent', 'level', 'rest')
 
@@ -287,9 +295,10 @@
 
 
 class Bank:
-    """A planner's: what it was given and what is its own, and to whom it is lent. It needs nothing of its past: what an earlier
-    life lent of what it was given is backed by that, which givers count apart; and its own it lends only once all that an earlier life can
-    have lent has run out. endowed: Parts, its own; tails: as a purse's; units: Parts, what an amount must be a multiple of to be of use."""
+    """A planner's: what it was given and what is its own, and to whom it is lent. It needs nothing of its
+    past: what an earlier life lent of what it was given is backed by that, which givers count apart; and its
+    own it lends only once all that an earlier life can have lent has run out. endowed: Parts, its own; tails:
+    as a purse's; units: Parts, what an amount must be a multiple of to be of use."""
 
     __slots__ = (
         'life',
@@ -343,7 +352,8 @@
         return self.plan(now, holder)
 
     def receive(self, now, holder, digest):
-        """Take gifts in. They run from when the digest was sent at the earliest: not before our plan's stamp and what it was held."""
+        """Take gifts in. They run from when the digest was sent at the earliest: not before our plan's stamp
+        and what it was held."""
         if digest['stamp'] is None or digest['stamp'] > now:
             return
         left = min(now, digest['stamp'] + shorter(digest['held']))
@@ -379,7 +389,8 @@
         return found
 
     def plan(self, now, holder):
-        """What this forwarder may borrow: its fair part of what it lacks, out of what is given for as long as the lease runs."""
+        """What this forwarder may borrow: its fair part of what it lacks, out of what is given for as long as
+        the lease runs."""
         leases = {}
         for key, wanted in holder.wants.items():
             look, unit = self.look(now, key), self.units[key] or 1
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -1,7 +1,8 @@
 """What the operators' fleet file says, and how each limit is cut: whose part is whose, before anybody lends.
 
-Owns the form of that file and the arithmetic of parts: of each limit the seats own the floor, in even parts, and the planners the rest,
-in even parts. All parts together are the limit, never more. Must never do I/O beyond reading the one file.
+Owns the form of that file and the arithmetic of parts: of each limit the seats own the floor, in even parts,
+and the planners the rest, in even parts. All parts together are the limit, never more. Must never do I/O
+beyond reading the one file.
 
 A part is in grains, GRAIN of them one request a second, one open request or one connection.
 """
@@ -33,8 +34,9 @@
 
 
 class Limit(Part):
-    """One limit of the whole fleet. what: requests (of a class, or of all), fetches (hops at the origin), cold (hops at each server
-    that is cold) a second, tries (hops at each that the fleet holds to be out) a second; open (requests, of a class or of all), links (connections at each server) at once."""
+    """One limit of the whole fleet. what: requests (of a class, or of all), fetches (hops at the origin),
+    cold (hops at each server that is cold) a second, tries (hops at each that the fleet holds to be out) a
+    second; open (requests, of a class or of all), links (connections at each server) at once."""
 
     name: Name
     what: Literal['requests', 'fetches', 'cold', 'tries', 'open', 'links']
@@ -55,14 +57,15 @@
 
 
 class Verdicts(Part):
-    """Verdicts on servers, where this table is there. span_s: S, for how long one acts after its newest evidence; three leases."""
+    """Verdicts on servers, where this table is there. span_s: S, for how long one acts after its newest
+    evidence; three leases."""
 
     span_s: Annotated[float, Meta(ge=0.3, le=300)] | None = None
 
 
 class Tasks(Part):
-    """Leases for tasks, where this table is there. lease_s: how long one is; voters: names of planners, all of them if it is not given; folder: where a
-    voter keeps its file of numbers."""
+    """Leases for tasks, where this table is there. lease_s: how long one is; voters: names of planners, all
+    of them if it is not given; folder: where a voter keeps its file of numbers."""
 
     folder: Annotated[str, Meta(min_length=1)]
     lease_s: Annotated[float, Meta(ge=0.2, le=300)] = 5.0
@@ -90,7 +93,8 @@
 
     @property
     def gift(self):
-        """How long what was given is not called back: what is lent from it has to run out, in anybody's clock."""
+        """How long what was given is not called back: what is lent from it has to run out, in anybody's
+        clock."""
         return 2 * longer(self.lease)
 
     @property
@@ -110,8 +114,8 @@
         return self.tasks.voters or [row.name for row in self.planner]
 
     def tails(self):
-        """How long what began under a lease may stay open beyond it: a request for its longest, and a connection until it is looked
-        at after that."""
+        """How long what began under a lease may stay open beyond it: a request for its longest, and a
+        connection until it is looked at after that."""
         return Parts(
             {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.at_once}
         )
@@ -133,7 +137,8 @@
         )
 
     def half(self, parts):
-        """Of a seat's parts those that a process leaves to its heir while both live; the rest answers for all gifts."""
+        """Of a seat's parts those that a process leaves to its heir while both live; the rest answers for all
+        gifts."""
         return Parts(
             {key: amount // 2 - amount // 2 % (self.units()[key] or 1) for key, amount in parts.items()}
         )
@@ -150,7 +155,8 @@
         )
 
     def fits(self, mosts):
-        """Whether these can be in force: the limits' names, none under what the seats own without being told."""
+        """Whether these can be in force: the limits' names, none under what the seats own without being
+        told."""
         return mosts.keys() == self.mosts().keys() and all(
             mosts[limit.name] >= limit.grains()[1] and not (limit.at_once and mosts[limit.name] % GRAIN)
             for limit in self.limit
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -1,7 +1,8 @@
 """Links between forwarders and planners, as Twisted protocols.
 
-Owns the bytes: frames in, frames out, and what a link that ends leaves. Must never queue more than one frame for a peer that does not
-read, let bad bytes past the link that they came on, or decide: that is forwarder.py's and planner.py's.
+Owns the bytes: frames in, frames out, and what a link that ends leaves. Must never queue more than one frame
+for a peer that does not read, let bad bytes past the link that they came on, or decide: that is
+forwarder.py's and planner.py's.
 """
 
 from twisted.internet.protocol import Factory, Protocol
@@ -12,7 +13,8 @@
 
 
 class Speaker(Protocol):
-    """One end of a link. heard: the kinds that are expected here, each with the method that takes its fields."""
+    """One end of a link. heard: the kinds that are expected here, each with the method that takes its
+    fields."""
 
     heard = {}
 
@@ -123,7 +125,8 @@
 
 
 class Desk(Factory):
-    """A planner's listening side. most: links at once; beyond that the one that said nothing for the longest makes way."""
+    """A planner's listening side. most: links at once; beyond that the one that said nothing for the longest
+    makes way."""
 
     noisy = False
 
@@ -136,7 +139,8 @@
         return ToForwarder(self)
 
     def opened(self, link):
-        """Guards against peers that connect and say nothing, and against a forwarder whose old links were never ended."""
+        """Guards against peers that connect and say nothing, and against a forwarder whose old links were
+        never ended."""
         if len(self.links) >= self.most:
             first = next(iter(self.links))
             del self.links[first]
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -1,12 +1,14 @@
 """A planner's decisions: what it lends, by which limits, and when not. Without I/O.
 
-Owns the bank, the edition of the limits that it goes by, and what forwarders tell of the other planners. Must never lend of its own
-without news of most planners: a planner that is cut off from the rest does not hear that operators have lowered a limit.
-
-How long an older limit can act. Operators change the file at most planners, the last of them at T. A planner that lends by an older
-edition has, not longer than its `window` ago, been told by a forwarder of answers of most planners; one of these has the new edition, and
-has answered that forwarder with it if the digest was sent after T. So from T and the window on nobody lends by the older one, and a lease and its
-tail later nothing is spent by it.
+Owns the bank, the edition of the limits that it goes by, and what forwarders tell of the other planners. Must
+never lend of its own without news of most planners: a planner that is cut off from the rest does not hear
+that operators have lowered a limit.
+
+How long an older limit can act. Operators change the file at most planners, the last of them at T. A planner
+that lends by an older edition has, not longer than its `window` ago, been told by a forwarder of answers of
+most planners; one of these has the new edition, and has answered that forwarder with it if the digest was
+sent after T. So from T and the window on nobody lends by the older one, and a lease and its tail later
+nothing is spent by it.
 """
 
 from .frames import ROWS
@@ -30,7 +32,8 @@
     # --- inputs -----------------------------------------------------------------------------------------
 
     def reread(self, fleet):
-        """The file has changed. Why it cannot be taken, or None. Seats, planners, floors and times are for the next start."""
+        """The file has changed. Why it cannot be taken, or None. Seats, planners, floors and times are for
+        the next start."""
         kept = [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in fleet.limit]
         if kept != [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in self.fleet.limit]:
             return 'limit: another name, kind or floor is for the next start'
@@ -83,8 +86,8 @@
         }
 
     def left(self, now, digest):
-        """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and the time that that was held.
-        Guards against a digest that lay somewhere."""
+        """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and
+        the time that that was held. Guards against a digest that lay somewhere."""
         if digest['life'] != self.bank.life or digest['stamp'] is None or digest['stamp'] > now:
             return None
         return min(now, digest['stamp'] + shorter(digest['held']))
@@ -100,7 +103,8 @@
                 self.heard[row.name] = max(self.heard.get(row.name, when), when)
 
     def hear(self, edition, mosts):
-        """Limits that another told. Of two that go by one number the lower ones count: guards against a number given twice."""
+        """Limits that another told. Of two that go by one number the lower ones count: guards against a
+        number given twice."""
         if not self.fleet.fits(mosts):
             return
         if edition > self.edition:
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -1,7 +1,7 @@
 """A planner's process: its door, its signals, its file.
 
-Owns the listening socket and the clock of one planner. Must never decide: planner.py does; nor end for what a peer sends, or for a file that
-cannot be read.
+Owns the listening socket and the clock of one planner. Must never decide: planner.py does; nor end for what a
+peer sends, or for a file that cannot be read.
 """
 
 import gc
@@ -103,7 +103,8 @@
         self.deadlines.at(self.clock() + REPORT, self.report, number)
 
     def report(self, number):
-        """One line, if the lease is the same still; its number tells a reader of logs which of two is the later."""
+        """One line, if the lease is the same still; its number tells a reader of logs which of two is the
+        later."""
         if not self.reporter.held() or self.reporter.number != number:
             return
         now = self.clock()
@@ -122,7 +123,8 @@
     # --- voting -----------------------------------------------------------------------------------------
 
     def take_book(self):
-        """Vote by what a life before wrote down. Without that, or with voters that skip a step, it does not vote, and says so."""
+        """Vote by what a life before wrote down. Without that, or with voters that skip a step, it does not
+        vote, and says so."""
         self.book = book.Book(self.fleet.tasks.folder, self.name)
         try:
             self.book.read()
@@ -152,7 +154,8 @@
         return (None, []) if self.voter is None else self.voter.told(self.clock(), message)
 
     def reread(self, path):
-        """SIGHUP: the file may have a new edition of the limits. What cannot be read or taken changes nothing."""
+        """SIGHUP: the file may have a new edition of the limits. What cannot be read or taken changes
+        nothing."""
         try:
             why = self.planner.reread(read(path))
         except BadLine as err:
--- a/lilacdyke/plan/shares.py
+++ b/lilacdyke/plan/shares.py
@@ -1,7 +1,9 @@
-"""What this forwarder may spend of the fleet's limits right now, and what it spends: the part that comes under the module's gate.
+"""What this forwarder may spend of the fleet's limits right now, and what it spends: the part that comes
+under the module's gate.
 
-Owns the counts of what is open and the buckets of what comes. Must never let anything pass that the module would not: it only refuses.
-Asked by the module (`admits`, `allows`), told by the node what came of it (`done`, `sent`, `linked`).
+Owns the counts of what is open and the buckets of what comes. Must never let anything pass that the module
+would not: it only refuses. Asked by the module (`admits`, `allows`), told by the node what came of it
+(`done`, `sent`, `linked`).
 """
 
 from ..values import SECOND
@@ -32,7 +34,8 @@
         self.tokens = min(max(GRAIN, may // BURST) * FINE, self.tokens + may * span * DRIFT)
 
     def demand(self, now, at_once):
-        """The grains that would have been needed lately: the more of the last two spells, since the last look and before."""
+        """The grains that would have been needed lately: the more of the last two spells, since the last look
+        and before."""
         span = max(1, now - self.since)
         lately = (
             self.peak + self.refused if at_once else (self.asked + self.refused) * SECOND / span
@@ -102,7 +105,8 @@
     # --- asked by the module ----------------------------------------------------------------------------
 
     def admits(self, now, profile):
-        """None if a request of this class may be taken; else the status by which it is refused. It is counted if it may."""
+        """None if a request of this class may be taken; else the status by which it is refused. It is counted
+        if it may."""
         rows = [(limit, self.book(now, limit.name)) for limit in self.of[profile]]
         for limit, spent in rows:
             if not self.room(now, limit, spent):
@@ -185,8 +189,8 @@
         }
 
     def needs(self, now, servers):
-        """(spare, wants): grains by key that this forwarder can do without, and that it lacks. servers: names of those that
-        are cold, of each of which a part can be spared too."""
+        """(spare, wants): grains by key that this forwarder can do without, and that it lacks. servers: names
+        of those that are cold, of each of which a part can be spared too."""
         spare, wants = {}, {}
         keys = dict.fromkeys(self.names)
         for limit in self.limits['cold']:
--- a/lilacdyke/plan/site_cli.py
+++ b/lilacdyke/plan/site_cli.py
@@ -1,6 +1,7 @@
 """`lilacdyke site plan`: what the loss of a site would mean, as a table, as JSON, or as a plot.
 
-Owns what is printed and the exit codes: 0 all as expected, 1 an expectation fails (with --check), 2 wrong words.
+Owns what is printed and the exit codes: 0 all as expected, 1 an expectation fails (with --check), 2 wrong
+words.
 """
 
 import sys
--- a/lilacdyke/plan/sites.py
+++ b/lilacdyke/plan/sites.py
@@ -1,9 +1,12 @@
-"""The loss of sites, worked out before the day: where load goes, how full the rest and the origin are, what is refused first. Pure.
+"""The loss of sites, worked out before the day: where load goes, how full the rest and the origin are, what
+is refused first. Pure.
 
-Owns the arithmetic and the form of its part of the fleet file. Must never do I/O, or say that something is borne that is not.
+Owns the arithmetic and the form of its part of the fleet file. Must never do I/O, or say that something is
+borne that is not.
 
-What it takes for given: keys go to servers by weighted rendezvous, so that a lost server's keys spread over all that remain by what these bear, and keys that stay do
-not move. Rates are a second; work is in requests of mean work, as `bears` is.
+What it takes for given: keys go to servers by weighted rendezvous, so that a lost server's keys spread over
+all that remain by what these bear, and keys that stay do not move. Rates are a second; work is in requests of
+mean work, as `bears` is.
 """
 
 from itertools import combinations
@@ -35,7 +38,8 @@
 
 
 class Class(Part):
-    """One class of requests. hit: of its reads, how many a warm server has; floor: the part that is refused only when nothing else is left to refuse."""
+    """One class of requests. hit: of its reads, how many a warm server has; floor: the part that is refused
+    only when nothing else is left to refuse."""
 
     name: Name
     rate: Rate
@@ -75,7 +79,8 @@
 
 
 class Row(Part):
-    """One class under one loss: what is asked, refused, how much worth that is, and in which place of the order it is refused."""
+    """One class under one loss: what is asked, refused, how much worth that is, and in which place of the
+    order it is refused."""
 
     name: str
     asked: float
@@ -85,8 +90,8 @@
 
 
 class Outcome(Part):
-    """What comes of a loss: shares of all keys and fullness by site, the origin's fullness at first and once moved keys are kept, what is refused, and how long the
-    return takes (seconds)."""
+    """What comes of a loss: shares of all keys and fullness by site, the origin's fullness at first and once
+    moved keys are kept, what is refused, and how long the return takes (seconds)."""
 
     lost: list[str]
     keys: dict[str, float]
@@ -119,7 +124,8 @@
 
 
 def order(loss):
-    """Classes as they are refused, the first first: by what is earned for the work that it takes, its origin's part counted; by name where that is the same."""
+    """Classes as they are refused, the first first: by what is earned for the work that it takes, its
+    origin's part counted; by name where that is the same."""
     return sorted(loss.classes, key=lambda row: (row.worth / (row.work * (2 - row.hit)), row.name))
 
 
@@ -171,7 +177,8 @@
 
 
 def refuse(loss, asked, rest, origin, moved):
-    """By class what is served: whole classes give way in order, down to their floors, until servers and origin bear the rest; then floors in the same order."""
+    """By class what is served: whole classes give way in order, down to their floors, until servers and
+    origin bear the rest; then floors in the same order."""
     served = dict(asked)
 
     def over():
@@ -194,7 +201,8 @@
 
 
 def returning(loss, lost):
-    """Seconds until the sites have their keys again: as long as their servers warm up, and as the origin's room lets what they lack be fetched."""
+    """Seconds until the sites have their keys again: as long as their servers warm up, and as the origin's
+    room lets what they lack be fetched."""
     if not lost:
         return 0.0
     bears = sum(site.servers * site.bears for site in loss.site)
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -1,7 +1,7 @@
 """`lilacdyke fleet`: what staff ask of planners.
 
-Owns the words on its command line, what it prints and its exit codes: 0 told, 1 no planner answered, 2 wrong words. Must never change anything at
-a planner, nor wait for longer than it says.
+Owns the words on its command line, what it prints and its exit codes: 0 told, 1 no planner answered, 2 wrong
+words. Must never change anything at a planner, nor wait for longer than it says.
 """
 
 import socket
@@ -19,7 +19,8 @@
 
 
 def fleet_file(path, *tables):
-    """What the fleet file at this path says; if it cannot be read, or lacks one of these tables, that is one line and exit 2."""
+    """What the fleet file at this path says; if it cannot be read, or lacks one of these tables, that is one
+    line and exit 2."""
     try:
         told = limits.read(path)
         for name in tables:
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -1,10 +1,11 @@
 """`lilacdyke task`: leases for staff's commands, and what holds them.
 
-Owns the command that runs while the lease is held, and the words on the command line. Must never let a command
-go on once the lease may be another's: it is ended within the time that is left.
+Owns the command that runs while the lease is held, and the words on the command line. Must never let a
+command go on once the lease may be another's: it is ended within the time that is left.
 
-Exit codes of `hold`: the command's own, if it ended while the lease was held (128 and a signal's number, if that ended it); 70 the lease could not be kept and
-SIGTERM ended the command; 71 it took SIGKILL; 75 the lease was not to be had in the time given; 2 wrong words.
+Exit codes of `hold`: the command's own, if it ended while the lease was held (128 and a signal's number, if
+that ended it); 70 the lease could not be kept and SIGTERM ended the command; 71 it took SIGKILL; 75 the lease
+was not to be had in the time given; 2 wrong words.
 """
 
 import os
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -1,12 +1,13 @@
 """What forwarders saw of servers, put together by a planner: evidence in, verdicts out. Pure.
 
-Owns the newest evidence of each seat (Sight) and what follows from all of it. Must never do I/O, read a clock, trust one forwarder alone, or make a
-verdict out of what everybody sees everywhere: that is load.
-
-Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. How a verdict's age holds without a common clock: a
-planner takes evidence for as old as it can be (the digest left no earlier than the plan that it echoes, and the time that that was held); a
-forwarder takes a plan for made when its own digest left, which it answers. Either errs to the early side, so a verdict ends no later than
-`span` after the newest thing that anybody saw of it.
+Owns the newest evidence of each seat (Sight) and what follows from all of it. Must never do I/O, read a
+clock, trust one forwarder alone, or make a verdict out of what everybody sees everywhere: that is load.
+
+Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. How a verdict's age
+holds without a common clock: a planner takes evidence for as old as it can be (the digest left no earlier
+than the plan that it echoes, and the time that that was held); a forwarder takes a plan for made when its own
+digest left, which it answers. Either errs to the early side, so a verdict ends no later than `span` after the
+newest thing that anybody saw of it.
 """
 
 from .belief import BINS, FAILING, FIELDS, FULL, SERVERS, SILENT, SLOW, UNIT, VERDICTS, WELL, Row
@@ -32,8 +33,9 @@
 
 
 class Verdict:
-    """What is held of a server: kind, how much slower, what its middle answer takes (ticks), by how many forwarders of how many sites, when the
-    newest evidence was seen, for which site alone it holds (None: for all), and how much it weighs."""
+    """What is held of a server: kind, how much slower, what its middle answer takes (ticks), by how many
+    forwarders of how many sites, when the newest evidence was seen, for which site alone it holds (None: for
+    all), and how much it weighs."""
 
     __slots__ = ('server', 'kind', 'factor', 'took', 'witnesses', 'sites', 'newest', 'site', 'weight')
 
@@ -44,7 +46,8 @@
             len({where for _, where, _ in agreeing}),
         )
         whole = together(agreeing)
-        # Of a bad one the newest that was bad: own eyes that have seen better since decide. None: a slow one that is soon enough for all.
+        # Of a bad one the newest that was bad: own eyes that have seen better since decide. None: a slow one
+        # that is soon enough for all.
         self.newest = whole.fine if kind == WELL else whole.foul
         self.took = UNIT << whole.middle if whole.middle is not None else 0
 
@@ -76,8 +79,9 @@
     # --- inputs -----------------------------------------------------------------------------------------
 
     def told(self, left, seat, site, life, seq, report):
-        """What a seat saw, or what of it has changed; it left at `left` at the earliest, by this clock. The newest of a seat on a server is all that
-        counts of it: told often, by two ways or under a second life it counts once."""
+        """What a seat saw, or what of it has changed; it left at `left` at the earliest, by this clock. The
+        newest of a seat on a server is all that counts of it: told often, by two ways or under a second life
+        it counts once."""
         rows = {}
         for server, (*counts, times, fine, foul, heard, run) in list(report.items())[:SERVERS]:
             row = rows[server] = Row()
@@ -99,13 +103,15 @@
             had = self.witnesses[seat] = Witness()
         for server, row in rows.items():
             known = had.rows.get(server)
-            # Of one life the later report counts; of two, the newer evidence: a word of a life that has ended may come late.
+            # Of one life the later report counts; of two, the newer evidence: a word of a life that has ended
+            # may come late.
             if known is None or (seq > known[1] if life == known[0] else row.newest >= known[2].newest):
                 had.site, had.life, had.rows[server] = site, life, (life, seq, row)
 
     @staticmethod
     def even(row):
-        """Guards against a forwarder whose hops would outnumber all others': MOST of them count, in their shares."""
+        """Guards against a forwarder whose hops would outnumber all others': MOST of them count, in their
+        shares."""
         if row.sent > MOST:
             for name in FIELDS:
                 setattr(row, name, getattr(row, name) * MOST / row.sent if name != 'sent' else row.sent)
@@ -117,13 +123,15 @@
     # --- what follows -----------------------------------------------------------------------------------
 
     def now_held(self, now):
-        """All verdicts, by (server, site for which alone it holds or None); looked at anew a few times in a span."""
+        """All verdicts, by (server, site for which alone it holds or None); looked at anew a few times in a
+        span."""
         if self.looked is None or not self.looked <= now < self.looked + self.span // LOOKS:
             self.looked, self.held = now, self.verdicts(now)
         return self.held
 
     def rows_for(self, now, site, doubts):
-        """What a forwarder of a site is told: all that is bad, and that a server is well where it doubts that."""
+        """What a forwarder of a site is told: all that is bad, and that a server is well where it doubts
+        that."""
         rows = [
             verdict
             for verdict in self.now_held(now).values()
@@ -135,7 +143,8 @@
         return [verdict.plain(now) for verdict in rows[:VERDICTS]]
 
     def fresh(self, now):
-        """By server, the rows that are young enough, with who says so: [(seat, site, row)]. Forgets what is not."""
+        """By server, the rows that are young enough, with who says so: [(seat, site, row)]. Forgets what is
+        not."""
         found = {}
         for seat, witness in list(self.witnesses.items()):
             witness.rows = {
@@ -147,7 +156,8 @@
 
     @staticmethod
     def spoken_since(rows):
-        """A silence counts no more once the server has answered two forwarders since, one of them from there."""
+        """A silence counts no more once the server has answered two forwarders since, one of them from
+        there."""
         silent = [row for row in rows if row[2].silent]
         if not silent:
             return rows
@@ -165,7 +175,8 @@
 
     @staticmethod
     def lately(rows):
-        """Only what was bad, where nobody has had an answer since: what was well before that says nothing any more. Else all rows."""
+        """Only what was bad, where nobody has had an answer since: what was well before that says nothing any
+        more. Else all rows."""
         newest = max((row.heard for _, _, row in rows if row.heard is not None), default=None)
         ended = [
             (seat, site, row)
@@ -183,8 +194,9 @@
         return found
 
     def blind(self, fresh, wholes):
-        """Seats whose own view is at odds with what others see of the same servers: one that finds most bad of what others find well, or
-        that is slow to all of what others get quick answers from. They count for nothing."""
+        """Seats whose own view is at odds with what others see of the same servers: one that finds most bad
+        of what others find well, or that is slow to all of what others get quick answers from. They count for
+        nothing."""
         odd, common = {}, {}
         for server, rows in fresh.items():
             whole = wholes[server]
@@ -271,7 +283,8 @@
 
 
 class Usual:
-    """How the middle server does: what is bad is bad beside that. Guards against condemning servers for a load that all of them bear."""
+    """How the middle server does: what is bad is bad beside that. Guards against condemning servers for a
+    load that all of them bear."""
 
     __slots__ = ('middle', 'bad')
 
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -1,7 +1,7 @@
 """How a node's hops become evidence, and the fleet's verdicts a word that its module reads.
 
-Owns one node's evidence, its beliefs, and the words that it has set on servers. Must never send, choose a server, or touch anything of a server
-but its word; nor keep a transaction waiting.
+Owns one node's evidence, its beliefs, and the words that it has set on servers. Must never send, choose a
+server, or touch anything of a server but its word; nor keep a transaction waiting.
 """
 
 from ..known import NO_WORD
@@ -46,7 +46,8 @@
     # --- evidence ---------------------------------------------------------------------------------------
 
     def ident(self, server):
-        """(name, start) as lists have it; None for one that this node knows to be another process than its list says."""
+        """(name, start) as lists have it; None for one that this node knows to be another process than its
+        list says."""
         entry = self.node.entries.get(server.name)
         if entry is None or started(entry, self.node.offset) != server.started:
             return None
@@ -76,7 +77,8 @@
         self.belief.saw(now, ident, quick)
 
     def report(self, now, planner, seq, life):
-        """What has changed since what this planner has for sure; life: of its own, None while it cannot tell how old what comes is."""
+        """What has changed since what this planner has for sure; life: of its own, None while it cannot tell
+        how old what comes is."""
         whole = self.seen.report(now)
         marks = {
             server: (row[:6], now - min(age for age in row[6:9] if age is not None))
--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -1,10 +1,11 @@
-"""A model checker for leases: a small world of voters and seekers, whose messages are lost, late, doubled and reordered, who restart with
-nothing (voters but for the bound that they wrote down), and whose clocks run apart.
+"""A model checker for leases: a small world of voters and seekers, whose messages are lost, late, doubled and
+reordered, who restart with nothing (voters but for the bound that they wrote down), and whose clocks run
+apart.
 
-Owns the worlds and what must hold in all of their states: no two seekers hold at once, and each lease has a higher number than all before it. Must never
-help the leases.
+Owns the worlds and what must hold in all of their states: no two seekers hold at once, and each lease has a
+higher number than all before it. Must never help the leases.
 
-    python -m lilacdyke.plan.vote_check [--walks N] [--steps N] [--states N] [--seed N]
+python -m lilacdyke.plan.vote_check [--walks N] [--steps N] [--states N] [--seed N]
 """
 
 import pickle
@@ -43,7 +44,8 @@
 
 
 class World:
-    """Some voters and seekers of one task, and what is under way between them. Each has a clock of its own."""
+    """Some voters and seekers of one task, and what is under way between them. Each has a clock of its
+    own."""
 
     def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, chance=half):
         self.voter, self.seeker, self.chance, self.now, self.lives, self.numbers, self.changes = (
@@ -171,7 +173,8 @@
 
 
 def search(states, **kinds):
-    """All interleavings of a small world in which one holds, breadth first, up to so many states: (states seen, depth reached whole)."""
+    """All interleavings of a small world in which one holds, breadth first, up to so many states: (states
+    seen, depth reached whole)."""
     first = settled(World(**kinds))
     edge, seen, depth = [first], {pickle.dumps(first)}, 0
     while edge:
@@ -201,7 +204,8 @@
     )  # messages in their turn; steps while time passes once
     generous = chance.choice((0.0, 0.002, 0.04))  # how readily a lease is given back
     trouble, losses = chance.choice((0.0, 0.005, 0.02)), chance.choice((0.0, 0.05, 0.2))
-    # For a while a seeker is cut off, one way or both: its messages are lost, or come once that is over; it may stand still besides.
+    # For a while a seeker is cut off, one way or both: its messages are lost, or come once that is over; it
+    # may stand still besides.
     apart, until, late = None, 0, False
     for made in range(steps):
         drawn = chance.random()
--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -36,7 +36,8 @@
 class SiteTerms:
     """The terms a site gives its nodes: who asks, what is allowed, what must be kept.
 
-    cross_price is due for one hop a transaction that crosses zones, waste_price for as much work wasted as asked for.
+    cross_price is due for one hop a transaction that crosses zones, waste_price for as much work wasted as
+    asked for.
     """
 
     __slots__ = (
--- a/lilacdyke/trial/cli.py
+++ b/lilacdyke/trial/cli.py
@@ -1,6 +1,7 @@
 """`lilacdyke trial`: the words on its command line and its exit codes.
 
-Owns what is printed. Exit codes: 0 all well, 1 a rule broken, a void run or a mutant not caught, 2 wrong words.
+Owns what is printed. Exit codes: 0 all well, 1 a rule broken, a void run or a mutant not caught, 2 wrong
+words.
 """
 
 import sys
@@ -130,7 +131,8 @@
 )
 @click.option('--jobs', type=click.IntRange(1, 16), default=4, show_default=True)
 def mutants(names, seeds, jobs):
-    """Break the program on purpose: each mutant must be caught by a judge in a trial that the sound program passes."""
+    """Break the program on purpose: each mutant must be caught by a judge in a trial that the sound program
+    passes."""
     unknown = [name for name in names if name not in NAMES]
     if unknown:
         click.echo(
@@ -149,7 +151,8 @@
 
 
 def hunt(name, seeds):
-    """(rule, seed, what was seen) of the first trial that catches a mutant and that the sound program passes, or None."""
+    """(rule, seed, what was seen) of the first trial that catches a mutant and that the sound program passes,
+    or None."""
     for seed in range(1, seeds + 1):
         found = [row for row in runs.one(seed, name, name).broken if row[0] != 'void']
         if found and not runs.one(seed, None, name).broken:
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -43,7 +43,8 @@
     'standstill': 3,
     'burst': 2,
 }
-# Where what a limit counts is counted at servers as it comes, bytes that were held up on their way would count together.
+# Where what a limit counts is counted at servers as it comes, bytes that were held up on their way would
+# count together.
 BETWEEN = {'cut': 3, 'delay': 2, 'silence': 1, 'cut_watch': 1}
 SIZES = {
     'delay': (5, 60),
@@ -247,8 +248,8 @@
 
 
 def bends(seed, given):
-    """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners that die between two steps of
-    their work: a gift taken and not lent yet, a plan made and not sent."""
+    """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners
+    that die between two steps of their work: a gift taken and not lent yet, a plan made and not sent."""
     chance = Random('bends/%d' % seed)
     names = ['n%d' % number for number in range(given.nodes)] + [
         'p%d' % number for number in range(given.planning.planners)
--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -68,7 +68,8 @@
             self.reactor.callLater(0.1 if self.kind == 'roll' else 2 * self.lease, self.start, voter)
 
     def found(self):
-        """Seconds: from each trouble to the next holder's first act (kill, cut), or the longest between two acts that it spans (the others)."""
+        """Seconds: from each trouble to the next holder's first act (kill, cut), or the longest between two
+        acts that it spans (the others)."""
         acts = [(row[0], row[2]) for row in self.resource.rows if row[1] == 'begin' and row[4]]
         if self.kind in ('kill', 'cut', 'one way'):
             had = [max((number for at, number in acts if at <= mark), default=0) for mark in self.marks]
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -1,7 +1,8 @@
-"""The trial's ground: the lab's stand-ins on loopback, the program's own processes, and a relay on every link between them.
+"""The trial's ground: the lab's stand-ins on loopback, the program's own processes, and a relay on every link
+between them.
 
-Owns the relays, what each process is bent by, and the witness of the machine's own standstills. Must never leave a process behind: each
-asks the kernel to be killed with this one (launch.py).
+Owns the relays, what each process is bent by, and the witness of the machine's own standstills. Must never
+leave a process behind: each asks the kernel to be killed with this one (launch.py).
 """
 
 import json
@@ -47,7 +48,8 @@
 
 
 class Planning(loopback.Planning):
-    """A planner process that may die by itself, at a step; it is started again a moment later, with nothing and no such step."""
+    """A planner process that may die by itself, at a step; it is started again a moment later, with nothing
+    and no such step."""
 
     def __init__(self, ground, office):
         super().__init__(ground, office)
@@ -132,7 +134,8 @@
         return '%s:%d' % here
 
     def histories(self):
-        """What forwarders wrote of servers, as rows: their stamps are of this machine's one clock, and so is the run's."""
+        """What forwarders wrote of servers, as rows: their stamps are of this machine's one clock, and so is
+        the run's."""
         rows = []
         for place in self.stage.places:
             path = os.path.join(self.folder, place.name + '.history')
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -1,9 +1,10 @@
-"""Leases for tasks among real processes: planners that vote, processes that seek one task and act on a resource, a relay on every link, faults by seed.
+"""Leases for tasks among real processes: planners that vote, processes that seek one task and act on a
+resource, a relay on every link, faults by seed.
 
-Owns the resource (it refuses numbers lower than one it has seen), the faults, and the judge of acts and of times of holding. Must never judge by what
-voters say, nor leave a process behind.
+Owns the resource (it refuses numbers lower than one it has seen), the faults, and the judge of acts and of
+times of holding. Must never judge by what voters say, nor leave a process behind.
 
-    python -m lilacdyke.trial.holders [--seeds N] [--first N] [--jobs N] [--mutant NAME]
+python -m lilacdyke.trial.holders [--seeds N] [--first N] [--jobs N] [--mutant NAME]
 """
 
 import json
@@ -107,7 +108,8 @@
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What came of one trial. changes: of the holder; gaps: seconds without a holder, the longest; still: how long the machine stood still."""
+    """What came of one trial. changes: of the holder; gaps: seconds without a holder, the longest; still: how
+    long the machine stood still."""
 
     seed: int
     broken: list[tuple[str, float, str]] = []
@@ -311,7 +313,8 @@
         self.reactor.callLater(span, self.signal, name, signal.SIGCONT)
 
     def do_kill_seeker(self, span):
-        """Killed, and there again; half of those that come back stop themselves between look and act, for up to three leases."""
+        """Killed, and there again; half of those that come back stop themselves between look and act, for up
+        to three leases."""
         name = self.pick('s')
         self.kill(name)
         if self.draw.random() < 0.5:
--- a/lilacdyke/trial/launch.py
+++ b/lilacdyke/trial/launch.py
@@ -28,7 +28,8 @@
 
 
 class History:
-    """What one process did. A line is written whole by one call to the system, so that a kill leaves no half."""
+    """What one process did. A line is written whole by one call to the system, so that a kill leaves no
+    half."""
 
     def __init__(self, path):
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600) if path else None
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -1,9 +1,9 @@
 """What the links cost: one real planner process and many forwarders' links to it, on loopback.
 
-Owns the stand-ins for nodes that those links belong to; the links, purses and decisions are the program's own. Must never run for longer than
-it was told.
+Owns the stand-ins for nodes that those links belong to; the links, purses and decisions are the program's
+own. Must never run for longer than it was told.
 
-    python -m lilacdyke.trial.load --forwarders 300 --seconds 20
+python -m lilacdyke.trial.load --forwarders 300 --seconds 20
 """
 
 import os
--- a/lilacdyke/trial/mutants.py
+++ b/lilacdyke/trial/mutants.py
@@ -1,6 +1,7 @@
 """Which broken forms of the program the trial hunts.
 
-Owns names only: how each is broken, and under which troubles it should show, stands with the lab's mutants, as the same code runs in both.
+Owns names only: how each is broken, and under which troubles it should show, stands with the lab's mutants,
+as the same code runs in both.
 """
 
 NAMES = [
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -1,7 +1,8 @@
 """A relay on a link between two real processes: bytes through, each direction with troubles of its own.
 
-Owns both ends of each connection that it carries, and what it holds back. Must never change, drop or reorder bytes that it lets through, nor
-hold more than STORE of a direction: then it reads no more, as a full pipe would.
+Owns both ends of each connection that it carries, and what it holds back. Must never change, drop or reorder
+bytes that it lets through, nor hold more than STORE of a direction: then it reads no more, as a full pipe
+would.
 """
 
 from collections import deque
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -1,7 +1,8 @@
 """Trials played and judged, void ones again.
 
-Owns what a trial's outcome is, and when a run counts: one during which the machine itself stood still for longer than STILL is void and played
-again, at most twice; then it fails and says so. Must never call a run good that was not judged, nor judge by what processes say of themselves.
+Owns what a trial's outcome is, and when a run counts: one during which the machine itself stood still for
+longer than STILL is void and played again, at most twice; then it fails and says so. Must never call a run
+good that was not judged, nor judge by what processes say of themselves.
 """
 
 import json
@@ -23,8 +24,8 @@
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What came of one trial. broken: [(rule, seconds, text)]; still: how long the machine stood still; void: whether it does not
-    count; over: how near each kind of limit was come to, parts of it."""
+    """What came of one trial. broken: [(rule, seconds, text)]; still: how long the machine stood still; void:
+    whether it does not count; over: how near each kind of limit was come to, parts of it."""
 
     seed: int
     mutant: str | None = None
@@ -39,8 +40,8 @@
 
 
 def once(seed, mutant=None, fit=None):
-    """Play and judge one trial in this process: a reactor runs but once. fit: the mutant whose troubles it is played with, or the name of a
-    trial of draw.NAMED; None: as the seed draws."""
+    """Play and judge one trial in this process: a reactor runs but once. fit: the mutant whose troubles it is
+    played with, or the name of a trial of draw.NAMED; None: as the seed draws."""
     begun = time.monotonic()
     given = draw.fitted(seed, fit)
     given = msgspec.structs.replace(
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -1,6 +1,8 @@
-"""A process that seeks a task again and again, and acts on the trial's resource while it holds: the lease is the program's own (plan/lease.py).
+"""A process that seeks a task again and again, and acts on the trial's resource while it holds: the lease is
+the program's own (plan/lease.py).
 
-Owns the acts. Must never act without having looked, nor look again between that and the bytes of the act: that gap is what the trial is about.
+Owns the acts. Must never act without having looked, nor look again between that and the bytes of the act:
+that gap is what the trial is about.
 """
 
 import os
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,6 +1,6 @@
-"""What the tests of crossings stand on: the very program as a process, and servers, agents and clients that do nothing by
-themselves. Each is a blocking socket that holds, answers, resets or ends when the test says so; what is waited for is what the
-other side did, never a while.
+"""What the tests of crossings stand on: the very program as a process, and servers, agents and clients that
+do nothing by themselves. Each is a blocking socket that holds, answers, resets or ends when the test says so;
+what is waited for is what the other side did, never a while.
 """
 
 import json
@@ -110,7 +110,8 @@
 
 
 class Stand:
-    """A listening socket that takes nobody by itself. held: connections to it do not come up until it lets them."""
+    """A listening socket that takes nobody by itself. held: connections to it do not come up until it lets
+    them."""
 
     def __init__(self, held=False, port=0):
         self.socket, self.lines, self.filler = socket.socket(), [], None
@@ -135,7 +136,8 @@
         return self.lines[-1]
 
     def watch(self):
-        """The next connection as a watch, with its request read and answered: (it, the request's first line)."""
+        """The next connection as a watch, with its request read and answered: (it, the request's first
+        line)."""
         line = self.take()
         first = line.head().split(b'\r\n')[0]
         line.say(HEAD)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,9 @@
 """Tests that are known to fail for a real fault which is not mended yet.
 
-Owns the form of KNOWN-RED.txt (`test, cause, issue` on a line, three lines at most) and what it does to a run: just these tests are
-expected to fail, and are printed. Must never let another test fail, nor one of these pass unseen: a listed test that passes, or that
-is not there, a line out of form and a fourth line each fail the run.
+Owns the form of KNOWN-RED.txt (`test, cause, issue` on a line, three lines at most) and what it does to a
+run: just these tests are expected to fail, and are printed. Must never let another test fail, nor one of
+these pass unseen: a listed test that passes, or that is not there, a line out of form and a fourth line each
+fail the run.
 """
 
 import os
@@ -49,7 +50,8 @@
 
 
 def mark(suite, text, out=sys.stderr):
-    """Have the listed tests of a suite be expected to fail, and add one that fails for each thing wrong with the list."""
+    """Have the listed tests of a suite be expected to fail, and add one that fails for each thing wrong with
+    the list."""
     rows, wrong = read(text)
     found = {test.id(): test for test in each(suite)}
     for name, cause, issue in rows:
--- a/tests/lab/test_held.py
+++ b/tests/lab/test_held.py
@@ -1,4 +1,5 @@
-"""Verdicts over whole fleets in simulated time: drawn ones, a liar, a site that is cut off from a server, and own acts counted at servers."""
+"""Verdicts over whole fleets in simulated time: drawn ones, a liar, a site that is cut off from a server, and
+own acts counted at servers."""
 
 import unittest
 from functools import lru_cache
