--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -46,7 +46,9 @@
 
     def ask(self, place, address, method, path, done):
         """One call to an address of a node."""
-        self.stage.connect(address, Dialled(Call(self.stage, method, path, done)), self.stage.client_address(place))
+        self.stage.connect(
+            address, Dialled(Call(self.stage, method, path, done)), self.stage.client_address(place)
+        )
 
     def tell(self, place, path, what, name):
         """A call at a node's door; its yes is seen."""
@@ -55,15 +57,18 @@
         def done(status):
             if 200 <= status < 300 and place.running is running:
                 self.stage.see('hand', place.name, what, name)
+
         if running is not None and not running.leaving:
             self.ask(place, place.door, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
-        """What a node says to who asks whether it is ready; at a standstill or on its way out it says nothing."""
+        """What a node says to who asks whether it is ready; at a standstill or on its way out it says
+        nothing."""
         running = place.running
 
         def done(status):
             if status and place.running is running and not running.leaving:
                 self.stage.see('hand', place.name, what, str(status))
+
         if running is not None and not running.leaving:
             self.ask(place, place.address, 'GET', '/ready', done)
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -1,6 +1,7 @@
 """Runs: one scenario played and judged, and many of them over the machine's cores.
 
-Owns what a run's outcome is, and the pool of workers. Must never let one run's end take the others' results with it.
+Owns what a run's outcome is, and the pool of workers. Must never let one run's end take the others' results
+with it.
 """
 
 import gc
@@ -11,7 +12,8 @@
 import time
 from concurrent.futures import ProcessPoolExecutor, as_completed
 
-from . import ground, scenario as scenarios
+from . import ground
+from . import scenario as scenarios
 from .judges import judge
 from .service import figures
 from .witness import digest
@@ -35,17 +37,23 @@
     """Play and judge one scenario."""
     seed = scenario.seed if seed is None else seed
     begun = time.perf_counter()
-    gc.disable()                        # a run makes few cycles, and many objects that stay until its end
+    gc.disable()  # a run makes few cycles, and many objects that stay until its end
     try:
         stage = ground.play(scenario, seed, patch, progress)
     finally:
         gc.enable()
     seen = stage.witness.rows
     wall = time.perf_counter() - begun
-    return Outcome(name=scenario.name, seed=seed, figures=figures(scenario, seen),
-                   broken=[(found.rule, found.when, found.text) for found in judge(scenario, seen)],
-                   hash=digest(seen) if hashed else '', wall=wall, rows=seen if rows else None,
-                   events=stage.ground.world.done)
+    return Outcome(
+        name=scenario.name,
+        seed=seed,
+        figures=figures(scenario, seen),
+        broken=[(found.rule, found.when, found.text) for found in judge(scenario, seen)],
+        hash=digest(seen) if hashed else '',
+        wall=wall,
+        rows=seen if rows else None,
+        events=stage.ground.world.done,
+    )
 
 
 def task(text, seed, patch):
@@ -58,12 +66,13 @@
     if patch is None:
         return None
     from . import baselines, mutants
+
     return {'mutant': mutants.MUTANTS, 'baseline': baselines.BASELINES}[patch[0]][patch[1]].apply
 
 
 def many(tasks, jobs, each):
-    """Play (text, seed, patch) tasks on so many processes; each(index, outcome or exception) as they end. False if
-    interrupted: what had ended is with the caller already."""
+    """Play (text, seed, patch) tasks on so many processes; each(index, outcome or exception) as they end.
+    False if interrupted: what had ended is with the caller already."""
     if jobs == 1:
         for index, given in enumerate(tasks):
             try:
--- a/lilacdyke/lab/world.py
+++ b/lilacdyke/lab/world.py
@@ -1,7 +1,7 @@
 """Simulated time: one heap of what happens when, and the only sources of chance.
 
-Owns the order of events: by time, and at one time by when they were asked for. Must never look at a real clock, at
-an object's address or hash, or draw from a source that is not seeded by name.
+Owns the order of events: by time, and at one time by when they were asked for. Must never look at a real
+clock, at an object's address or hash, or draw from a source that is not seeded by name.
 """
 
 from heapq import heappop, heappush
@@ -17,10 +17,11 @@
 
     def __init__(self, seed):
         self.now, self.heap, self.turn, self.seed, self.done = 0, [], 0, seed, 0
-        self.current = None             # whose turn it is
+        self.current = None  # whose turn it is
 
     def chance(self, name):
-        """A source of random numbers of its own for each name, so that one more draw in a part moves no other part."""
+        """A source of random numbers of its own for each name, so that one more draw in a part moves no other
+        part."""
         return Random('%s/%s' % (self.seed, name))
 
     def at(self, when, call, *given):
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -16,9 +16,9 @@
 from .sockets import Outgoing, connect, push, quiet
 from .tables import Table
 
-KEPT = 0.6                              # of the server's idle time, until an idle connection is closed
-SETTLED = 100                           # after an answer, until its connection is trusted with the next hop
-CROWDED = 3 * SETTLED                   # how long a connection rests where a server has no place for more
+KEPT = 0.6  # of the server's idle time, until an idle connection is closed
+SETTLED = 100  # after an answer, until its connection is trusted with the next hop
+CROWDED = 3 * SETTLED  # how long a connection rests where a server has no place for more
 NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
@@ -34,20 +34,24 @@
     return 'rejected' if status.startswith(b'4') else 'error'
 
 
-class Trip:
+class Exchange:
     """One hop under way: the client's request, until when it is waited for, and where it is."""
 
     __slots__ = ('pool', 'message', 'until', 'wanted', 'by', 'link', 'done', 'in_part')
 
     def __init__(self, pool, message, until, wanted, by):
         self.pool, self.message, self.until = pool, message, until
-        self.in_part = None             # called with each piece of an answer whose length is not told, while it is held
-        self.wanted, self.by = wanted, by       # whether it may still leave; when it has to have left, None: at any time
-        self.link = None                # the connection, once there is one
-        self.done = Deferred()          # fires once, with (ending, answer or None)
+        self.in_part = None  # called with each piece of an answer whose length is not told, while it is held
+        self.wanted, self.by = (
+            wanted,
+            by,
+        )  # whether it may still leave; when it has to have left, None: at any time
+        self.link = None  # the connection, once there is one
+        self.done = Deferred()  # fires once, with (ending, answer or None)
 
     def cut(self, how):
-        """It is not waited for any more, unless it has ended: its connection ends, which tells the server so."""
+        """It is not waited for any more, unless it has ended: its connection ends, which tells the server
+        so."""
         if self.done.called:
             return
         if self.link:
@@ -77,37 +81,38 @@
 
     def __init__(self, pool):
         self.pool, self.reader, self.address = pool, Reader(ANSWER), pool.address
-        self.sink = None                # the client that a large answer goes to as it comes
-        self.flow = None                # a large request on its way
-        self.trip, self.unsent = None, b''      # unsent: what of the hop has not gone to the system
-        self.left = True                # whether the hop's last byte has gone there
-        self.number, self.idle_until, self.timed = None, None, 0     # timed: when its deadline is; 0: none
-        self.settled = 0                # when it may carry the next hop
-        self.used = False               # whether it has carried one
-        self.piece_came = 0             # when the latest piece of a held answer of no told length came
+        self.sink = None  # the client that a large answer goes to as it comes
+        self.flow = None  # a large request on its way
+        self.exchange, self.unsent = None, b''  # unsent: what of the hop has not gone to the system
+        self.left = True  # whether the hop's last byte has gone there
+        self.number, self.idle_until, self.timed = None, None, 0  # timed: when its deadline is; 0: none
+        self.settled = 0  # when it may carry the next hop
+        self.used = False  # whether it has carried one
+        self.piece_came = 0  # when the latest piece of a held answer of no told length came
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
 
-    def carry(self, trip):
-        """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more once
-        all that it wrote has left."""
-        self.trip, trip.link = trip, self
-        source = trip.message.source
-        data = b''.join(request(trip.message, max(1, trip.until - self.pool.caches.clock())))
+    def carry(self, exchange):
+        """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more
+        once all that it wrote has left."""
+        self.exchange, exchange.link = exchange, self
+        source = exchange.message.source
+        data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
             self.left = False
             self.transport.write(data)
-            self.flow = Flow(source, self.transport, trip.message.length is None, source.moved)
+            self.flow = Flow(source, self.transport, exchange.message.length is None, source.moved)
             source.carried(self)
             return
-        self.unsent = data[push(self.transport, data):]
+        self.unsent = data[push(self.transport, data) :]
         self.left = not self.unsent
         if self.unsent:
             self.transport.registerProducer(self, False)
 
     def body(self, data, whole):
-        """More of a large request, and whether that was all. Its last byte has left once the system has all."""
+        """More of a large request, and whether that was all. Its last byte has left once the system has
+        all."""
         if not whole:
             self.flow.pass_on(data)
             return
@@ -127,13 +132,13 @@
         """The connection has ended: connectionLost tells."""
 
     def dataReceived(self, data):
-        if not self.trip and not self.sink:
+        if not self.exchange and not self.sink:
             self.close()
             return
         try:
             self.reader.feed(data)
             if self.sink:
-                self.pour()
+                self.stream()
             else:
                 self.read()
         except BadMessage as err:
@@ -147,7 +152,7 @@
     def read(self):
         """The answer, if it is here, or the beginning of a large one."""
         answer = self.reader.take()
-        while answer and answer.parts[1][0:1] == b'1':      # only a word before the answer
+        while answer and answer.parts[1][0:1] == b'1':  # only a word before the answer
             answer = self.reader.take()
         if answer:
             self.answered(answer)
@@ -155,15 +160,21 @@
             self.begin(self.reader.message)
         elif self.holds_part:
             self.piece_came = self.pool.caches.clock()
-            if self.trip.in_part:
-                self.trip.in_part()
+            if self.exchange.in_part:
+                self.exchange.in_part()
 
     @property
     def holds_part(self):
-        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a large one. One
-        that comes before its request has left is of no use."""
+        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a
+        large one. One that comes before its request has left is of no use."""
         message = self.reader.message
-        return self.trip is not None and self.left and message is not None and message.length is None and ending(message) == 'committed'
+        return (
+            self.exchange is not None
+            and self.left
+            and message is not None
+            and message.length is None
+            and ending(message) == 'committed'
+        )
 
     def still_gives(self, now):
         """Whether its server has gone silent only lately, or what it gave lies unread."""
@@ -195,7 +206,7 @@
         if not self.sink:
             self.close()
 
-    def pour(self):
+    def stream(self):
         """What has come of a large answer goes on."""
         data, whole = self.reader.piece(), self.reader.whole
         sink, lasting = self.sink, self.reader.message.lasting
@@ -234,10 +245,10 @@
         if self.flow:
             self.flow.stop()
             self.flow = None
-        trip, self.trip = self.trip, None
-        if trip and trip.message.source:
-            trip.message.source.put_down(self)
-        return trip
+        exchange, self.exchange = self.exchange, None
+        if exchange and exchange.message.source:
+            exchange.message.source.put_down(self)
+        return exchange
 
     def finish(self, how, answer=None):
         """End the hop that is on it."""
@@ -249,7 +260,7 @@
         if answer and self.sink:
             sink, self.sink = self.sink, None
             sink.whole()
-        elif answer and self.trip:
+        elif answer and self.exchange:
             self.finish(ending(answer), answer)
 
     def give_up(self):
@@ -272,7 +283,7 @@
             self.ended()
         if self.sink:
             self.cut_off()
-        if self.trip:
+        if self.exchange:
             # Only a last byte that never left proves that the hop never ran.
             self.finish('lost' if self.left else 'unreachable')
 
@@ -284,29 +295,29 @@
 
     def __init__(self, caches, server, address):
         self.caches, self.server, self.address = caches, server, address
-        self.resting = []               # idle connections, the latest used last
-        self.waiting = deque()          # hops that wait for one
-        self.dials = 0                  # connections that are being opened
-        self.links = 0                  # connections, those being opened among them
-        self.crowded = 0                # until when it counts as having no place for more connections
-        self.refused = False            # whether nobody listened there lately, so that its process had ended
-
-    def send(self, trip):
+        self.resting = []  # idle connections, the latest used last
+        self.waiting = deque()  # hops that wait for one
+        self.dials = 0  # connections that are being opened
+        self.links = 0  # connections, those being opened among them
+        self.crowded = 0  # until when it counts as having no place for more connections
+        self.refused = False  # whether nobody listened there lately, so that its process had ended
+
+    def send(self, exchange):
         """Carry a hop on an idle connection, or open one for it."""
         now = self.caches.clock()
-        if not trip.wanted():
-            trip.over('unsent')
+        if not exchange.wanted():
+            exchange.over('unsent')
             return
         for link in self.resting[::-1]:
             if link.settled <= now and self.wake(link):
-                link.carry(trip)
+                link.carry(exchange)
                 return
         if not self.caches.room() or not self.may_dial() and not self.links:
-            trip.over('unsent')
+            exchange.over('unsent')
             return
-        self.waiting.append(trip)
+        self.waiting.append(exchange)
         if self.may_dial():
-            self.dial()                 # else the first that comes free is the one to wait for
+            self.dial()  # else the first that comes free is the one to wait for
 
     def may_dial(self):
         """Whether the fleet's limit on connections to this server lets this node open one more."""
@@ -320,8 +331,8 @@
             self.caches.shares.linked(self.caches.clock(), self.server, more)
 
     def declined(self):
-        """A new connection was turned away at its first hop, and closed: the server has no place for more. Guards against
-        places that lie idle at one node while others are turned away."""
+        """A new connection was turned away at its first hop, and closed: the server has no place for more.
+        Guards against places that lie idle at one node while others are turned away."""
         self.crowded = self.caches.clock() + self.caches.keep
 
     def dial(self):
@@ -346,25 +357,26 @@
             self.refused = False
             self.caches.returned(self.server)
         if link.address != self.address:
-            link.close()                # the server moved while it came up: this is not the way there any more
+            link.close()  # the server moved while it came up: this is not the way there any more
             self.without('unsent')
         else:
             self.offer(link)
 
     def offer(self, link):
-        """A connection for the hop that has waited longest and may still leave; else it rests. Guards against what happened
-        while hops waited: the server began to drain, the client left, a repeat's time is up."""
+        """A connection for the hop that has waited longest and may still leave; else it rests. Guards against
+        what happened while hops waited: the server began to drain, the client left, a repeat's time is up."""
         while self.waiting:
-            trip = self.waiting.popleft()
-            late = trip.by is not None and self.caches.clock() > trip.by
-            if self.server.state == 'ready' and not late and trip.wanted():
-                link.carry(trip)
+            exchange = self.waiting.popleft()
+            late = exchange.by is not None and self.caches.clock() > exchange.by
+            if self.server.state == 'ready' and not late and exchange.wanted():
+                link.carry(exchange)
                 return
-            trip.over('unsent')
+            exchange.over('unsent')
         self.rest(link)
 
     def without(self, how):
-        """A connection that was to come will not: unless others come, the hop that has waited longest has none to wait for."""
+        """A connection that was to come will not: unless others come, the hop that has waited longest has
+        none to wait for."""
         if len(self.waiting) > self.dials:
             self.waiting.popleft().over(how)
 
@@ -378,8 +390,8 @@
         self.without('unsent' if error in (EMFILE, ENFILE) else 'unreachable')
 
     def rest(self, link):
-        """A connection is free. Guards against servers that close one right after an answer, or send more than the
-        answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
+        """A connection is free. Guards against servers that close one right after an answer, or send more
+        than the answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
         if self.server.state != 'ready' or link.address != self.address:
             link.close()
             return
@@ -428,11 +440,11 @@
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
         self.within, self.keep = place.connect_within, int(place.idle * KEPT)
         self.budget = budget
-        self.broken, self.fault = broken, fault     # told of answers out of form, and of faults in here
-        self.returned = returned        # told of a server that takes connections again, after it refused some
+        self.broken, self.fault = broken, fault  # told of answers out of form, and of faults in here
+        self.returned = returned  # told of a server that takes connections again, after it refused some
         self.pools, self.table, self.dialling = {}, Table(), Table()
-        self.resting = {}               # idle connections by number, the longest idle first
-        self.shares = None              # what the fleet lets this node spend, where there is one
+        self.resting = {}  # idle connections by number, the longest idle first
+        self.shares = None  # what the fleet lets this node spend, where there is one
 
     @property
     def open(self):
@@ -459,11 +471,13 @@
                 pool.close_idle()
 
     def send(self, server, message, until, wanted, repeat):
-        """Start a hop; its Trip. wanted() tells whether it may still leave; a repeat leaves within the time that a connection
-        may take to come up, which the rule on repeats sets aside for it."""
-        trip = Trip(self.pools[server], message, until, wanted, self.clock() + self.within if repeat else None)
-        trip.pool.send(trip)
-        return trip
+        """Start a hop; its Exchange. wanted() tells whether it may still leave; a repeat leaves within the
+        time that a connection may take to come up, which the rule on repeats sets aside for it."""
+        exchange = Exchange(
+            self.pools[server], message, until, wanted, self.clock() + self.within if repeat else None
+        )
+        exchange.pool.send(exchange)
+        return exchange
 
     def room(self):
         """Whether one more connection may be opened; the longest idle one makes way."""
@@ -480,7 +494,7 @@
     def trim(self, over):
         """Close idle connections of which there are too many: over(server) tells how many."""
         for pool in self.pools.values():
-            for link in pool.resting[:max(0, over(pool.server))]:
+            for link in pool.resting[: max(0, over(pool.server))]:
                 link.close()
 
     def make_way(self):
@@ -489,15 +503,16 @@
             next(iter(self.resting.values())).close()
 
     def rest(self, link):
-        """Note an idle connection and until when it is kept: well before the server ends it, and hardly at all where others
-        find no place."""
+        """Note an idle connection and until when it is kept: well before the server ends it, and hardly at
+        all where others find no place."""
         self.resting[link.number] = link
         now = self.clock()
         link.idle_until = now + (CROWDED if now < link.pool.crowded else self.keep)
         self.time(link)
 
     def time(self, link):
-        """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is to go sooner."""
+        """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is
+        to go sooner."""
         if not link.timed or link.idle_until < link.timed:
             link.timed = link.idle_until
             self.deadlines.at(link.idle_until, self.idle_due, link.number)
--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -1,6 +1,7 @@
 """What a voter keeps beyond its own life: a bound on the numbers that it has noted, and who the voters were.
 
-Owns one small file. Must never lose what it said was kept, nor take a file that it cannot read for an empty one.
+Owns one small file. Must never lose what it said was kept, nor take a file that it cannot read for an empty
+one.
 """
 
 import json
@@ -12,7 +13,8 @@
 
 
 class Book:
-    """One voter's file: {version, bound, voters, lease}. lease: the longest that it may have promised, ticks. A change is written beside it, forced to the disk, and put in its place by one call to the system."""
+    """One voter's file: {version, bound, voters, lease}. lease: the longest that it may have promised, ticks.
+    A change is written beside it, forced to the disk, and put in its place by one call to the system."""
 
     def __init__(self, folder, name):
         self.folder, self.path = folder, os.path.join(folder, name + '.numbers')
@@ -24,7 +26,14 @@
             with open(self.path, encoding='utf-8') as file:
                 told = json.load(file)
             version, bound, voters, lease = told['version'], told['bound'], told['voters'], told['lease']
-            if version != VERSION or type(bound) is not int or bound < 0 or type(lease) is not int or lease < 0 or not all(type(name) is str for name in voters):
+            if (
+                version != VERSION
+                or type(bound) is not int
+                or bound < 0
+                or type(lease) is not int
+                or lease < 0
+                or not all(type(name) is str for name in voters)
+            ):
                 raise ValueError('no book of version %d' % VERSION)
         except FileNotFoundError:
             raise BadLine('%s: there is none: lilacdyke task voter makes one' % self.path) from None
@@ -50,5 +59,6 @@
 
 
 def step(before, after):
-    """Whether any majority of the one and any of the other have a voter in common, whoever goes by which: one voter more, or one less, at a time."""
+    """Whether any majority of the one and any of the other have a voter in common, whoever goes by which: one
+    voter more, or one less, at a time."""
     return len(set(before) ^ set(after)) <= 1
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -1,21 +1,24 @@
-"""Leases for tasks that one process does for the whole fleet: voters promise, a majority of promises is a lease. Pure.
-
-Owns the promises of a voter (Voter) and one process's seeking and holding of one task (Seeker). Must never do I/O, trust another's clock for more
-than its rate, or give a number twice.
-
-Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. What keeps two from holding at once: a voter promises a task to one
-seeker for a lease, a twentieth and more longer, from when it was asked; a seeker that has the promises of most voters holds for a lease, a twentieth and more
-shorter, from when it asked. Any two majorities have a voter in common, and a voter that starts says nothing until whatever a life before it
-promised has run out. What keeps numbers rising: before it holds, a seeker has most voters note a number above all that any of them has noted; a
-voter keeps a bound on those beyond its own life (`keep`).
+"""Leases for tasks that one process does for the whole fleet: voters promise, a majority of promises is a
+lease. Pure.
+
+Owns the promises of a voter (Voter) and one process's seeking and holding of one task (Seeker). Must never do
+I/O, trust another's clock for more than its rate, or give a number twice.
+
+Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. What keeps two from
+holding at once: a voter promises a task to one seeker for a lease, a twentieth and more longer, from when it
+was asked; a seeker that has the promises of most voters holds for a lease, a twentieth and more shorter, from
+when it asked. Any two majorities have a voter in common, and a voter that starts says nothing until whatever
+a life before it promised has run out. What keeps numbers rising: before it holds, a seeker has most voters
+note a number above all that any of them has noted; a voter keeps a bound on those beyond its own life
+(`keep`).
 """
 
 from .ledger import longer, shorter
 
 TASKS, WAITING, LIVES = 1_024, 1_024, 1_024  # that a voter keeps count of
-BLOCK = 1_000                           # numbers that are written down at a time
-RENEWS = 4                              # in a lease
-TRY = 4                                 # a round waits for answers for this part of a lease
+BLOCK = 1_000  # numbers that are written down at a time
+RENEWS = 4  # in a lease
+TRY = 4  # a round waits for answers for this part of a lease
 ASK, CONFIRM, RENEW, RELEASE = 'ask', 'confirm', 'renew', 'release'
 VERBS = (ASK, CONFIRM, RENEW, RELEASE)
 
@@ -26,7 +29,8 @@
 
 
 def silent(lease):
-    """How long a voter that starts says nothing: the longest that a promise before it can run, by another rate of its clock."""
+    """How long a voter that starts says nothing: the longest that a promise before it can run, by another
+    rate of its clock."""
     return longer(promised(lease)) + 1
 
 
@@ -40,8 +44,9 @@
 
 
 class Voter:
-    """One voter, from its start to its end. lease: the longest; keep(bound): have a bound written down for good, whether that was done; bound: the one
-    that a life before wrote down, None: none is known, so it does not vote; before: the longest lease that such a life may have promised."""
+    """One voter, from its start to its end. lease: the longest; keep(bound): have a bound written down for
+    good, whether that was done; bound: the one that a life before wrote down, None: none is known, so it does
+    not vote; before: the longest lease that such a life may have promised."""
 
     __slots__ = ('life', 'lease', 'keep', 'top', 'bound', 'mute', 'promises', 'last', 'waiting')
 
@@ -49,8 +54,11 @@
         self.life, self.lease, self.keep = life, lease, keep
         self.top = self.bound = bound
         self.mute = now + silent(max(lease, before))
-        self.promises, self.waiting = {}, {}    # by task: the promise; by task, the lives that were told no, the earliest first
-        self.last = {}                          # by (task, life): the newest message that was heeded, and when that may be forgotten
+        self.promises, self.waiting = (
+            {},
+            {},
+        )  # by task: the promise; by task, the lives that were told no, the earliest first
+        self.last = {}  # by (task, life): the newest message that was heeded, and when that may be forgotten
 
     def votes(self, now):
         """Whether it votes yet."""
@@ -72,10 +80,18 @@
         yes = getattr(self, verb)(now, task, life, seq, message['number'], mine)
         if not yes:
             self.wait(task, life)
-        return {'task': task, 'life': life, 'seq': seq, 'voter': self.life, 'yes': yes, 'number': self.top}, []
+        return {
+            'task': task,
+            'life': life,
+            'seq': seq,
+            'voter': self.life,
+            'yes': yes,
+            'number': self.top,
+        }, []
 
     def newest(self, now, task, life, seq):
-        """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all the same."""
+        """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all
+        the same."""
         last = self.last.get((task, life))
         if last is not None and seq <= last[0]:
             return False
@@ -106,7 +122,8 @@
         return True
 
     def renew(self, now, task, life, seq, number, mine):
-        """Whether the promise goes on. A voter that knows of none, as it was restarted, gives it anew: who asks holds by others' promises."""
+        """Whether the promise goes on. A voter that knows of none, as it was restarted, gives it anew: who
+        asks holds by others' promises."""
         if mine is not None and mine.life != life or task not in self.promises and not self.room(now):
             return False
         self.promises[task] = Promise(life, now + promised(self.lease), seq, number)
@@ -137,23 +154,49 @@
 
     def holders(self, now):
         """For staff: task, life, number, time left of each promise."""
-        return [[task, kept.life, kept.number, kept.until - now] for task, kept in sorted(self.promises.items()) if now <= kept.until]
+        return [
+            [task, kept.life, kept.number, kept.until - now]
+            for task, kept in sorted(self.promises.items())
+            if now <= kept.until
+        ]
 
 
 class Seeker:
-    """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives None: ('lost', number), ('got', number),
-    ('send', voter, message), ('wake', when). Between got and lost it holds; before each act the host asks `held(now)`."""
-
-    __slots__ = ('task', 'life', 'voters', 'lease', 'chance', 'seq', 'wanted', 'verb', 'sent', 'yes', 'no', 'number', 'until', 'next',
-                 'failures', 'out', 'told_of', 'woken')
+    """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives
+    None: ('lost', number), ('got', number), ('send', voter, message), ('wake', when). Between got and lost it
+    holds; before each act the host asks `held(now)`."""
+
+    __slots__ = (
+        'task',
+        'life',
+        'voters',
+        'lease',
+        'chance',
+        'seq',
+        'wanted',
+        'verb',
+        'sent',
+        'yes',
+        'no',
+        'number',
+        'until',
+        'next',
+        'failures',
+        'out',
+        'told_of',
+        'woken',
+    )
 
     def __init__(self, now, task, life, voters, lease, chance):
         self.task, self.life, self.voters, self.lease, self.chance = task, life, list(voters), lease, chance
-        self.seq, self.wanted, self.out = 0, False, []          # out: messages to be sent
-        self.verb, self.sent, self.yes, self.no = None, None, {}, set()         # of the round under way
-        self.number, self.until = None, None    # of the lease that it has, or had last
-        self.next, self.failures = now, 0       # when to ask, or to renew
-        self.told_of, self.woken = None, None   # the number that the host was told it has; the wake-up asked for
+        self.seq, self.wanted, self.out = 0, False, []  # out: messages to be sent
+        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # of the round under way
+        self.number, self.until = None, None  # of the lease that it has, or had last
+        self.next, self.failures = now, 0  # when to ask, or to renew
+        self.told_of, self.woken = (
+            None,
+            None,
+        )  # the number that the host was told it has; the wake-up asked for
 
     @property
     def most(self):
@@ -183,7 +226,12 @@
 
     def told(self, now, voter, answer):
         """A voter has answered. What is not of the round under way says nothing."""
-        if self.verb is None or answer['seq'] != self.seq or answer['life'] != self.life or voter not in self.voters:
+        if (
+            self.verb is None
+            or answer['seq'] != self.seq
+            or answer['life'] != self.life
+            or voter not in self.voters
+        ):
             return
         if answer['yes']:
             self.yes[voter] = answer['number']
@@ -228,13 +276,17 @@
     def say(self, verb, now, number=0):
         """A message to all voters; those of before that have not gone are void."""
         self.seq += 1
-        self.out = [(voter, {'task': self.task, 'life': self.life, 'seq': self.seq, 'verb': verb, 'number': number}) for voter in self.voters]
+        self.out = [
+            (voter, {'task': self.task, 'life': self.life, 'seq': self.seq, 'verb': verb, 'number': number})
+            for voter in self.voters
+        ]
 
     def end_round(self):
         self.verb, self.yes, self.no = None, {}, set()
 
     def failed(self, now):
-        """No majority. What was promised is given back, and the next try drawn from ever longer: guards against seekers that split the votes."""
+        """No majority. What was promised is given back, and the next try drawn from ever longer: guards
+        against seekers that split the votes."""
         renewing = self.verb == RENEW
         self.end_round()
         if renewing:
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -1,18 +1,20 @@
 """Links between forwarders and planners, as Twisted protocols.
 
-Owns the bytes: frames in, frames out, and what a link that ends leaves. Must never queue more than one frame for a peer that does not
-read, let bad bytes past the link that they came on, or decide: that is forwarder.py's and planner.py's.
+Owns the bytes: frames in, frames out, and what a link that ends leaves. Must never queue more than one frame
+for a peer that does not read, let bad bytes past the link that they came on, or decide: that is
+forwarder.py's and planner.py's.
 """
 
 from twisted.internet.protocol import Factory, Protocol
 
-from .frames import ASK, DIGEST, FREE, PLAN, SEEK, TOLD, VOTE, BadFrame, Frames, OtherMajor, pack
 from ..net.logs import LOG, warn
 from ..net.sockets import Outgoing, waiting
+from .frames import ASK, DIGEST, FREE, PLAN, SEEK, TOLD, VOTE, BadFrame, Frames, OtherMajor, pack
 
 
 class Speaker(Protocol):
-    """One end of a link. heard: the kinds that are expected here, each with the method that takes its fields."""
+    """One end of a link. heard: the kinds that are expected here, each with the method that takes its
+    fields."""
 
     heard = {}
 
@@ -123,20 +125,22 @@
 
 
 class Desk(Factory):
-    """A planner's listening side. most: links at once; beyond that the one that said nothing for the longest makes way."""
+    """A planner's listening side. most: links at once; beyond that the one that said nothing for the longest
+    makes way."""
 
     noisy = False
 
     def __init__(self, counts, most, tell, held=dict, vote=lambda message: (None, [])):
         self.counts, self.most, self.tell, self.held, self.vote = counts, most, tell, held, vote
-        self.seekers = {}               # by life: the link on which it last sought something
-        self.links = {}                 # the longest silent first
+        self.seekers = {}  # by life: the link on which it last sought something
+        self.links = {}  # the longest silent first
 
     def buildProtocol(self, addr):
         return ToForwarder(self)
 
     def opened(self, link):
-        """Guards against peers that connect and say nothing, and against a forwarder whose old links were never ended."""
+        """Guards against peers that connect and say nothing, and against a forwarder whose old links were
+        never ended."""
         if len(self.links) >= self.most:
             first = next(iter(self.links))
             del self.links[first]
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -1,19 +1,21 @@
 """A planner's decisions: what it lends, by which limits, and when not. Without I/O.
 
-Owns the bank, the edition of the limits that it goes by, and what forwarders tell of the other planners. Must never lend of its own
-without news of most planners: a planner that is cut off from the rest does not hear that operators have lowered a limit.
-
-How long an older limit can act. Operators change the file at most planners, the last of them at T. A planner that lends by an older
-edition has, not longer than its `window` ago, been told by a forwarder of answers of most planners; one of these has the new edition, and
-has answered that forwarder with it if the digest was sent after T. So from T and the window on nobody lends by the older one, and a lease and its
-tail later nothing is spent by it.
+Owns the bank, the edition of the limits that it goes by, and what forwarders tell of the other planners. Must
+never lend of its own without news of most planners: a planner that is cut off from the rest does not hear
+that operators have lowered a limit.
+
+How long an older limit can act. Operators change the file at most planners, the last of them at T. A planner
+that lends by an older edition has, not longer than its `window` ago, been told by a forwarder of answers of
+most planners; one of these has the new edition, and has answered that forwarder with it if the digest was
+sent after T. So from T and the window on nobody lends by the older one, and a lease and its tail later
+nothing is spent by it.
 """
 
 from .frames import ROWS
 from .ledger import Bank, longer, shorter
 from .verdicts import Sight
 
-WINDOW = 2                              # leases for which news of another planner counts
+WINDOW = 2  # leases for which news of another planner counts
 
 
 class Planner:
@@ -25,12 +27,13 @@
         self.window = WINDOW * fleet.lease
         self.bank = Bank(life, fleet.lease, fleet.gift, now, None, fleet.tails(), fleet.units())
         self.sight = None if fleet.span is None else Sight(fleet.span)
-        self.heard = {}                 # by another planner's name: when it last answered somebody, at the latest
+        self.heard = {}  # by another planner's name: when it last answered somebody, at the latest
 
     # --- inputs -----------------------------------------------------------------------------------------
 
     def reread(self, fleet):
-        """The file has changed. Why it cannot be taken, or None. Seats, planners, floors and times are for the next start."""
+        """The file has changed. Why it cannot be taken, or None. Seats, planners, floors and times are for
+        the next start."""
         kept = [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in fleet.limit]
         if kept != [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in self.fleet.limit]:
             return 'limit: another name, kind or floor is for the next start'
@@ -43,7 +46,9 @@
         """A digest has come: the plan that answers it, or None."""
         self.hear(digest['edition'], digest['mosts'])
         self.hear_of_others(now, digest)
-        self.bank.endow(self.fleet.planner_parts(self.index, self.mosts if self.backed(now) else self.floors()))
+        self.bank.endow(
+            self.fleet.planner_parts(self.index, self.mosts if self.backed(now) else self.floors())
+        )
         plan = self.bank.told(now, digest)
         if plan is None:
             return None
@@ -55,21 +60,34 @@
             return []
         left = self.left(now, digest)
         if left is not None and digest['seat'] is not None:
-            self.sight.told(left, digest['seat'], digest['site'], digest['forwarder'], digest['seq'], {
-                (name, started): row for name, started, *row in digest['seen']})
+            self.sight.told(
+                left,
+                digest['seat'],
+                digest['site'],
+                digest['forwarder'],
+                digest['seq'],
+                {(name, started): row for name, started, *row in digest['seen']},
+            )
         return self.sight.rows_for(now, digest['site'], {tuple(server) for server in digest['doubts']})
 
     def tell(self, now):
         """For staff: what is held on servers, and who has said something of late."""
         if self.sight is None:
             return {'verdicts': [], 'witnesses': []}
-        return {'verdicts': [[*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()][:ROWS],
-                'witnesses': [[seat, witness.site, witness.life, len(witness.rows)] for seat, witness in self.sight.witnesses.items()
-                              if witness.life][:ROWS]}
+        return {
+            'verdicts': [
+                [*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()
+            ][:ROWS],
+            'witnesses': [
+                [seat, witness.site, witness.life, len(witness.rows)]
+                for seat, witness in self.sight.witnesses.items()
+                if witness.life
+            ][:ROWS],
+        }
 
     def left(self, now, digest):
-        """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and the time that that was held.
-        Guards against a digest that lay somewhere."""
+        """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and
+        the time that that was held. Guards against a digest that lay somewhere."""
         if digest['life'] != self.bank.life or digest['stamp'] is None or digest['stamp'] > now:
             return None
         return min(now, digest['stamp'] + shorter(digest['held']))
@@ -85,7 +103,8 @@
                 self.heard[row.name] = max(self.heard.get(row.name, when), when)
 
     def hear(self, edition, mosts):
-        """Limits that another told. Of two that go by one number the lower ones count: guards against a number given twice."""
+        """Limits that another told. Of two that go by one number the lower ones count: guards against a
+        number given twice."""
         if not self.fleet.fits(mosts):
             return
         if edition > self.edition:
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -1,6 +1,8 @@
-"""A process that seeks a task again and again, and acts on the trial's resource while it holds: the lease is the program's own (plan/lease.py).
+"""A process that seeks a task again and again, and acts on the trial's resource while it holds: the lease is
+the program's own (plan/lease.py).
 
-Owns the acts. Must never act without having looked, nor look again between that and the bytes of the act: that gap is what the trial is about.
+Owns the acts. Must never act without having looked, nor look again between that and the bytes of the act:
+that gap is what the trial is about.
 """
 
 import os
@@ -9,7 +11,6 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from .launch import History
 from ..net.logs import begin
 from ..net.sockets import Reactor
 from ..net.system import System
@@ -17,10 +18,11 @@
 from ..plan import limits
 from ..plan.lease import Lease
 from ..values import SECOND
+from .launch import History
 
-ACT = SECOND // 500                     # how long an act takes
-ACTS = 6                                # at the most, before it gives the lease back
-LONG = 300                              # acts of one that holds on
+ACT = SECOND // 500  # how long an act takes
+ACTS = 6  # at the most, before it gives the lease back
+LONG = 300  # acts of one that holds on
 
 
 class ToResource(Protocol):
@@ -52,7 +54,9 @@
         self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.left, self.acting = 0, False
-        self.lease = Lease(reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost)
+        self.lease = Lease(
+            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost
+        )
         self.lease.acquire()
 
     def clock(self):
@@ -75,7 +79,9 @@
             return
         if self.left <= 0 or self.resource is None:
             self.lease.release()
-            self.deadlines.at(self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0)
+            self.deadlines.at(
+                self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0
+            )
             return
         self.left, self.acting = self.left - (self.keeps <= 1), True
         self.looked()
