--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -88,7 +88,7 @@
         self.number, self.idle_until, self.timed = None, None, 0  # timed: when its deadline is; 0: none
         self.settled = 0  # when it may carry the next hop
         self.used = False  # whether it has carried one
-        self.piece_came = 0  # when the latest piece of a held answer of no told length came
+        self.first_piece, self.last_piece = None, 0  # of a held answer of no told length: when they came
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -97,6 +97,7 @@
         """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more
         once all that it wrote has left."""
         self.exchange, exchange.link = exchange, self
+        self.first_piece = None
         source = exchange.message.source
         data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
@@ -159,7 +160,9 @@
         elif self.reader.large:
             self.begin(self.reader.message)
         elif self.holds_part:
-            self.piece_came = self.pool.caches.clock()
+            self.last_piece = self.pool.caches.clock()
+            if self.first_piece is None:
+                self.first_piece = self.last_piece
             if self.exchange.in_part:
                 self.exchange.in_part()
 
@@ -176,9 +179,12 @@
             and ending(message) == 'committed'
         )
 
-    def still_gives(self, now):
-        """Whether its server has gone silent only lately, or what it gave lies unread."""
-        return now < self.piece_came + STALLED or not quiet(self.transport)
+    def still_gives(self, now, spread):
+        """Whether an answer that is held in part goes on coming: its pieces, from the first to the last, took
+        so long, and its server has gone silent only lately, or what it gave lies unread."""
+        if not self.holds_part or self.last_piece - self.first_piece < spread:
+            return False
+        return now < self.last_piece + STALLED or not quiet(self.transport)
 
     def pass_on_part(self):
         """Treat the answer that is held in part as a large one: it goes on as it comes."""
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -33,7 +33,8 @@
 FIRST_WORD = 10_000  # so long clients wait at the door for discovery's first word
 GRACE = 30_000  # SIGKILL may come so long and a little more after SIGTERM, however long clients would wait
 RESTED = 2_500  # idle so long, a connection is unlikely to be asked on while it closes
-HEAD_START = 4  # of an attempt's time the last part, 1 to this, is kept for passing on an answer held in part
+HEAD_START = 4  # of a request's time the last part, 1 to this, is kept for passing on an answer held in part
+COMING_PART = 16  # for such a part of its time an answer must have come piece by piece
 FIGURES = 10 * SECOND  # between two lines of figures
 
 
@@ -479,6 +480,8 @@
         active = self.active_requests.get(number)
         if active is None or self.read_first(active.attempts, self.limit_due, number):
             return
+        if self.pass_on_part(active):
+            return
         for attempt in active.attempts[:]:
             attempt.exchange.cut('expired')
         self.settle()
@@ -508,12 +511,22 @@
     # --- hops -------------------------------------------------------------------------------------------
 
     def patience_due(self, number):
-        """A hop's own limit. Guards also against one that nobody waits for at a site where hops may not be
-        cancelled: with the server gone silent it would be out for ever."""
+        """An attempt's own limit, which one whose answer goes on coming may pass: cut off, a large answer
+        would be lost long before its request's limit. Guards also against one that nobody waits for at a site
+        where hops may not be cancelled: with the server gone silent it would be out for ever."""
         attempt = self.attempts.get(number)
-        if attempt and not self.read_first([attempt], self.patience_due, number):
-            attempt.exchange.cut('expired')
-            self.settle()
+        if attempt is None or self.read_first([attempt], self.patience_due, number):
+            return
+        limit = attempt.active.tx.limit
+        if (
+            limit is not None
+            and self.clock() < limit
+            and attempt.exchange.link in self.still_coming(attempt.active)
+        ):
+            self.deadlines.at(limit, self.patience_due, number)
+            return
+        attempt.exchange.cut('expired')
+        self.settle()
 
     def arrived(self, ending, number):
         """A hop has ended: by what came of it, or cut."""
@@ -569,30 +582,38 @@
     def answer_in_part(self, attempt):
         """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further
         attempts and its race; but should it be a large one it is timed by its first bytes, and cut off at the
-        limit it would be lost while its server gives it. So it is held for three quarters of the attempt's
+        limit it would be lost while its server gives it. So it is held for three quarters of the request's
         time, less what this node was late in reading it."""
         now = self.clock()
         if attempt.begin_at is None:
+            limit = attempt.active.tx.limit or attempt.exchange.until
             late = unread_for(attempt.exchange.link.transport)
-            attempt.begin_at = (
-                attempt.exchange.until - (attempt.exchange.until - attempt.hop.sent) // HEAD_START - late
-            )
+            attempt.begin_at = limit - attempt.active.wait // HEAD_START - late
             self.deadlines.at(max(now, attempt.begin_at), self.begin_due, attempt.number)
         elif now >= attempt.begin_at:
             self.begin_due(attempt.number)
 
     def begin_due(self, number):
-        """An answer held in part is passed on from here: of several attempts', the one of which most is here.
-        A silent server's stays held: should no more come, its client is better told at the limit to try
-        again."""
+        """An answer held in part has been held for long enough."""
         attempt = self.attempts.get(number)
-        if attempt is None or self.active_requests.get(attempt.active.number) is not attempt.active:
-            return
-        now = self.clock()
-        links = [other.exchange.link for other in attempt.active.attempts if other.exchange.link]
-        links = [link for link in links if link.holds_part and link.still_gives(now)]
+        if attempt is not None and self.active_requests.get(attempt.active.number) is attempt.active:
+            self.pass_on_part(attempt.active)
+
+    def still_coming(self, active):
+        """The connections on which an answer to this request goes on coming. One that came at once, and no
+        further, is likelier to break off, or its server to hang, than to be a large one: it stays held, for a
+        further attempt or an answer that says to try again."""
+        now, spread = self.clock(), active.wait // COMING_PART
+        links = [attempt.exchange.link for attempt in active.attempts if attempt.exchange.link]
+        return [link for link in links if link.still_gives(now, spread)]
+
+    def pass_on_part(self, active):
+        """Pass on, from here, what goes on coming; of several attempts' the one of which most is here.
+        Whether there was one."""
+        links = self.still_coming(active)
         if links:
             max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
+        return bool(links)
 
     # --- the list ---------------------------------------------------------------------------------------
 
