--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: serve, plan, fleet, site, task, check, version, lab, trial.
+"""The command line: serve, plan, fleet, site, task, change, check, version, lab, scale, trial.
 
 Owns the words on the command line and the exit codes. Must never do what a sub-command's own module does.
 """
@@ -49,6 +49,18 @@
         sys.exit(2)
 
 
+def changes_file(place, path):
+    """What the changes file at this path says, for the page's installation; what is wrong with it ends the
+    program with one line. Loaded only where one is named."""
+    from .changes import settings
+
+    try:
+        return settings.enabled(settings.read(path), place.installation)
+    except BadLine as err:
+        click.echo('lilacdyke: %s: %s' % (path, err), err=True)
+        sys.exit(2)
+
+
 def in_fleet(place, path):
     """The fleet file that a node is to go by; the page must name the same installation and no longer
     requests."""
@@ -92,8 +104,9 @@
 @click.option(
     '--fleet', type=click.Path(), help='The fleet file, where this node is one of a fleet with planners.'
 )
+@click.option('--changes', type=click.Path(), help='The changes file, where changes are passed to this node.')
 @log_level
-def serve(config, fleet, log_level):
+def serve(config, fleet, changes, log_level):
     """Run one node until SIGTERM has drained it."""
     from .net import logs, node
 
@@ -101,7 +114,9 @@
     early = []  # SIGHUP that comes from before the page is read until the node listens for it
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
     place = with_operator(read(config))
-    sys.exit(node.serve(place, config, in_fleet(place, fleet) if fleet else None, early))
+    fleet = in_fleet(place, fleet) if fleet else None
+    changes = changes_file(place, changes) if changes else None
+    sys.exit(node.serve(place, config, fleet, early, changes))
 
 
 @main.command()
@@ -167,6 +182,8 @@
 main.add_command(Lazy('fleet', '.plan.staff', 'Ask the planners of a fleet.'))
 main.add_command(Lazy('site', '.plan.site_cli', 'The loss of a whole site, worked out before the day.'))
 main.add_command(Lazy('task', '.plan.tasks', 'Tasks that one process does for the whole fleet.'))
+main.add_command(Lazy('change', '.changes.cli', 'Changes of configuration, and purges, for all nodes.'))
+main.add_command(Lazy('scale', '.scale.cli', 'What each role costs by the size of the installation.'))
 main.add_command(Lazy('trial', '.trial.cli', 'Real processes of the program with faults between them.'))
 
 
--- /dev/null
+++ b/lilacdyke/changes/node.py
@@ -0,0 +1,111 @@
+"""A node's part: what changes it has, how fresh they are, and what it does with them.
+
+Owns the one link to a relay, and the record of what came. The configuration in force and the purges are
+handed to one handler; beyond the stated age the node says so, goes on by what it has, and the handler is told
+that purges may be missing.
+"""
+
+from collections import OrderedDict
+
+from ..decode import address
+from ..net.logs import say, warn
+from ..values import SECOND
+from .host import Host
+from .log import CONFIGURATION, PURGE
+from .replica import Replica
+
+LOOK_EVERY = SECOND
+FIGURES_EVERY = 10 * SECOND
+PURGES_KEPT = 4_096
+
+
+class Record:
+    """What came: the configuration in force, and the latest purges with their times (Unix, in
+    milliseconds)."""
+
+    def __init__(self):
+        self.configuration, self.purges, self.purged_before = {}, OrderedDict(), 0
+        self.counts = {CONFIGURATION: 0, PURGE: 0, 'unknown': 0, 'snapshots': 0}
+
+    def __call__(self, origin, changes, snapshot):
+        """Changes of one origin, in order, or a snapshot in their place."""
+        if snapshot is not None:
+            self.configuration[origin] = dict(snapshot.configuration)
+            self.purged_before = max(self.purged_before, snapshot.purged_before)
+            self.counts['snapshots'] += 1
+        for change in changes:
+            self.take(origin, change)
+
+    def take(self, origin, change):
+        """One change."""
+        if change.kind == CONFIGURATION:
+            values = self.configuration.setdefault(origin, {})
+            values.update({item.key: item.value for item in change.items})
+        elif change.kind == PURGE:
+            for item in change.items:
+                self.purges[item.key] = change.at
+                self.purges.move_to_end(item.key)
+            while len(self.purges) > PURGES_KEPT:
+                self.purges.popitem(last=False)
+        self.counts[change.kind if change.kind in self.counts else 'unknown'] += 1
+
+
+class NodeChanges:
+    """A node's replica, which asks the relays of the file, its own first one by its rank."""
+
+    def __init__(self, reactor, elapsed, chance, name, rank, settings, record=None):
+        relays = [(process.name, address(process.address)) for process in settings.relays]
+        turn = rank % max(1, len(relays))
+        self.record = record or Record()
+        self.replica = Replica(name, tail=1)  # a node passes nothing on
+        self.host = Host(
+            reactor,
+            elapsed,
+            chance,
+            self.replica,
+            settings.installation,
+            relays[turn:] + relays[:turn],
+            self.record,
+        )
+        self.bound = int(settings.stale_after_s * SECOND)
+        self.stale = None  # whether it was beyond the bound at the last look
+
+    def begin(self):
+        """Ask from now on."""
+        self.host.begin()
+        self.look(0)
+        self.figures(0)
+
+    def age(self):
+        """What is older than that is not lacking, in ticks, over all logs; None: not known."""
+        now = self.host.clock()
+        ages = [self.replica.age(now, origin) for origin in self.replica.logs]
+        return None if not ages or None in ages else max(ages)
+
+    def look(self, _):
+        """Whether it is beyond the bound."""
+        age = self.age()
+        stale = age is None or age > self.bound
+        if stale != self.stale:
+            self.stale = stale
+            (warn if stale else say)(
+                'changes stale' if stale else 'changes fresh', age_ms=None if age is None else age // 10
+            )
+        self.host.deadlines.at(self.host.clock() + LOOK_EVERY, self.look, 0)
+
+    def figures(self, _):
+        """A line of counts."""
+        age = self.age()
+        say(
+            'changes',
+            age_ms=None if age is None else age // 10,
+            above=self.host.up.peer if self.host.up else None,
+            positions={name: tuple(self._position(log)) for name, log in self.replica.logs.items()},
+            **self.record.counts,
+            **self.host.counts,
+        )
+        self.host.deadlines.at(self.host.clock() + FIGURES_EVERY, self.figures, 0)
+
+    @staticmethod
+    def _position(log):
+        return log.position.epoch, log.position.sequence
--- /dev/null
+++ b/lilacdyke/changes/process.py
@@ -0,0 +1,92 @@
+"""A writer's or a relay's process: its address, its signals, its file.
+
+Owns the process. Must never end for what a peer sends.
+"""
+
+import gc
+import os
+import signal
+import time
+from random import Random
+
+from twisted.internet.error import CannotListenError
+
+from ..decode import address
+from ..net.logs import say, warn
+from ..net.sockets import Reactor
+from ..net.system import System
+from ..values import SECOND
+from .host import Host
+from .replica import Replica
+from .store import Store
+from .writer import Writer
+
+FIGURES_EVERY = 10 * SECOND
+
+
+def host_of(settings, process, reactor, system=System):
+    """The host of one process of the file. Raises BadLine where a writer's file cannot be read."""
+    writes = process.role == 'writer'
+    replica = Replica(process.name, process.name if writes else None)
+    above = [(name, address(settings.named(name).address)) for name in process.above]
+    chance = Random(os.urandom(8)).random
+    # A relay's neighbours below that are relays too are not held to a node's rate.
+    relays = frozenset(each.name for each in settings.process)
+    host = Host(
+        reactor,
+        system.elapsed,
+        chance,
+        replica,
+        settings.installation,
+        above,
+        node_rate=lambda name: None if name in relays else settings.node_rate,
+    )
+    if writes:
+        store = Store(process.folder)
+        host.writer = Writer(replica, settings.keys, store.keep, store.lines)
+        host.put_at = lambda: int(time.time() * 1_000)
+    return host
+
+
+def figures(host, system=System):
+    """A line of counts, again and again."""
+    replica = host.replica
+    status = host.status()
+    say(
+        'figures',
+        links=len(host.links),
+        below=status.below,
+        behind=len(status.behind),
+        ages_ms={origin: age // 10 for origin, age in status.ages.items()},
+        memory_kb=system.memory_kb(),
+        **replica.counts,
+        **host.counts,
+    )
+    host.deadlines.at(host.clock() + FIGURES_EVERY, lambda _: figures(host, system), 0)
+
+
+def run(settings, name):
+    """Run one process of the file until SIGTERM; the exit code. Raises BadLine."""
+    from twisted.internet.main import installReactor
+    from twisted.logger import STDLibLogObserver, globalLogBeginner
+
+    globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
+    reactor = Reactor()
+    installReactor(reactor)
+    process = settings.named(name)
+    host = host_of(settings, process, reactor)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
+    try:
+        host.listen(*address(process.address))
+    except CannotListenError as err:
+        warn('cannot listen', reason=err)
+        return 1
+    host.begin()
+    figures(host)
+    say('serves', name=name, role=process.role, address=process.address)
+    gc.collect()
+    gc.freeze()
+    reactor.run(installSignalHandlers=False)
+    say('stopped', **host.counts)
+    return 0
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -86,6 +86,7 @@
         self.desk = None  # operators' door
         self.gone_away, self.emptied = False, 0  # whether operators have it emptied, and since when
         self.kin, self.exit = None, 0  # links to other processes of this node; the exit code
+        self.changes = None  # changes that are passed to it, where a changes file says so (changes/node.py)
         self.fleet = None  # what this node shares with others, where a fleet file says so (plan/fleet.py)
         self.last = None  # once it is to exit: until when all is answered
         self.ending = None  # SIGTERM, and when it came, while that waits for discovery's first word
@@ -757,7 +758,7 @@
         self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
 
 
-def serve(place, path, fleet=None, early=()):
+def serve(place, path, fleet=None, early=(), changes=None):
     """Run a node, whose page is at this path, until it has drained. fleet: what a fleet file says, read and
     checked, or None. early: filled if SIGHUP came since before the page was read; it may have been read too
     soon."""
@@ -773,6 +774,11 @@
         from ..plan.fleet import Share  # what is off is not imported
 
         node.fleet = Share(node, fleet)
+    if changes:
+        from ..changes.node import NodeChanges  # what is off is not imported
+
+        node.changes = NodeChanges(reactor, node.elapsed, node.chance, place.name, place.rank, changes)
+        node.changes.begin()
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda n, _: reactor.callFromThread(node.drain, n))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reread, path))
--- /dev/null
+++ b/lilacdyke/scale/budgets.py
@@ -0,0 +1,320 @@
+"""What the measured lines come to at the size of two years from now, against what each role may cost.
+
+Owns the named size, the budgets, and each claim: a role, a formula over measured lines, its budget. Must
+never hold a measured figure: those come from the recorded rows.
+"""
+
+from typing import NamedTuple
+
+from ..plan.forwarder import SAYS
+from ..plan.limits import FORWARDERS_PER_SEAT
+
+# The named size.
+NODES, SITES, SERVERS, REGIONS, ZONES = 10_000, 550, 4_600, 20, 54
+REQUESTS, PURGES = 6_900_000, 55  # a second, at the peak
+CONFIGURATIONS, RESTARTS, FAILURES = 5_300, 3_100, 29  # a day
+CONTROL_MACHINES = 40
+PURGE_WITHIN_S, CONFIGURATION_WITHIN_S = 3.9, 15.0
+# What a node may spend for control.
+NODE_CORE, NODE_MB, NODE_BYTES = 0.03, 64, 21_000  # part of a core; MB; bytes a second
+CORE = 1.0  # of a planner's one thread, and of a node's for requests
+DAY = 86_400
+LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; planners: the most it takes
+ENTRY_CHANGES = 3  # of the list for one restart: it drains, it is gone or starts, it serves
+PURGE_BYTES = 64  # worked out: a key, a time, a number and their framing
+REQUESTS_PER_NODE = REQUESTS / NODES
+ZONE_SERVERS, REGION_SERVERS = SERVERS / ZONES, SERVERS / REGIONS
+
+
+class Claim(NamedTuple):
+    """One figure of the page."""
+
+    role: str
+    what: str
+    formula: str
+    value: object  # of a dictionary of lines by measurement
+    budget: float
+    unit: str
+    scale: float  # the value and budget are shown times this
+    lines: tuple  # the measurements that it rests on
+    sizes: tuple  # the size that each is taken at
+    carried_by: str
+    proved_by: str
+
+
+def reads(servers):
+    """Processor time of decisions, as a part of a core, at a node that lists so many servers."""
+    return lambda lines: REQUESTS_PER_NODE * lines['decision'].at(servers) / 1e6
+
+
+def digests_a_second(forwarders):
+    """Digests that a planner hears."""
+    return forwarders * SAYS / LEASE_S
+
+
+def whole_list_s(servers):
+    """Seconds of a node's bytes that a whole list takes."""
+    return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_BYTES
+
+
+def list_megabytes(servers):
+    """MB that a list holds in the module."""
+    return lambda lines: lines['list-memory'].at(servers) / 1_024
+
+
+def entry_changes_core(lines):
+    """A part of a core for changed entries of the list."""
+    return RESTARTS * ENTRY_CHANGES / DAY * lines['changed-entry'].at(SERVERS) / 1e3
+
+
+def bunched_restarts_core(lines):
+    """The same while a tenth of a day's restarts come within a minute."""
+    return RESTARTS / 10 * ENTRY_CHANGES / 60 * lines['changed-entry'].at(SERVERS) / 1e3
+
+
+def planner_core(forwarders):
+    """A part of a core for digests at one planner."""
+
+    def value(lines):
+        by_limits = lines['planner-digest-by-limits']
+        # The measurement by forwarders has two limits; what eight cost more is in proportion.
+        factor = by_limits.at(LIMITS) / by_limits.at(2)
+        return digests_a_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
+
+    return value
+
+
+def links_core(lines):
+    """A part of a node's core for its links to all planners."""
+    return PLANNERS * SAYS / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
+
+
+def links_bytes(lines):
+    """Bytes a second of a node's links to all planners, both ways."""
+    return PLANNERS * SAYS / LEASE_S * lines['link-bytes'].at(LIMITS)
+
+
+def voter_core(lines):
+    """A part of a core for renewals: each task renewed three times in a lease of 5 s."""
+    return TASKS * 3 / 5 * lines['voter-message'].at(TASKS) / 1e6
+
+
+CLAIMS = (
+    Claim(
+        'node, ordinary second',
+        'decisions, all servers listed',
+        'requests a node x decision(%d servers)' % SERVERS,
+        reads(SERVERS),
+        CORE,
+        '% of a core',
+        100,
+        ('decision',),
+        (SERVERS,),
+        '`policy` ranking over all servers',
+        '`scale slopes decision`',
+    ),
+    Claim(
+        'node, ordinary second',
+        'decisions, its region listed',
+        'requests a node x decision(%.0f servers)' % REGION_SERVERS,
+        reads(REGION_SERVERS),
+        CORE,
+        '% of a core',
+        100,
+        ('decision',),
+        (REGION_SERVERS,),
+        'a list of the region, which an agent gives',
+        '`scale slopes decision`',
+    ),
+    Claim(
+        'node, ordinary second',
+        'decisions, its zone listed',
+        'requests a node x decision(%.0f servers)' % ZONE_SERVERS,
+        reads(ZONE_SERVERS),
+        CORE,
+        '% of a core',
+        100,
+        ('decision',),
+        (ZONE_SERVERS,),
+        'a list of the zone, which an agent gives',
+        '`scale slopes decision`',
+    ),
+    Claim(
+        'node, start',
+        'bytes of a whole list, all servers',
+        'list-bytes(%d) / bytes of control a second' % SERVERS,
+        whole_list_s(SERVERS),
+        CONFIGURATION_WITHIN_S,
+        's',
+        1,
+        ('list-bytes',),
+        (SERVERS,),
+        'the watch, whole lists at a start',
+        '`scale slopes list-bytes`',
+    ),
+    Claim(
+        'node, start',
+        'bytes of a whole list, its region',
+        'list-bytes(%.0f) / bytes of control a second' % REGION_SERVERS,
+        whole_list_s(REGION_SERVERS),
+        CONFIGURATION_WITHIN_S,
+        's',
+        1,
+        ('list-bytes',),
+        (REGION_SERVERS,),
+        'the watch, whole lists at a start',
+        '`scale slopes list-bytes`',
+    ),
+    Claim(
+        'node',
+        'memory of the list, all servers',
+        'list-memory(%d)' % SERVERS,
+        list_megabytes(SERVERS),
+        NODE_MB,
+        'MB',
+        1,
+        ('list-memory',),
+        (SERVERS,),
+        '`policy` tables',
+        '`scale slopes list-memory`',
+    ),
+    Claim(
+        'node, 3,100 restarts spread over a day',
+        'changed entries, all servers listed',
+        'restarts x %d a day x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
+        entry_changes_core,
+        NODE_CORE,
+        '% of a core',
+        100,
+        ('changed-entry',),
+        (SERVERS,),
+        'the watch, changes',
+        '`scale slopes changed-entry`',
+    ),
+    Claim(
+        'node, a tenth of them within a minute',
+        'changed entries, all servers listed',
+        'restarts / 10 x %d / 60 s x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
+        bunched_restarts_core,
+        NODE_CORE,
+        '% of a core',
+        100,
+        ('changed-entry',),
+        (SERVERS,),
+        'the watch, changes',
+        '`scale slopes changed-entry`',
+    ),
+    Claim(
+        'node, peak',
+        'bytes of purges alone',
+        'purges a second x %d B (worked out; see the scale runs)' % PURGE_BYTES,
+        lambda lines: PURGES * PURGE_BYTES,
+        NODE_BYTES,
+        'B/s',
+        1,
+        (),
+        (),
+        '`changes`, relays to nodes',
+        '`scale run`',
+    ),
+    Claim(
+        'node',
+        'links to %d planners, processor time' % PLANNERS,
+        'planners x %d / lease x forwarder-digest(%d limits)' % (SAYS, LIMITS),
+        links_core,
+        NODE_CORE,
+        '% of a core',
+        100,
+        ('forwarder-digest',),
+        (LIMITS,),
+        '`plan.forwarder`, a link to every planner',
+        '`scale slopes forwarder-digest`',
+    ),
+    Claim(
+        'node',
+        'links to %d planners, bytes' % PLANNERS,
+        'planners x %d / lease x link-bytes(%d limits)' % (SAYS, LIMITS),
+        links_bytes,
+        NODE_BYTES,
+        'B/s',
+        1,
+        ('link-bytes',),
+        (LIMITS,),
+        '`plan.forwarder`, a link to every planner',
+        '`scale slopes link-bytes`',
+    ),
+    Claim(
+        'planner',
+        'digests of all nodes',
+        'nodes x %d / lease x planner-digest(%d forwarders) x %d limits over 2' % (SAYS, NODES, LIMITS),
+        planner_core(NODES),
+        CORE,
+        '% of a core',
+        100,
+        ('planner-digest', 'planner-digest-by-limits'),
+        (NODES, LIMITS),
+        '`plan.planner`, one process hears all',
+        '`scale slopes planner-digest`, `trial.load`',
+    ),
+    Claim(
+        'planner',
+        'digests of one region',
+        'nodes / regions x %d / lease x planner-digest(%d forwarders) x %d limits over 2'
+        % (SAYS, NODES // REGIONS, LIMITS),
+        planner_core(NODES // REGIONS),
+        CORE,
+        '% of a core',
+        100,
+        ('planner-digest', 'planner-digest-by-limits'),
+        (NODES // REGIONS, LIMITS),
+        'planners by region, which limits of the whole fleet do not know yet',
+        '`scale slopes planner-digest`',
+    ),
+    Claim(
+        'voter',
+        'renewals of %d tasks' % TASKS,
+        'tasks x 3 / 5 s x voter-message(%d)' % TASKS,
+        voter_core,
+        CORE,
+        '% of a core',
+        100,
+        ('voter-message',),
+        (TASKS,),
+        '`plan.leases`',
+        '`scale slopes voter-message`',
+    ),
+)
+
+
+class Bound(NamedTuple):
+    """A bound that stands in the code, against what the named size wants."""
+
+    what: str
+    bound: float
+    wanted: float
+    where: str
+
+
+def bounds():
+    """The bounds of the code, read off it."""
+    from typing import get_args, get_type_hints
+
+    from ..plan.limits import Fleet
+    from ..plan.process import SEEKERS
+
+    hints = get_type_hints(Fleet, include_extras=True)
+    seats = get_args(hints['seats'])[1].le
+    planners = get_args(hints['planner'])[1].max_length
+    return (
+        Bound('seats of a fleet file', seats, NODES, '`plan/limits.py`, `Fleet.seats`'),
+        Bound('planners of a fleet file', planners, CONTROL_MACHINES, '`plan/limits.py`, `Fleet.planner`'),
+        Bound(
+            "links of seekers at a voter, beside forwarders'", SEEKERS, TASKS, '`plan/process.py`, `SEEKERS`'
+        ),
+        Bound(
+            'links that a planner holds for each seat',
+            FORWARDERS_PER_SEAT,
+            2,
+            '`plan/limits.py`, an old and a new process',
+        ),
+    )
--- /dev/null
+++ b/lilacdyke/scale/control.py
@@ -0,0 +1,167 @@
+"""What planners, forwarders and voters cost, by forwarders, limits and tasks: their own code and frames,
+without sockets.
+
+Owns the parties that speak: as many purses as there are forwarders, one planner of three. A round is one
+digest of each forwarder and the plan that answers it, a quarter of a lease later. Must never count the other
+side's work.
+"""
+
+import time
+from random import Random
+
+from ..plan.forwarder import SAYS, Forwarder
+from ..plan.frames import DIGEST, PLAN, Frames, pack
+from ..plan.leases import Voter
+from ..plan.ledger import Parts, Purse
+from ..plan.limits import GRAIN, Fleet, Limit, PlannerRow
+from ..plan.planner import Planner
+from ..values import SECOND
+
+PLANNERS = 3
+LEASE_S = 2.0
+LIMITS = 2  # where limits are not what is varied
+FORWARDERS = 50  # where forwarders are not
+WARM_ROUNDS = 3  # until purses have given and borrowed
+TASK_ROUNDS = 200  # messages that one value is the mean of
+
+
+def fleet_of(forwarders, limits):
+    """A fleet file's content, without a file."""
+    return Fleet(
+        enabled=True,
+        installation='scale',
+        seats=min(4_096, forwarders),
+        planner=[PlannerRow('p%d' % n, '127.0.0.1:%d' % (7_100 + n)) for n in range(PLANNERS)],
+        limit=[Limit('limit-%d' % n, 'requests', 4.0 * forwarders) for n in range(limits)],
+        lease_s=LEASE_S,
+    )
+
+
+class Round:
+    """Forwarders and one planner that speak in turn; processor time of each side, and bytes of each kind."""
+
+    def __init__(self, forwarders, limits, seed):
+        self.fleet, self.now = fleet_of(forwarders, limits), SECOND
+        self.chance = Random(seed).random
+        self.planner = Planner(self.now, 'p0-life', self.fleet, 0)
+        self.forwarders = [self.forwarder(number) for number in range(forwarders)]
+        self.planner_s = self.forwarders_s = 0.0
+        self.digest_bytes = self.plan_bytes = 0
+        for _ in range(WARM_ROUNDS):
+            self.play()
+
+    def forwarder(self, number):
+        """One that asks for more than its part, or for less."""
+        fleet = self.fleet
+        own = fleet.seat_parts(number % fleet.seats)
+        purse = Purse(
+            self.now - 10 * fleet.gift,
+            'f%d' % number,
+            [row.name for row in fleet.planner],
+            own,
+            fleet.lease,
+            fleet.gift,
+            fleet.tails(),
+            fleet.units(),
+            Parts(fleet.mosts()),
+        )
+        names = [limit.name for limit in fleet.limit]
+        spare = {name: GRAIN // 2 for name in names} if number % 2 else {}
+        wants = {} if number % 2 else {name: 8 * GRAIN for name in names}
+        return Forwarder(self.now, fleet, purse, lambda now: (spare, wants), dict, self.chance)
+
+    def play(self):
+        """One round."""
+        self.planner_s = self.forwarders_s = 0.0
+        self.digest_bytes = self.plan_bytes = 0
+        self.now += self.fleet.lease // SAYS
+        for forwarder in self.forwarders:
+            begun = time.process_time()
+            digest = pack(DIGEST, forwarder.digest(self.now, 'p0'))
+            said = time.process_time()
+            [(_, fields)] = Frames().feed(digest)
+            plan = pack(PLAN, self.planner.told(self.now, fields))
+            answered = time.process_time()
+            [(_, fields)] = Frames().feed(plan)
+            forwarder.planned(self.now, 'p0', fields)
+            ended = time.process_time()
+            self.planner_s += answered - said
+            self.forwarders_s += said - begun + ended - answered
+            self.digest_bytes += len(digest)
+            self.plan_bytes += len(plan)
+
+
+def planner_digest(forwarders, seed):
+    """Microseconds of processor time at a planner for one digest, its plan among them."""
+    made = Round(forwarders, LIMITS, seed)
+
+    def value():
+        made.play()
+        return made.planner_s / forwarders * 1e6
+
+    return value
+
+
+def planner_digest_by_limits(limits, seed):
+    """The same by limits."""
+    made = Round(FORWARDERS, limits, seed)
+
+    def value():
+        made.play()
+        return made.planner_s / FORWARDERS * 1e6
+
+    return value
+
+
+def forwarder_digest(limits, seed):
+    """Microseconds of processor time at a forwarder for one digest and its plan, by limits."""
+    made = Round(FORWARDERS, limits, seed)
+
+    def value():
+        made.play()
+        return made.forwarders_s / FORWARDERS * 1e6
+
+    return value
+
+
+def link_bytes(limits, seed):
+    """Bytes of one digest and its plan, by limits."""
+    made = Round(FORWARDERS, limits, seed)
+
+    def value():
+        made.play()
+        return (made.digest_bytes + made.plan_bytes) / FORWARDERS
+
+    return value
+
+
+def voter_message(tasks, seed):
+    """Microseconds of processor time at a voter for a renewal, by tasks that are held."""
+    lease = 5 * SECOND
+    voter = Voter(0, 'v0', lease, lambda bound: True, 1)
+    now = 20 * SECOND
+    numbers, seqs = {}, dict.fromkeys(range(tasks), 0)
+
+    def say(task, verb, number):
+        seqs[task] += 1
+        message = {
+            'task': 't%d' % task,
+            'life': 'l%d' % task,
+            'seq': seqs[task],
+            'verb': verb,
+            'number': number,
+        }
+        return voter.told(now, message)[0]
+
+    for task in range(tasks):
+        asked = say(task, 'ask', 0)
+        numbers[task] = asked['number'] + 1
+        say(task, 'confirm', numbers[task])
+
+    def value():
+        begun = time.process_time()
+        for count in range(TASK_ROUNDS):
+            say(count % tasks, 'renew', numbers[count % tasks])
+        return (time.process_time() - begun) / TASK_ROUNDS * 1e6
+
+    return value
--- /dev/null
+++ b/lilacdyke/scale/datapath.py
@@ -0,0 +1,153 @@
+"""What a node's decisions and its list cost, by the number of servers in the list.
+
+Owns the bare router that is measured: the program's own module, with nothing around it. A measurement
+prepares its state, then gives one value a call. Must never measure what it prepares.
+"""
+
+import json
+import time
+import tracemalloc
+from random import Random
+
+from ..logic import Router, Server
+from ..net.discovery import read_list
+from ..terms import IDEMPOTENT, Profile, SiteTerms
+from ..values import SECOND
+
+GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the one profile
+READS = 400  # decisions that one value is the mean of
+ENTRIES = 20  # changed entries that one value is the mean of
+KEYS = 5_000
+ANSWERED_AFTER = 100  # ticks until a cache answers
+
+
+def site_terms(nodes):
+    """The terms of an installation without an origin of its own kind, and with reads alone."""
+    return SiteTerms(
+        profiles=[Profile('read', IDEMPOTENT, 'all', 0, GOAL, 0, LIMIT)],
+        tenants=[],
+        nodes=nodes,
+        zone=0,
+        aside=False,
+        watched=False,
+        may_copy=True,
+        may_cancel=True,
+        max_hops=5,
+        max_return=0,
+        ask_within=10 * SECOND,
+        fall_multiple=3,
+        fall_window=SECOND,
+        cold_from=0.2,
+        warm_up=10 * SECOND,
+        tick=10,
+        cross_price=0,
+        waste_price=0,
+    )
+
+
+def list_rows(servers):
+    """A list's rows as the module takes them."""
+    return [(Server('s-%08x' % number, False), 'ready', 1.0, None, 0, 0) for number in range(servers)]
+
+
+def bare_router(servers, seed):
+    """A router that has been told a list."""
+    router = Router(site_terms(10_000), seed, 0)
+    router.list_replaced(SECOND, list_rows(servers))
+    return router
+
+
+def entry(number):
+    """One server as discovery words it."""
+    return {
+        'instanceId': 's-%08x' % number,
+        'hostPort': '10.%d.%d.%d:8000' % (number >> 16 & 255, number >> 8 & 255, number & 255),
+        'zone': 'z%d' % (number % 54),
+        'machineType': 'm2',
+        'cell': number % 7,
+        'lifecycle': 'SERVING',
+        'weight': 1.0,
+        'startedAtMs': 1_760_000_000_000 + number,
+    }
+
+
+def one_read(router, now, key):
+    """A read from its start to its answer; the time then."""
+    transaction = router.take(now, 0, key, now + LIMIT, False, now)
+    while (decision := router.decide(now)) is not None:
+        if decision[0] == 'send':
+            hop = decision[1]
+    now += ANSWERED_AFTER
+    router.hop_ended(now, hop, 'committed', ANSWERED_AFTER, True, 1)
+    while router.decide(now) is not None:
+        pass
+    assert transaction.done
+    return now
+
+
+def decision(servers, seed):
+    """Microseconds of processor time for a read, from its start to its answer."""
+    router, chance, now = bare_router(servers, seed), Random(seed), 2 * SECOND
+
+    def value():
+        nonlocal now
+        begun = time.process_time()
+        for _ in range(READS):
+            now = one_read(router, now, 'k%d' % chance.randrange(KEYS))
+        return (time.process_time() - begun) / READS * 1e6
+
+    value()  # what is known of servers begins with the first reads
+    return value
+
+
+def whole_list(servers, seed):
+    """Milliseconds of processor time for a whole list: read off its JSON and taken by the router."""
+    text = json.dumps({'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]})
+
+    def value():
+        router = Router(site_terms(10_000), seed, 0)
+        begun = time.process_time()
+        read_list(json.loads(text))
+        router.list_replaced(SECOND, list_rows(servers))
+        return (time.process_time() - begun) * 1e3
+
+    return value
+
+
+def changed_entry(servers, seed):
+    """Milliseconds of processor time for one changed entry of the list."""
+    router = bare_router(servers, seed)
+    known, chance = list(router.known.values()), Random(seed)
+
+    def value():
+        begun = time.process_time()
+        for number in range(ENTRIES):
+            server = chance.choice(known)
+            router.list_changed(
+                2 * SECOND, [(server, 'draining' if number % 2 else 'ready', 1.0, None, 0, 0)]
+            )
+        return (time.process_time() - begun) / ENTRIES * 1e3
+
+    return value
+
+
+def list_memory(servers, seed):
+    """KB that a list of servers holds in the module."""
+
+    def value():
+        tracemalloc.start()
+        try:
+            before = tracemalloc.get_traced_memory()[0]
+            router = bare_router(servers, seed)
+            return (tracemalloc.get_traced_memory()[0] - before) / 1_024
+        finally:
+            del router
+            tracemalloc.stop()
+
+    return value
+
+
+def list_bytes(servers, seed):
+    """KB of a whole list on the wire, as compact JSON."""
+    whole = {'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]}
+    return lambda: len(json.dumps(whole, separators=(',', ':'))) / 1_024
--- /dev/null
+++ b/lilacdyke/scale/fleet_run.py
@@ -0,0 +1,227 @@
+"""A scale run: a writer, two levels of relays and thousands of hollow nodes, as processes on loopback, with
+steady changes.
+
+Owns the processes, which it ends by their ids, and the figures of a run. Must never run for longer than it
+was told, nor send to anywhere but this machine.
+"""
+
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+from statistics import median
+from typing import NamedTuple
+
+import tomli_w
+
+from ..changes.cli import read_frame
+from ..changes.messages import Item, PutAnswer, PutRequest, pack, unpack
+from .page import KILLED
+from .rows import Row, machine
+
+NODES_PER_PROCESS = 250
+TOP_RELAYS = 2
+PURGES, CONFIGURATIONS = 55.0, 10 * 5_300 / 86_400  # a second
+SETTLE_S, TAIL_S = 4.0, 6.0  # before the load and after it
+RELAY_AWAY_S = 3.0
+PROGRAM = (sys.executable, '-m', 'lilacdyke')
+
+
+class Plan(NamedTuple):
+    """What is run."""
+
+    nodes: int
+    relays: int  # of the lower level, which nodes ask
+    seconds: float
+    kill_relay: bool
+
+
+def free_ports(count):
+    """Ports that nobody listens at now."""
+    sockets = [socket.create_server(('127.0.0.1', 0)) for _ in range(count)]
+    ports = [each.getsockname()[1] for each in sockets]
+    for each in sockets:
+        each.close()
+    return ports
+
+
+def changes_file(folder, relays):
+    """Write the changes file of a run: (its path, names of processes by level)."""
+    top = ['t%d' % number for number in range(TOP_RELAYS)]
+    lower = ['r%d' % number for number in range(relays)]
+    ports = iter(free_ports(1 + len(top) + len(lower)))
+    rows = [{'name': 'w0', 'role': 'writer', 'folder': folder}]
+    rows += [{'name': name, 'role': 'relay', 'above': ['w0']} for name in top]
+    for number, name in enumerate(lower):
+        turn = number % len(top)
+        rows.append({'name': name, 'role': 'relay', 'above': top[turn:] + top[:turn]})
+    for row in rows:
+        row['address'] = '127.0.0.1:%d' % next(ports)
+    told = {'enabled': True, 'installation': 'scale', 'process': rows, 'keys': {'limit': 'number'}}
+    path = os.path.join(folder, 'changes.toml')
+    with open(path, 'wb') as file:
+        tomli_w.dump(told, file)
+    # Hollow nodes see only relays of the lower level; those above them are the other relays' business.
+    node_path = os.path.join(folder, 'nodes.toml')
+    nodes_rows = [rows[0], *({**row, 'above': ['w0']} for row in rows if row['name'] in lower)]
+    with open(node_path, 'wb') as file:
+        tomli_w.dump({**told, 'process': nodes_rows}, file)
+    return path, node_path, rows[0]['address'], top, lower
+
+
+def processor_s(pid):
+    """Seconds of processor time that a process has had."""
+    with open('/proc/%d/stat' % pid, encoding='ascii') as file:
+        fields = file.read().rpartition(')')[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
+
+
+def memory_mb(pid):
+    """The most memory that a process has held, in MB."""
+    with open('/proc/%d/status' % pid, encoding='ascii') as file:
+        return next(int(row.split()[1]) for row in file if row.startswith('VmHWM')) / 1_024
+
+
+class FleetRun:
+    """One run's processes."""
+
+    def __init__(self, plan, folder):
+        self.plan, self.folder = plan, folder
+        self.path, self.node_path, self.writer_address, self.top, self.lower = changes_file(
+            folder, plan.relays
+        )
+        self.processes, self.outs = {}, []
+
+    def start(self, name):
+        """Start a writer or a relay."""
+        command = (*PROGRAM, 'change', 'run', '--file', self.path, '--name', name, '--log-level', 'error')
+        self.processes[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
+
+    def start_all(self):
+        """Start all processes, from the writer down."""
+        for name in ('w0', *self.top, *self.lower):
+            self.start(name)
+        time.sleep(1.0)
+        for first in range(0, self.plan.nodes, NODES_PER_PROCESS):
+            out = os.path.join(self.folder, 'seen-%d.json' % first)
+            self.outs.append(out)
+            count = min(NODES_PER_PROCESS, self.plan.nodes - first)
+            seconds = SETTLE_S + self.plan.seconds + TAIL_S
+            command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.node_path, '--out', out)
+            sizes = ('--count', str(count), '--first', str(first), '--seconds', str(seconds))
+            self.processes['hollow-%d' % first] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
+
+    def end(self):
+        """End all that still run, by their ids."""
+        for process in self.processes.values():
+            if process.poll() is None:
+                process.kill()
+            process.wait()
+
+    def load(self):
+        """Put changes at their rates; how many of each kind."""
+        host, _, port = self.writer_address.rpartition(':')
+        begun, counts = time.monotonic(), {'purge': 0, 'config': 0}
+        rates = {'purge': PURGES, 'config': CONFIGURATIONS}
+        killed = back = None
+        with socket.create_connection((host, int(port)), 5) as connection:
+            while (now := time.monotonic() - begun) < self.plan.seconds:
+                if self.plan.kill_relay and killed is None and now > self.plan.seconds / 2:
+                    self.processes['r0'].send_signal(signal.SIGKILL)
+                    self.processes['r0'].wait()
+                    killed = now
+                if killed is not None and back is None and now > killed + RELAY_AWAY_S:
+                    self.start('r0')
+                    back = now
+                for kind, rate in rates.items():
+                    if counts[kind] < now * rate:
+                        self.put(connection, kind, counts[kind])
+                        counts[kind] += 1
+                time.sleep(0.002)
+        return counts
+
+    @staticmethod
+    def put(connection, kind, number):
+        """One change."""
+        item = Item('limit', str(number)) if kind == 'config' else Item('object-%d' % number)
+        connection.sendall(pack(PutRequest(kind, [item])))
+        answer = unpack(read_frame(connection), PutAnswer)
+        if answer.position is None:
+            raise RuntimeError(answer.refused)
+
+    def play(self):
+        """The whole run; what was seen."""
+        try:
+            self.start_all()
+            time.sleep(SETTLE_S)
+            before = {name: processor_s(process.pid) for name, process in self.processes.items()}
+            counts = self.load()
+            # A relay that was started anew has no time from before.
+            spent = {
+                name: processor_s(process.pid)
+                - (0 if name == 'r0' and self.plan.kill_relay else before[name])
+                for name, process in self.processes.items()
+            }
+            memory = {name: memory_mb(process.pid) for name, process in self.processes.items()}
+            for name, process in self.processes.items():
+                if name.startswith('hollow'):
+                    process.wait(SETTLE_S + TAIL_S + 30)
+            return self.figures(counts, spent, memory)
+        finally:
+            self.end()
+
+    def figures(self, counts, spent, memory):
+        """What was seen, as figures by name: (value, unit)."""
+        seen = []
+        for out in self.outs:
+            with open(out, encoding='utf-8') as file:
+                seen.append(json.load(file))
+        latest, counted = {}, {}
+        for part in seen:
+            for key, late in part['latest'].items():
+                latest[key] = max(latest.get(key, 0), late)
+                counted[key] = counted.get(key, 0) + part['counted'][key]
+        nodes, seconds = self.plan.nodes, self.plan.seconds
+        found = {}
+        for kind in ('purge', 'config'):
+            times = sorted(late for key, late in latest.items() if key.startswith(kind))
+            found['%s-everywhere-median' % kind] = (median(times), 'ms')
+            found['%s-everywhere-p99' % kind] = (times[min(len(times) - 1, int(len(times) * 0.99))], 'ms')
+            found['%s-everywhere-most' % kind] = (times[-1], 'ms')
+        whole = sum(counted[key] == nodes for key in latest)
+        found['changes-put'] = (sum(counts.values()), '')
+        found['changes-one-by-one-at-all'] = (whole, '')
+        found['snapshots-taken'] = (sum(part['snapshots'] for part in seen), '')
+        found['nodes-at-the-end'] = (sum(part['nodes'] for part in seen if len(part['positions']) == 1), '')
+        total_s = sum(part['seconds'] * part['nodes'] for part in seen)
+        found['node-bytes-in'] = (sum(part['bytes_in'] for part in seen) / total_s, 'B/s')
+        found['node-bytes-out'] = (sum(part['bytes_out'] for part in seen) / total_s, 'B/s')
+        hollow = sum(spent[name] for name in spent if name.startswith('hollow'))
+        found['node-core'] = (100 * hollow / seconds / nodes, '% of a core')
+        found['relay-core'] = (100 * max(spent[name] for name in self.lower) / seconds, '% of a core')
+        found['top-relay-core'] = (100 * max(spent[name] for name in self.top) / seconds, '% of a core')
+        found['writer-core'] = (100 * spent['w0'] / seconds, '% of a core')
+        found['relay-memory'] = (max(memory[name] for name in self.lower), 'MB')
+        found['writer-memory'] = (memory['w0'], 'MB')
+        return found
+
+
+def rows_of(plan, found):
+    """A run's figures as rows."""
+    command = 'lilacdyke scale run --nodes %d --relays %d --seconds %g' % plan[:3]
+    command += ' --kill-relay' * plan.kill_relay
+    suffix = KILLED if plan.kill_relay else ''
+    return [
+        Row(name + suffix, plan.nodes, unit, [round(float(value), 4)], command, 0, machine())
+        for name, (value, unit) in found.items()
+    ]
+
+
+def run(plan):
+    """One run; its rows."""
+    with tempfile.TemporaryDirectory() as folder:
+        return rows_of(plan, FleetRun(plan, folder).play())
--- /dev/null
+++ b/lilacdyke/scale/hollow.py
@@ -0,0 +1,90 @@
+"""A process of hollow nodes: each is a node's own part in the distribution of changes, without clients,
+servers or a list.
+
+Owns the nodes and what they saw. What a hollow node leaves out: requests, connections to servers, the watch
+on discovery, planners' links; it holds a node's replica, its link with all its frames, its record and its log
+lines of both.
+
+python -m lilacdyke.scale.hollow --file changes.toml --count 250 --first 0 --seconds 30 --out seen.json
+"""
+
+import json
+import time
+from random import Random
+
+import click
+
+from ..changes import settings as files
+from ..changes.node import NodeChanges, Record
+from ..net import logs
+from ..net.sockets import Reactor
+from ..net.system import System
+
+
+class Seen(Record):
+    """A record that also notes how late each change came (milliseconds after its writer's time)."""
+
+    def __init__(self, latest, counted):
+        super().__init__()
+        self.latest, self.counted = latest, counted
+
+    def take(self, origin, change):
+        super().take(origin, change)
+        late = int(time.time() * 1_000) - change.at
+        key = '%s/%s/%d' % (change.kind, origin, change.sequence)
+        self.latest[key] = max(self.latest.get(key, 0), late)
+        self.counted[key] = self.counted.get(key, 0) + 1
+
+
+@click.command()
+@click.option('--file', 'path', required=True)
+@click.option('--count', type=click.IntRange(1, 2_000), required=True)
+@click.option('--first', type=click.IntRange(0), default=0, help='The number of the first node.')
+@click.option('--seconds', type=click.FloatRange(1, 600), required=True)
+@click.option('--out', required=True)
+def main(path, count, first, seconds, out):
+    """Run so many hollow nodes for so long, then write what they saw."""
+    from twisted.internet.main import installReactor
+
+    logs.begin('error')
+    reactor = Reactor()
+    installReactor(reactor)
+    settings = files.read(path)
+    latest, counted, nodes = {}, {}, []
+    for number in range(first, first + count):
+        record = Seen(latest, counted)
+        chance = Random(number).random
+        node = NodeChanges(reactor, System.elapsed, chance, 'n%d' % number, number, settings, record)
+        nodes.append(node)
+        # They start within a second, as a front would let them.
+        reactor.callLater(chance(), node.begin)
+    begun = time.monotonic()
+    reactor.callLater(seconds, reactor.stop)
+    reactor.run(installSignalHandlers=False)
+    took = time.monotonic() - begun
+    with open(out, 'w', encoding='utf-8') as file:
+        json.dump(
+            {
+                'nodes': count,
+                'seconds': took,
+                'processor_s': time.process_time(),
+                'bytes_in': sum(node.host.counts['bytes_in'] for node in nodes),
+                'bytes_out': sum(node.host.counts['bytes_out'] for node in nodes),
+                'messages_out': sum(node.host.counts['messages_out'] for node in nodes),
+                'snapshots': sum(node.record.counts['snapshots'] for node in nodes),
+                'positions': sorted({tuple(p) for node in nodes for p in positions(node)}),
+                'ages_ms': [None if node.age() is None else node.age() // 10 for node in nodes],
+                'latest': latest,
+                'counted': counted,
+            },
+            file,
+        )
+
+
+def positions(node):
+    """Where a node's logs are."""
+    return [(origin, log.position.epoch, log.position.sequence) for origin, log in node.replica.logs.items()]
+
+
+if __name__ == '__main__':
+    main()
--- /dev/null
+++ b/tests/changes/test_log.py
@@ -0,0 +1,297 @@
+"""Logs, writers and their files: what is taken in, what is refused, what a start finds."""
+
+import os
+import tempfile
+import unittest
+
+from lilacdyke.changes import messages, settings, store
+from lilacdyke.changes.log import ChangeLog
+from lilacdyke.changes.messages import (
+    BadFrameError,
+    Change,
+    FrameReader,
+    Hello,
+    Item,
+    OtherMajorError,
+    Position,
+    Snapshot,
+    Span,
+    StatusRequest,
+    Sync,
+)
+from lilacdyke.changes.replica import Replica
+from lilacdyke.changes.writer import Begun, Kept, Put, RefusedError, Writer
+from lilacdyke.values import BadLine
+
+KEYS = {'limit': 'number', 'banner': 'text', 'open': 'flag'}
+
+
+def change(sequence, kind='config', value='1', at=5):
+    return Change(sequence, kind, [Item('limit' if kind == 'config' else 'k', value)], at)
+
+
+def log(count=0, tail=8):
+    made = ChangeLog(tail)
+    made.begin(1)
+    for sequence in range(1, count + 1):
+        made.append(change(sequence, value=str(sequence), at=sequence))
+    return made
+
+
+class Logs(unittest.TestCase):
+    def test_a_span_is_taken_in_once_and_without_a_gap(self):
+        made = log(2)
+        spans = [
+            (Span(1, 3, [change(4)]), []),
+            (Span(1, 1, [change(2), change(3)]), [3]),
+            (Span(1, 1, [change(2), change(3)]), []),
+            (Span(2, 3, [change(4)]), []),
+            (Span(1, 3, [change(4), change(6)]), [4]),
+        ]
+        for span, taken in spans:
+            self.assertEqual([each.sequence for each in made.take_span(span)], taken)
+        self.assertEqual(made.position, Position(1, 4))
+
+    def test_a_tail_reaches_as_far_back_as_it_is_long(self):
+        made = log(10, tail=4)
+        self.assertIsNone(made.span_after(Position(1, 5)))
+        self.assertEqual([each.sequence for each in made.span_after(Position(1, 6)).changes], [7, 8, 9, 10])
+        self.assertEqual([each.sequence for each in made.span_after(Position(1, 6), 2).changes], [7, 8])
+        self.assertIsNone(made.span_after(Position(0, 6)))
+        self.assertIsNone(made.span_after(Position(1, 11)))
+
+    def test_a_span_has_no_more_bytes_than_a_message_bears(self):
+        made = log()
+        for sequence in range(1, 9):
+            made.append(change(sequence, value='x' * 60_000))
+        self.assertEqual(len(made.span_after(Position(1, 0)).changes), 4)
+
+    def test_a_snapshot_is_taken_where_it_is_further_on_and_says_what_was_purged(self):
+        made = log(5)
+        self.assertFalse(made.take_snapshot(Snapshot(Position(1, 5), {}, 9)))
+        self.assertFalse(made.take_snapshot(Snapshot(Position(0, 99), {}, 9)))
+        self.assertTrue(made.take_snapshot(Snapshot(Position(2, 1), {'limit': '7'}, 9)))
+        self.assertEqual(
+            (made.configuration, made.purged_before, made.snapshot().purged_before), ({'limit': '7'}, 9, 9)
+        )
+        self.assertEqual(made.span_after(Position(2, 1)).changes, [])
+
+    def test_a_relay_that_takes_a_snapshot_can_pass_on_the_latest_changes_one_by_one(self):
+        made, fresh = log(6, tail=4), ChangeLog(8)
+        self.assertTrue(fresh.take_snapshot(made.snapshot(with_history=True)))
+        self.assertEqual([each.sequence for each in fresh.span_after(Position(1, 2)).changes], [3, 4, 5, 6])
+        self.assertIsNone(fresh.span_after(Position(1, 1)))
+        other = ChangeLog(8)
+        spoilt = Span(1, 3, [change(4), change(6)])
+        other.take_snapshot(Snapshot(Position(1, 6), {}, 0, spoilt))
+        self.assertIsNone(other.span_after(Position(1, 3)))
+        self.assertIsNone(made.snapshot().history)
+
+    def test_a_kind_that_is_not_known_is_kept_in_order_and_counted(self):
+        made = log(1)
+        made.take_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
+        self.assertEqual((made.position.sequence, made.skipped), (3, 1))
+        self.assertEqual(
+            [each.kind for each in made.span_after(Position(1, 1)).changes], ['of-later', 'config']
+        )
+
+
+class Writers(unittest.TestCase):
+    def writer(self, lines=(), epoch=None):
+        self.replica = Replica('w', 'w')
+        self.kept = list(lines)
+        return Writer(self.replica, KEYS, self.kept.append, list(lines), epoch)
+
+    def test_what_cannot_be_put_is_refused_with_its_key(self):
+        cases = {
+            ('config', (('limit', 'many'),)): 'limit',
+            ('config', (('other', '1'),)): 'other',
+            ('config', (('open', 'yes'),)): 'open',
+            ('config', (('limit', '1'), ('limit', '2'))): 'twice',
+            ('config', (('banner', 'x' * 70_000),)): 'banner: over',
+            ('config', ()): 'no keys',
+            ('purge', (('k', 'v'),)): 'k: a purge',
+            ('later', (('k', ''),)): 'later',
+        }
+        writer = self.writer()
+        for (kind, items), told in cases.items():
+            with self.subTest(told=told), self.assertRaisesRegex(RefusedError, told):
+                writer.put(kind, items, 1)
+        self.assertEqual((self.replica.log('w').position, len(self.kept)), (Position(1, 0), 1))
+
+    def test_the_configuration_stays_small_enough_for_one_message(self):
+        replica = Replica('w', 'w')
+        keys = {'banner%d' % number: 'text' for number in range(20)}
+        writer = Writer(replica, keys, lambda line: None)
+        with self.assertRaisesRegex(RefusedError, 'banner8: the configuration'):
+            for key in keys:
+                writer.put('config', [(key, 'x' * 65_000)], 1)
+
+    def test_nothing_is_in_the_log_before_it_is_written_down(self):
+        writer = self.writer()
+
+        def full(line):
+            raise OSError('no space')
+
+        writer.keep = full
+        with self.assertRaises(OSError):
+            writer.put('config', [('limit', '1')], 1)
+        self.assertEqual(self.replica.log('w').position, Position(1, 0))
+
+    def test_a_change_is_taken_back_as_a_new_one(self):
+        writer = self.writer()
+        for value in '12':
+            writer.put('config', [('limit', value), ('banner', value)], 1)
+        writer.put('config', [('open', 'true')], 1)
+        writer.take_back(2, 2)
+        self.assertEqual(self.replica.log('w').configuration, {'limit': '1', 'banner': '1', 'open': 'true'})
+        self.assertEqual(self.replica.log('w').position, Position(1, 4))
+        for sequence, told in ((1, 'limit: change'), (9, 'no change')):
+            with self.assertRaisesRegex(RefusedError, told):
+                writer.take_back(sequence, 3)
+
+    def test_a_start_knows_all_that_was_written_down_in_an_epoch_of_its_own(self):
+        writer = self.writer()
+        writer.put('config', [('limit', '1')], 1)
+        writer.put('config', [('limit', '2')], 1)
+        again = self.writer(self.kept)
+        self.assertEqual((again.epoch, self.replica.log('w').position), (2, Position(2, 0)))
+        self.assertEqual(self.replica.log('w').configuration, {'limit': '2'})
+        again.take_back(2, 3)
+        self.assertEqual(self.replica.log('w').configuration, {'limit': '1'})
+
+    def test_an_epoch_that_is_not_above_those_written_down_is_refused(self):
+        self.writer()
+        with self.assertRaisesRegex(RefusedError, 'epoch'):
+            self.writer([Begun(4)], 4)
+
+
+class Stores(unittest.TestCase):
+    def setUp(self):
+        self.folder = tempfile.TemporaryDirectory()
+        self.addCleanup(self.folder.cleanup)
+        self.path = os.path.join(self.folder.name, store.NAME)
+
+    def kept(self, *lines):
+        made = store.Store(self.folder.name)
+        for line in lines:
+            made.keep(line)
+        made.close()
+
+    def test_what_is_kept_is_read_and_a_line_that_was_cut_off_is_dropped(self):
+        self.kept(Begun(1), Put(change(1)))
+        with open(self.path, 'ab') as file:
+            file.write(b'{"type":"put","chan')
+        made = store.Store(self.folder.name)
+        made.close()
+        self.assertEqual(made.lines, [Begun(1), Put(change(1))])
+        self.kept(Put(change(2)))
+        self.assertEqual(len(store.read(self.folder.name)), 3)
+
+    def test_a_line_out_of_form_is_named(self):
+        self.kept(Begun(1))
+        with open(self.path, 'ab') as file:
+            file.write(b'noise\n')
+        with self.assertRaisesRegex(BadLine, 'line 2'):
+            store.Store(self.folder.name)
+
+    def test_a_folder_that_is_not_there_is_one_line(self):
+        with self.assertRaisesRegex(BadLine, 'nowhere'):
+            store.Store('/nowhere/at/all')
+
+    def test_a_long_file_is_shortened_to_the_same_state(self):
+        lines = [Begun(1), *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000))]
+        short = store.shortened(lines)
+        self.assertEqual(short, [Kept(1, {'limit': '5999'}, 5_999)])
+        replica = Replica('w', 'w')
+        writer = Writer(replica, KEYS, lambda line: None, short)
+        self.assertEqual((writer.epoch, replica.log('w').configuration), (2, {'limit': '5999'}))
+
+
+class Frames(unittest.TestCase):
+    def test_messages_however_cut(self):
+        sent = [Hello('n0', 'here'), Sync('n0', 5, spans={'w': Span(1, 0, [change(1)])}), StatusRequest()]
+        data, reader, found = b''.join(map(messages.pack, sent)), FrameReader(), []
+        for at in range(len(data)):
+            found += [messages.unpack(body) for body in reader.feed(data[at : at + 1])]
+        self.assertEqual(found, sent)
+
+    def test_bad_bytes_end_a_link_with_one_line(self):
+        bodies = (
+            b'noise',
+            messages.msgspec.msgpack.encode((1, 0, {'type': 'sync'})),
+            messages.msgspec.msgpack.encode((1, 0, {'type': 'sync', 'name': 'x', 'stamp': -1})),
+            messages.msgspec.msgpack.encode((1, 0, {'type': 'of-later'})),
+            messages.msgspec.msgpack.encode([1]),
+        )
+        for body in bodies:
+            with self.subTest(body=body), self.assertRaises(BadFrameError) as caught:
+                messages.unpack(body)
+            self.assertNotIn('\n', str(caught.exception))
+        with self.assertRaises(BadFrameError):
+            FrameReader().feed(b'\xff' * 8)
+
+    def test_a_newer_major_is_refused_and_fields_of_a_newer_minor_are_skipped(self):
+        encode = messages.msgspec.msgpack.encode
+        with self.assertRaises(OtherMajorError):
+            messages.unpack(encode((2, 0, {'type': 'status'})))
+        told = {'type': 'sync', 'name': 'x', 'stamp': 1, 'mood': 'new'}
+        self.assertEqual(messages.unpack(encode((1, 9, told))), Sync('x', 1))
+
+
+class Files(unittest.TestCase):
+    TEXT = """
+enabled = true
+installation = "here"
+[[process]]
+name = "w0"
+role = "writer"
+address = "127.0.0.1:7300"
+folder = "/tmp"
+[[process]]
+name = "r0"
+role = "relay"
+address = "127.0.0.1:7301"
+above = ["w0"]
+[keys]
+limit = "number"
+"""
+
+    def read(self, text):
+        with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
+            file.write(text)
+            file.flush()
+            return settings.read(file.name)
+
+    def test_a_file_is_read(self):
+        made = self.read(self.TEXT)
+        self.assertEqual(([each.name for each in made.relays], made.keys), (['r0'], {'limit': 'number'}))
+
+    def test_what_is_wrong_is_one_line_that_names_the_key(self):
+        cases = {
+            self.TEXT.replace('"number"', '"colour"'): 'keys',
+            self.TEXT.replace('above = ["w0"]', 'above = ["w9"]'): 'no w9',
+            self.TEXT.replace('above = ["w0"]', ''): 'r0: a relay',
+            self.TEXT.replace('folder = "/tmp"', ''): 'w0: a writer',
+            self.TEXT.replace('"w0"\nrole', '"r0"\nrole'): 'twice',
+            self.TEXT.replace('127.0.0.1:7301', 'here:1'): 'address',
+            self.TEXT.replace('role = "writer"', 'role = "king"'): 'role',
+            'more = 1' + self.TEXT: 'more',
+            self.TEXT.replace('above = ["w0"]', 'above = ["r0"]'): 'above itself',
+            '[[': 'nvalid',
+        }
+        for text, told in cases.items():
+            with self.subTest(told=told), self.assertRaisesRegex(BadLine, told) as caught:
+                self.read(text)
+            self.assertNotIn('\n', str(caught.exception))
+
+    def test_it_is_off_unless_enabled_for_this_installation(self):
+        made = self.read(self.TEXT)
+        self.assertIs(settings.enabled(made, 'here'), made)
+        for text, name in (
+            (self.TEXT, 'there'),
+            (self.TEXT, None),
+            (self.TEXT.replace('true', 'false'), 'here'),
+        ):
+            with self.assertRaises(BadLine):
+                settings.enabled(self.read(text), name)
--- /dev/null
+++ b/tests/changes/test_processes.py
@@ -0,0 +1,278 @@
+"""Real processes on loopback: a writer, relays and nodes' parts; killed, stopped and started anew."""
+
+import contextlib
+import json
+import os
+import signal
+import socket
+import subprocess
+import sys
+import tempfile
+import time
+import unittest
+
+from click.testing import CliRunner
+
+from lilacdyke.__main__ import main
+from lilacdyke.changes import cli, settings
+from lilacdyke.changes.messages import (
+    LENGTH,
+    Item,
+    PutAnswer,
+    PutRequest,
+    Status,
+    StatusRequest,
+    pack,
+    unpack,
+)
+from lilacdyke.scale.fleet_run import free_ports
+
+from ..crossings import Crossing
+
+PATIENCE_S = 20.0
+FILE = """
+enabled = true
+installation = "here"
+stale_after_s = 3.0
+[[process]]
+name = "w0"
+role = "writer"
+address = "127.0.0.1:%d"
+folder = "%s"
+[[process]]
+name = "r0"
+role = "relay"
+address = "127.0.0.1:%d"
+above = ["w0"]
+[[process]]
+name = "r1"
+role = "relay"
+address = "127.0.0.1:%d"
+above = ["w0"]
+[keys]
+limit = "number"
+banner = "text"
+"""
+
+
+class Processes(unittest.TestCase):
+    """A writer and two relays. Each test ends what it started by its id."""
+
+    def setUp(self):
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        self.folder, self.path = folder.name, os.path.join(folder.name, 'changes.toml')
+        ports = free_ports(3)
+        with open(self.path, 'w', encoding='utf-8') as file:
+            file.write(FILE % (ports[0], folder.name, ports[1], ports[2]))
+        self.settings, self.running = settings.read(self.path), {}
+        self.addCleanup(self.end)
+        for name in ('w0', 'r0', 'r1'):
+            self.start(name)
+
+    def end(self):
+        for process in self.running.values():
+            if process.poll() is None:
+                process.send_signal(signal.SIGCONT)
+                process.kill()
+            process.wait()
+
+    def start(self, name):
+        """Start a process of the file and wait until it answers."""
+        command = (sys.executable, '-m', 'lilacdyke', 'change', 'run', '--file', self.path, '--name', name)
+        self.running[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
+        self.until(lambda: self.status(name) is not None)
+
+    def kill(self, name):
+        self.running[name].kill()
+        self.running[name].wait()
+
+    def ask(self, name, request, kind):
+        """An answer, or None if nobody gives one."""
+        host, _, port = self.settings.named(name).address.rpartition(':')
+        try:
+            with socket.create_connection((host, int(port)), 1.0) as connection:
+                connection.settimeout(1.0)
+                connection.sendall(pack(request))
+                return unpack(cli.read_frame(connection), kind)
+        except OSError:
+            return None
+
+    def status(self, name):
+        return self.ask(name, StatusRequest(), Status)
+
+    def put(self, kind, *items):
+        answer = self.ask('w0', PutRequest(kind, [Item(*item) for item in items]), PutAnswer)
+        self.assertIsNotNone(answer.position, answer.refused)
+        return answer.position
+
+    def until(self, true):
+        """Wait until something is so."""
+        end = time.monotonic() + PATIENCE_S
+        while not true():
+            self.assertLess(time.monotonic(), end)
+            time.sleep(0.05)
+
+    def complete(self, position):
+        """Whether the writer says that all below it have that."""
+        told = self.status('w0')
+        return told is not None and told.complete['w0'] >= position and not told.behind
+
+    def nodes(self, count, seconds):
+        """So many nodes' own parts, as one process; what they saw, once they have ended."""
+        out = os.path.join(self.folder, 'seen-%d.json' % len(self.running))
+        command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.path, '--out', out)
+        sizes = ('--count', str(count), '--seconds', str(seconds))
+        process = self.running[out] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
+
+        def seen():
+            process.wait(seconds + PATIENCE_S)
+            with open(out, encoding='utf-8') as file:
+                return json.load(file)
+
+        return seen
+
+    def below(self, count):
+        """Whether so many nodes and both relays are below the writer."""
+        told = self.status('w0')
+        return told is not None and told.below == count + 2
+
+    def test_changes_reach_all_nodes_and_are_known_to(self):
+        seen = self.nodes(20, 9)
+        self.until(lambda: self.below(20))
+        self.put('config', ('limit', '5'), ('banner', 'hi'))
+        position = self.put('purge', ('k1',))
+        self.until(lambda: self.complete(position))
+        told = seen()
+        self.assertEqual((told['positions'], set(told['counted'].values())), ([['w0', 1, 2]], {20}))
+        self.assertLess(max(told['latest'].values()), 3_900)
+        self.assertLess(max(told['ages_ms']), 5_000)
+
+    def test_a_relay_is_killed_and_comes_back_with_an_empty_memory(self):
+        seen = self.nodes(20, 14)
+        self.until(lambda: self.below(20))
+        first = self.put('config', ('limit', '1'))
+        self.until(lambda: self.complete(first))
+        self.kill('r0')
+        position = self.put('purge', ('while-away',))
+        self.start('r0')
+        self.until(lambda: self.status('r0').positions.get('w0') == position)
+        position = self.put('config', ('limit', '2'))
+        told = seen()
+        self.assertEqual(told['positions'], [['w0', position.epoch, position.sequence]])
+        # Nobody missed the one that came while the relay was away: its nodes asked the other.
+        self.assertEqual(told['counted']['purge/w0/2'], 20)
+        self.assertLess(max(told['latest'].values()), 6_000)
+
+    def test_a_relay_is_stopped_and_the_writer_says_who_is_behind(self):
+        seen = self.nodes(10, 16)
+        self.until(lambda: self.below(10))
+        self.running['r0'].send_signal(signal.SIGSTOP)
+        position = self.put('config', ('limit', '1'))
+        self.until(lambda: 'r0' in self.status('w0').behind)
+        self.assertLess(self.status('w0').complete['w0'], position)
+        self.running['r0'].send_signal(signal.SIGCONT)
+        self.until(lambda: self.status('r0').positions['w0'] == position)
+        self.assertEqual(seen()['positions'], [['w0', position.epoch, position.sequence]])
+
+    def test_the_writer_is_killed_and_what_it_said_yes_to_stays(self):
+        seen = self.nodes(10, 14)
+        self.until(lambda: self.below(10))
+        for number in range(5):
+            self.put('config', ('limit', str(number)))
+        self.kill('w0')
+        self.start('w0')
+        told = self.status('w0')
+        self.assertEqual((told.configuration, told.positions['w0'].epoch), ({'limit': '4'}, 2))
+        position = self.put('purge', ('after',))
+        self.until(lambda: self.status('r1').positions['w0'] == position)
+        self.assertEqual(seen()['positions'], [['w0', 2, 1]])
+
+    def test_a_hundred_nodes_come_at_once(self):
+        for number in range(200):
+            self.put('config', ('limit', str(number)))
+        told = self.nodes(100, 7)()
+        self.assertEqual((told['positions'], told['snapshots']), ([['w0', 1, 200]], 100))
+        self.assertLess(told['bytes_in'] / told['seconds'] / 100, 21_000)
+
+    def test_staff_put_take_back_list_and_ask(self):
+        def told(*words):
+            done = CliRunner().invoke(main, ['change', words[0], '--file', self.path, *words[1:]])
+            return done.exit_code, done.output
+
+        self.assertEqual(told('put', 'config', 'limit=5', 'banner=hi'), (0, 'epoch 1, sequence 1\n'))
+        self.assertEqual(told('put', 'config', 'limit=x'), (1, 'lilacdyke: refused: limit: no number: x\n'))
+        self.assertEqual(told('put', 'config', 'limit')[0], 2)
+        self.assertEqual(told('put', 'purge', 'k=v')[0], 2)
+        self.assertEqual(told('list'), (0, 'banner=hi\nlimit=5\n'))
+        self.assertEqual(told('take-back', '1'), (0, 'epoch 1, sequence 2\n'))
+        self.assertEqual(told('list'), (0, ''))
+        self.assertEqual(told('put', '--name', 'r0', 'purge', 'k')[0], 1)
+        self.assertEqual(told('put', '--name', 'r9', 'purge', 'k')[0], 2)
+        self.until(lambda: self.complete(self.status('w0').positions['w0']))
+        code, text = told('status', '--name', 'w0')
+        self.assertEqual(code, 0)
+        self.assertRegex(text, r'w0: w0 at 1\.2, 0 ms old, complete below to 1\.2, 2 below, behind: nobody')
+        self.kill('r1')
+        self.assertEqual(told('status', '--name', 'r1')[0], 1)
+
+    def test_bytes_out_of_form_end_their_link_and_nothing_else(self):
+        host, _, port = self.settings.named('r0').address.rpartition(':')
+        strange = [socket.create_connection((host, int(port)), 1.0) for _ in range(3)]
+        strange[0].sendall(b'\xff' * 64)
+        strange[1].sendall(LENGTH.pack(5) + b'noise')
+        strange[2].sendall(pack(StatusRequest())[:6])  # and no more
+        for each in strange[:2]:
+            each.settimeout(5)
+            with contextlib.suppress(ConnectionResetError):
+                self.assertEqual(each.recv(1), b'')
+        self.assertIsNotNone(self.status('r0'))
+        for each in strange:
+            each.close()
+
+
+class Node(Crossing):
+    """A node of the program with a changes file, whose relay is the test."""
+
+    def test_it_says_hello_serves_all_the_same_and_says_that_it_is_stale(self):
+        # Without --changes in this class's start: the file is given to a second process of the program.
+        with tempfile.TemporaryDirectory() as folder:
+            path = os.path.join(folder, 'changes.toml')
+            relay = socket.create_server(('127.0.0.1', 0))
+            ports = free_ports(2)
+            with open(path, 'w', encoding='utf-8') as file:
+                file.write(FILE % (ports[0], folder, relay.getsockname()[1], ports[1]))
+            page = os.path.join(folder, 'page.json')
+            with open(page, 'w', encoding='utf-8') as file:
+                told = json.loads(self.page(self.agent))
+                told.update(installation='here', listen='127.0.0.1:%d' % free_ports(1)[0])
+                json.dump(told, file)
+            command = (sys.executable, '-m', 'lilacdyke', 'serve', '--config', page, '--changes', path)
+            running = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
+            try:
+                relay.settimeout(PATIENCE_S)
+                link = relay.accept()[0]
+                link.settimeout(PATIENCE_S)
+                hello = unpack(cli.read_frame(link))
+                self.assertEqual((hello.name, hello.installation), ('n0', 'here'))
+                lines = iter(running.stderr.readline, '')
+                self.assertTrue(any('changes stale' in line for line in lines))
+            finally:
+                running.kill()
+                running.wait()
+                running.stderr.close()
+                link.close()
+                relay.close()
+
+    def test_a_file_of_another_installation_is_refused(self):
+        with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
+            file.write(FILE % (1, '/tmp', 2, 3))
+            file.flush()
+            done = subprocess.run(
+                (sys.executable, '-m', 'lilacdyke', 'serve', '--config', self.path, '--changes', file.name),
+                capture_output=True,
+                text=True,
+                check=False,
+            )
+        self.assertEqual((done.returncode, done.stderr.count('\n')), (2, 1))
+        self.assertIn('installation', done.stderr)
--- a/tests/trial/test_off.py
+++ b/tests/trial/test_off.py
@@ -21,6 +21,9 @@
     'FLEET': 'fleet.toml',
     'LILACDYKE_SERVE_FLEET': 'fleet.toml',
     'LILACDYKE_PLAN': '1',
+    'LILACDYKE_CHANGES': 'changes.toml',
+    'LILACDYKE_SERVE_CHANGES': 'changes.toml',
+    'EDGE_CHANGES': 'changes.toml',
     'LILACDYKE_TRIAL': '1',
     'LILACDYKE_MUTANT': 'tokens-not-taken',
     'EDGE_PLANNERS': '127.0.0.1:7100',
@@ -31,6 +34,8 @@
 }
 NEVER = (
     'lilacdyke.plan',
+    'lilacdyke.changes',
+    'lilacdyke.scale',
     'lilacdyke.trial',
     'lilacdyke.lab',
     'msgpack',
@@ -54,6 +59,7 @@
                 'installation': 'here',
                 'fleet': {'enabled': True},
                 'planners': ['127.0.0.1:7100'],
+                'changes': {'enabled': True, 'relays': ['127.0.0.1:7300']},
                 'verdicts': {'span_s': 3.0},
                 'tasks': {'folder': folder},
             }
