--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -10,12 +10,12 @@
 from ..net.sockets import Outgoing
 from .messages import (
     BadFrameError,
-    FrameReader,
     Hello,
     PutRequest,
     StatusRequest,
     Sync,
     TakeBackRequest,
+    frame_reader,
     pack,
     unpack,
 )
@@ -27,7 +27,7 @@
     """One end of a link. host: see host.py."""
 
     def __init__(self, host):
-        self.host, self.frames, self.ended = host, FrameReader(), False
+        self.host, self.frames, self.ended = host, frame_reader(), False
         self.peer = None  # the neighbour's name, once it is known
         self.heard = host.clock()  # when something last came
 
--- a/lilacdyke/changes/messages.py
+++ b/lilacdyke/changes/messages.py
@@ -5,17 +5,17 @@
 ticks (10,000 a second).
 """
 
-from struct import Struct as Layout
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
+from ..framing import LENGTH, FrameReader
+
 MAJOR, MINOR = 1, 0
 MOST_BYTES = 1 << 20  # of one frame
 MOST_ORIGINS = 64  # logs that one message tells of
 MOST_NAMES = 32  # replicas named as behind
-LENGTH = Layout('>I')
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Text = Annotated[str, Meta(max_length=65_536)]
@@ -164,22 +164,6 @@
         raise BadFrameError(' '.join(str(err).split())[:200]) from None
 
 
-class FrameReader:
-    """Frames out of a stream, however it was cut."""
-
-    def __init__(self):
-        self.buffer = bytearray()
-
-    def feed(self, data):
-        """The bodies of all frames that are whole by now. Raises BadFrameError."""
-        self.buffer += data
-        found = []
-        while len(self.buffer) >= LENGTH.size:
-            (size,) = LENGTH.unpack_from(self.buffer)
-            if size > MOST_BYTES:
-                raise BadFrameError('a frame of %d bytes' % size)
-            if len(self.buffer) < LENGTH.size + size:
-                break
-            found.append(bytes(memoryview(self.buffer)[LENGTH.size : LENGTH.size + size]))
-            del self.buffer[: LENGTH.size + size]
-        return found
+def frame_reader():
+    """A reader of this protocol's frames."""
+    return FrameReader(MOST_BYTES, BadFrameError)
--- a/lilacdyke/changes/replica.py
+++ b/lilacdyke/changes/replica.py
@@ -12,6 +12,7 @@
 """
 
 from collections import Counter
+from heapq import heappop, heappush
 
 from ..plan.ledger import longer
 from ..values import SECOND
@@ -67,6 +68,8 @@
         self.logs, self.tail = {}, tail
         self.fresh = {}  # by origin: since when nothing is known to be lacking, by this clock
         self.neighbours = {}
+        # (when, neighbour's name): who is told something then, unless sooner
+        self.due, self.forget_at = [], 0
         self.counts = Counter()
         self.taken = []  # (origin, changes, snapshot or None) that the host has not handled yet
         if origin is not None:
@@ -85,8 +88,9 @@
         neighbour = self.neighbours.get(name)
         if neighbour is None:
             neighbour = self.neighbours[name] = Neighbour(name, below, rate)
-        neighbour.linked, neighbour.blocked, neighbour.heard, neighbour.next = True, False, None, now
+        neighbour.linked, neighbour.blocked, neighbour.heard = True, False, None
         neighbour.positions, neighbour.sent = {}, {}
+        self.tell_at(neighbour, now)
 
     def unlinked(self, now, name):
         """It has ended."""
@@ -96,8 +100,10 @@
     def blocked(self, name, whether):
         """What was sent to a neighbour lies with the system still, or has left. Guards against one that does
         not read."""
-        if name in self.neighbours:
-            self.neighbours[name].blocked = whether
+        neighbour = self.neighbours.get(name)
+        if neighbour is not None:
+            neighbour.blocked = whether
+            self.tell_at(neighbour, neighbour.next)
 
     def told(self, now, name, sync):
         """A neighbour's message."""
@@ -117,7 +123,7 @@
                 self.take_span(origin, span)
         self.hear_freshness(sync)
         if sync.spans or sync.snapshots:
-            neighbour.next = min(neighbour.next, now + BATCH_EVERY)  # what was taken is acknowledged soon
+            self.tell_by(neighbour, now + BATCH_EVERY)  # what was taken is acknowledged soon
 
     def known(self, origin):
         """Whether there is a log for it, or room for one more."""
@@ -196,21 +202,50 @@
         """How many replicas are below."""
         return sum(1 + neighbour.count for neighbour in self.children())
 
+    def tell_at(self, neighbour, when):
+        """A neighbour is told something then."""
+        neighbour.next = when
+        heappush(self.due, (when, neighbour.name))
+
+    def tell_by(self, neighbour, when):
+        """The same, unless that is so sooner."""
+        if when < neighbour.next:
+            self.tell_at(neighbour, when)
+
+    def first_due(self):
+        """Whom something is told next, or None. What was put off, or waits for a link, is passed over."""
+        while self.due:
+            when, name = self.due[0]
+            neighbour = self.neighbours.get(name)
+            if (
+                neighbour is not None
+                and neighbour.linked
+                and not neighbour.blocked
+                and neighbour.next == when
+            ):
+                return neighbour
+            heappop(self.due)
+        return None
+
     def decide(self, now):
         """The next thing to do: ('send', neighbour, message), or None."""
         self.forget(now)
-        for neighbour in self.neighbours.values():
-            if neighbour.linked and not neighbour.blocked and now >= neighbour.next:
-                return 'send', neighbour.name, self.message(now, neighbour)
-        return None
+        neighbour = self.first_due()
+        if neighbour is None or now < neighbour.next:
+            return None
+        heappop(self.due)
+        return 'send', neighbour.name, self.message(now, neighbour)
 
     def next_look(self):
         """When there may be something to do, or None."""
-        ready = (each.next for each in self.neighbours.values() if each.linked and not each.blocked)
-        return min(ready, default=None)
+        neighbour = self.first_due()
+        return None if neighbour is None else neighbour.next
 
     def forget(self, now):
         """Neighbours below that have been gone for long."""
+        if now < self.forget_at:
+            return
+        self.forget_at = now + HEARTBEAT_EVERY
         for name, neighbour in list(self.neighbours.items()):
             if not neighbour.linked and now >= neighbour.gone + FORGET_AFTER:
                 del self.neighbours[name]
@@ -222,7 +257,7 @@
             self.gather(neighbour, spans, snapshots)
         if spans or snapshots:
             neighbour.sent_at = now
-        neighbour.next = now + (BATCH_EVERY if spans or snapshots else HEARTBEAT_EVERY)
+        self.tell_at(neighbour, now + (BATCH_EVERY if spans or snapshots else HEARTBEAT_EVERY))
         ages = {origin: self.age(now, origin) for origin in self.logs}
         return Sync(
             name=self.name,
@@ -262,4 +297,4 @@
     def changed(self, now):
         """There is something new: neighbours that have rested are told at the next batch."""
         for neighbour in self.neighbours.values():
-            neighbour.next = min(neighbour.next, now + BATCH_EVERY)
+            self.tell_by(neighbour, now + BATCH_EVERY)
--- a/lilacdyke/plan/frames.py
+++ b/lilacdyke/plan/frames.py
@@ -6,16 +6,14 @@
 bytes, or touch a socket.
 """
 
-from struct import Struct
-
 import msgpack
 
+from ..framing import LENGTH, FrameReader
 from .belief import BINS, KINDS
 from .leases import VERBS
 
 MAJOR, MINOR = 1, 2
 MOST = 1 << 20  # bytes of one frame
-HEAD = Struct('>I')
 AMOUNT = 1 << 40  # no grains, versions or spans beyond that
 NAME = 200  # characters of a key or a life
 ROWS = 1_024  # of evidence, or verdicts, in one frame
@@ -165,7 +163,7 @@
     body = msgpack.packb([MAJOR, MINOR, kind, fields])
     if len(body) > MOST:
         raise BadFrame('a %s of %d bytes' % (kind, len(body)))
-    return HEAD.pack(len(body)) + body
+    return LENGTH.pack(len(body)) + body
 
 
 def unpack(body):
@@ -192,25 +190,14 @@
     return kind, told
 
 
-class Frames:
+class Frames(FrameReader):
     """Frames out of a stream, however it was cut."""
 
-    __slots__ = ('buffer',)
+    __slots__ = ()
 
     def __init__(self):
-        self.buffer = bytearray()
+        super().__init__(MOST, BadFrame)
 
     def feed(self, data):
         """All that is whole by now, as (kind, fields). A BadFrame ends the stream."""
-        self.buffer += data
-        found = []
-        while len(self.buffer) >= HEAD.size:
-            (size,) = HEAD.unpack_from(self.buffer)
-            if size > MOST:
-                raise BadFrame('a frame of %d bytes' % size)
-            if len(self.buffer) < HEAD.size + size:
-                break
-            body = bytes(memoryview(self.buffer)[HEAD.size : HEAD.size + size])
-            del self.buffer[: HEAD.size + size]
-            found.append(unpack(body))
-        return found
+        return [unpack(body) for body in super().feed(data)]
--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -91,48 +91,35 @@
             self.plan_bytes += len(plan)
 
 
-def planner_digest(forwarders, seed):
-    """Microseconds of processor time at a planner for one digest, its plan among them."""
-    made = Round(forwarders, LIMITS, seed)
+def rounds(forwarders, limits, seed, figure):
+    """A function that plays a round and gives a figure of it, for one forwarder."""
+    made = Round(forwarders, limits, seed)
 
     def value():
         made.play()
-        return made.planner_s / forwarders * 1e6
+        return figure(made) / forwarders
 
     return value
 
 
-def planner_digest_by_limits(limits, seed):
-    """The same by limits."""
-    made = Round(FORWARDERS, limits, seed)
+def planner_digest(forwarders, seed):
+    """Microseconds of processor time at a planner for one digest, its plan among them."""
+    return rounds(forwarders, LIMITS, seed, lambda made: made.planner_s * 1e6)
 
-    def value():
-        made.play()
-        return made.planner_s / FORWARDERS * 1e6
 
-    return value
+def planner_digest_by_limits(limits, seed):
+    """The same by limits."""
+    return rounds(FORWARDERS, limits, seed, lambda made: made.planner_s * 1e6)
 
 
 def forwarder_digest(limits, seed):
     """Microseconds of processor time at a forwarder for one digest and its plan, by limits."""
-    made = Round(FORWARDERS, limits, seed)
-
-    def value():
-        made.play()
-        return made.forwarders_s / FORWARDERS * 1e6
-
-    return value
+    return rounds(FORWARDERS, limits, seed, lambda made: made.forwarders_s * 1e6)
 
 
 def link_bytes(limits, seed):
     """Bytes of one digest and its plan, by limits."""
-    made = Round(FORWARDERS, limits, seed)
-
-    def value():
-        made.play()
-        return (made.digest_bytes + made.plan_bytes) / FORWARDERS
-
-    return value
+    return rounds(FORWARDERS, limits, seed, lambda made: made.digest_bytes + made.plan_bytes)
 
 
 def voter_message(tasks, seed):
--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -9,7 +9,6 @@
 from lilacdyke.changes.messages import (
     BadFrameError,
     Change,
-    FrameReader,
     Hello,
     Item,
     OtherMajorError,
@@ -18,6 +17,7 @@
     Span,
     StatusRequest,
     Sync,
+    frame_reader,
 )
 from lilacdyke.changes.replica import Replica
 from lilacdyke.changes.writer import Begun, Kept, Put, RefusedError, Writer
@@ -211,7 +211,7 @@
 class Frames(unittest.TestCase):
     def test_messages_however_cut(self):
         sent = [Hello('n0', 'here'), Sync('n0', 5, spans={'w': Span(1, 0, [change(1)])}), StatusRequest()]
-        data, reader, found = b''.join(map(messages.pack, sent)), FrameReader(), []
+        data, reader, found = b''.join(map(messages.pack, sent)), frame_reader(), []
         for at in range(len(data)):
             found += [messages.unpack(body) for body in reader.feed(data[at : at + 1])]
         self.assertEqual(found, sent)
@@ -229,7 +229,7 @@
                 messages.unpack(body)
             self.assertNotIn('\n', str(caught.exception))
         with self.assertRaises(BadFrameError):
-            FrameReader().feed(b'\xff' * 8)
+            frame_reader().feed(b'\xff' * 8)
 
     def test_a_newer_major_is_refused_and_fields_of_a_newer_minor_are_skipped(self):
         encode = messages.msgspec.msgpack.encode
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -5,8 +5,9 @@
 
 import msgpack
 
+from lilacdyke.framing import LENGTH
 from lilacdyke.plan.belief import BINS, SERVERS
-from lilacdyke.plan.frames import AMOUNT, HEAD, MOST, BadFrame, Frames, OtherMajor, pack
+from lilacdyke.plan.frames import AMOUNT, MOST, BadFrame, Frames, OtherMajor, pack
 from lilacdyke.plan.ledger import KEYS, Bank, Parts, Purse
 
 PLAN = {
@@ -25,7 +26,7 @@
 
 def framed(tree):
     body = msgpack.packb(tree)
-    return HEAD.pack(len(body)) + body
+    return LENGTH.pack(len(body)) + body
 
 
 class Reading(unittest.TestCase):
@@ -75,8 +76,8 @@
 
     def test_what_is_out_of_form(self):
         cases = [
-            HEAD.pack(MOST + 1),
-            HEAD.pack(3) + b'\xc1\xc1\xc1',
+            LENGTH.pack(MOST + 1),
+            LENGTH.pack(3) + b'\xc1\xc1\xc1',
             framed(7),
             framed([1, 0, 'plan']),
             framed([1, 0, 'plan', []]),
