--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -1,6 +1,6 @@
 """Large bodies of one client: a request's on its way to a server, an answer's on its way to the client.
 
-Owns what is under way and its deadline. The request's time runs only once its last byte may have come; an
+Owns what is under way and its deadline. A request's time runs once its last byte may have come; an
 answer that its server still gives is never broken off. Must never hold more than the transports and one read
 of a body.
 """
@@ -79,13 +79,6 @@
         wait = client.active.wait if client.active else 0
         return client.listener.clock() - unread_for(client.transport) + wait
 
-    def last_byte_missing(self):
-        """Whether the last byte has surely not come: some of a body of told length is missing, and nothing
-        lies unread. Any unread byte may have closed the system's window, behind which the client's system
-        holds the rest."""
-        reader = self.client.reader
-        return not reader.chunks and reader.need > len(reader.buffer) and quiet(self.client.transport)
-
     def due(self):
         """Guards against a request whose last byte came while a server, or a connection to one, kept its body
         waiting: its client has a limit like any other."""
@@ -94,7 +87,7 @@
         if not self.held or not client.active:
             return
         now = client.listener.clock()
-        when = now + LOOK if self.last_byte_missing() else self.time_up()
+        when = self.time_up()
         if now >= when:
             client.listener.node.time_up(client.active)
         else:
