--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -18,6 +18,7 @@
         self.client, self.message = client, message
         self.link = None  # the connection to a server that the body goes to, once there is one
         self.held = False  # whether this side keeps the body unread
+        self.held_since = 0  # when this side last stopped reading it
         self.timed = False  # whether a deadline is set for a held body
 
     def body_came(self):
@@ -59,7 +60,7 @@
     def pause(self):
         """Nothing more is read for now. Its last byte may lie unread all the same, so its time runs."""
         self.client.transport.pauseProducing()
-        self.held = True
+        self.held, self.held_since = True, self.client.listener.clock()
         if not self.timed:
             self.set_deadline(self.time_up())
 
@@ -77,7 +78,9 @@
         """When its limit is, should the bytes that came last be the last of its request."""
         client = self.client
         wait = client.active.wait if client.active else 0
-        return client.listener.clock() - unread_for(client.transport) + wait
+        # What comes while nothing is read had been written before: a full window lets it in late.
+        came = min(self.held_since, client.listener.clock() - unread_for(client.transport))
+        return came + wait
 
     def due(self):
         """Guards against a request whose last byte came while a server, or a connection to one, kept its body
