--- a/lilacdyke/changes/node.py
+++ b/lilacdyke/changes/node.py
@@ -1,8 +1,7 @@
 """A node's part: what changes it has, how fresh they are, and what it does with them.
 
 Owns the one link to a relay, and the record of what came. The configuration in force and the purges are
-handed to one handler; beyond the stated age the node says so, goes on by what it has, and the handler is told
-that purges may be missing.
+handed to one handler; beyond the stated age the node says so in its log and goes on by what it has.
 """
 
 from collections import OrderedDict
