--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -4,7 +4,7 @@
 from .known import FLOOR, Known
 from .terms import IDEMPOTENT, JOURNALLED
 
-STRAIN = 0.25           # share of hops ending late or badly from which a jam is fought
+STRAIN = 0.25  # share of hops ending late or badly from which a jam is fought
 
 
 class Hop:
@@ -15,34 +15,57 @@
     def __init__(self, tx, server, now, copy):
         self.tx, self.server, self.sent, self.copy = tx, server, now, copy
         self.index = len(tx.hops)
-        self.weight = 0 if tx.limit is None else 1      # of the server's hops out; 0: its body still comes
-        self.out, self.ran, self.failed, self.dropped = True, True, False, False    # ran: may have
-        self.how = None     # its ending, once it has one
+        self.weight = 0 if tx.limit is None else 1  # of the server's hops out; 0: its body still comes
+        self.out, self.ran, self.failed, self.dropped = True, True, False, False  # ran: may have
+        self.how = None  # its ending, once it has one
 
 
 class Tx:
     """A transaction that this node has taken."""
 
-    __slots__ = ('ref', 'profile', 'key', 'mark', 'taken', 'limit', 'write', 'read', 'hops', 'out',
-                 'done', 'rank', 'next', 'delay', 'missed', 'held', 'again', 'copied', 'queued',
-                 'twice', 'spent', 'known', 'refused', 'why')
+    __slots__ = (
+        'ref',
+        'profile',
+        'key',
+        'mark',
+        'taken',
+        'limit',
+        'write',
+        'read',
+        'hops',
+        'out',
+        'done',
+        'rank',
+        'next',
+        'delay',
+        'missed',
+        'held',
+        'again',
+        'copied',
+        'queued',
+        'twice',
+        'spent',
+        'known',
+        'refused',
+        'why',
+    )
 
     def __init__(self, profile, key, mark, now, limit, write):
-        self.ref = None         # the host's own mark
+        self.ref = None  # the host's own mark
         self.profile, self.key, self.mark = profile, key, mark
         self.taken, self.limit, self.write = now, limit, write  # limit None: its body still comes
         # May be out twice, cut and sent anew; what is too large to be held may not.
         self.read = profile.effect == IDEMPOTENT and not write and limit is not None
-        self.known = False      # its key was read here lately
-        self.spent = False      # its body has gone to a server and is not held
+        self.known = False  # its key was read here lately
+        self.spent = False  # its body has gone to a server and is not held
         self.hops, self.out, self.done = [], 0, False
-        self.rank = None        # caches by rendezvous rank, once needed
-        self.next, self.delay = None, 0     # when something more may be sent; the present copy delay
-        self.missed = None      # the first cache that lacked the key
-        self.held = False       # waits for another's fetch, or for a place to fetch
-        self.again = None       # the cache to ask again after another's fetch
-        self.copied, self.queued, self.refused = False, False, None     # refused: over a limit of the fleet
-        self.why = None         # why it was given up, for the host's log
+        self.rank = None  # caches by rendezvous rank, once needed
+        self.next, self.delay = None, 0  # when something more may be sent; the present copy delay
+        self.missed = None  # the first cache that lacked the key
+        self.held = False  # waits for another's fetch, or for a place to fetch
+        self.again = None  # the cache to ask again after another's fetch
+        self.copied, self.queued, self.refused = False, False, None  # refused: over a limit of the fleet
+        self.why = None  # why it was given up, for the host's log
 
 
 class Gate(Known):
@@ -50,8 +73,8 @@
 
     def __init__(self, terms, seed):
         super().__init__(terms, seed)
-        self.shares = None      # what the fleet lets this node spend (plan/shares.py); None: no limit
-        self.handed = False     # whether another process of this node has its cold budgets
+        self.shares = None  # what the fleet lets this node spend (plan/shares.py); None: no limit
+        self.handed = False  # whether another process of this node has its cold budgets
         self.copies_left = 1.0
 
     def welcome(self, now, tx, server, drawn):
@@ -119,7 +142,7 @@
             return True
         if tx.profile.effect != JOURNALLED or now >= ran[0].sent + tx.profile.window - self.terms.tick:
             return False
-        group = tx.profile.group        # within it servers drop each other's repeats
+        group = tx.profile.group  # within it servers drop each other's repeats
         return group == 'all' or all(getattr(hop.server, group) == getattr(server, group) for hop in ran)
 
     def send(self, now, tx, server, copy):
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -8,12 +8,12 @@
 
 # Endings that tell nothing of how busy a server is; rejected: the request is bad, and that was its answer.
 BLAMELESS = ('unsent', 'cancelled', 'spoilt', 'rejected', 'lost')
-FLOOR = 1 / 32          # a set-aside server's trickle, as a share of what would be its own
-DOUBT = 4               # unanswered hops in a row that set a server aside
+FLOOR = 1 / 32  # a set-aside server's trickle, as a share of what would be its own
+DOUBT = 4  # unanswered hops in a row that set a server aside
 RACES, LOOKUPS = 16, 32  # the paper's windows
-MARGIN = 2              # hops that a server bears, and may have beyond its part, at the least
-START = 32.0            # hops out at one server before anything is known of it
-BANS = 1_024            # servers that are, or lately were, out by hand
+MARGIN = 2  # hops that a server bears, and may have beyond its part, at the least
+START = 32.0  # hops out at one server before anything is known of it
+BANS = 1_024  # servers that are, or lately were, out by hand
 NO_WORD = (0, 0, 1, 0)  # of a fleet on a server: until when, the least and the most of its turns, its wait
 
 
@@ -25,7 +25,7 @@
 
     def __init__(self, unit):
         self.unit = max(1, unit)
-        self.square = self.unit ** 2
+        self.square = self.unit**2
         self.bins = [0] * self.BINS
         self.total = 0
 
@@ -57,7 +57,7 @@
         middles = [(self.edge(i) + self.edge(i + 1)) / 2 for i in range(self.BINS)]
         mean = sum(n * m for n, m in zip(self.bins, middles)) / self.total
         square = sum(n * (m - mean) ** 2 for n, m in zip(self.bins, middles)) / self.total
-        return int(mean), int(square ** 0.5)
+        return int(mean), int(square**0.5)
 
 
 class Pace:
@@ -66,11 +66,11 @@
     __slots__ = ('answers', 'copies', 'races', 'alone', 'swift')
 
     def __init__(self, unit):
-        self.answers = Histogram(unit)      # latency of this cache's answers as a first cache
-        self.copies = Histogram(unit)       # latency of copies that won against it
-        self.races = deque(maxlen=RACES)    # whether the copy won, for the latest lookups with a copy
-        self.alone = 0                      # lookups since the last copy
-        self.swift = None                   # None: base; 0: at once; 1: mean copy latency and a deviation
+        self.answers = Histogram(unit)  # latency of this cache's answers as a first cache
+        self.copies = Histogram(unit)  # latency of copies that won against it
+        self.races = deque(maxlen=RACES)  # whether the copy won, for the latest lookups with a copy
+        self.alone = 0  # lookups since the last copy
+        self.swift = None  # None: base; 0: at once; 1: mean copy latency and a deviation
 
     def delay(self, start, most):
         """The wait before the first copy of the next lookup."""
@@ -99,22 +99,42 @@
 class Server:
     """A cache server or the origin, as this node knows it. The host makes it when a list first names it."""
 
-    __slots__ = ('name', 'origin', 'mark', 'state', 'told', 'weight', 'started', 'zone', 'cell', 'out',
-                 'share', 'doubt', 'raised', 'pace', 'credit', 'dated', 'bear', 'eased',
-                 'lag', 'heard', 'word')
+    __slots__ = (
+        'name',
+        'origin',
+        'mark',
+        'state',
+        'told',
+        'weight',
+        'started',
+        'zone',
+        'cell',
+        'out',
+        'share',
+        'doubt',
+        'raised',
+        'pace',
+        'credit',
+        'dated',
+        'bear',
+        'eased',
+        'lag',
+        'heard',
+        'word',
+    )
 
     def __init__(self, name, origin):
         self.name, self.origin, self.word = name, origin, NO_WORD
         self.mark = crc32(name.encode()) << 32
         self.state, self.weight, self.started, self.zone, self.cell = 'gone', 1, None, 0, 0
-        self.told = 'gone'      # its state by the list; its own is 'banned' if it is out by hand besides
-        self.out = 0            # hops of this node that wait there
-        self.share = 1          # part of its own keys' reads that it gets; under 1 while set aside
-        self.doubt = 0          # hops unanswered in a row
-        self.raised = 0         # when its share was last raised
-        self.bear, self.eased = START, 0    # hops out that it is seen to bear; when that was last cut
-        self.lag, self.heard = 0, 0         # how long its answers take lately; when that was last seen
-        self.credit, self.dated = 0, 0      # hops it may get while cold; when that was last filled
+        self.told = 'gone'  # its state by the list; its own is 'banned' if it is out by hand besides
+        self.out = 0  # hops of this node that wait there
+        self.share = 1  # part of its own keys' reads that it gets; under 1 while set aside
+        self.doubt = 0  # hops unanswered in a row
+        self.raised = 0  # when its share was last raised
+        self.bear, self.eased = START, 0  # hops out that it is seen to bear; when that was last cut
+        self.lag, self.heard = 0, 0  # how long its answers take lately; when that was last seen
+        self.credit, self.dated = 0, 0  # hops it may get while cold; when that was last filled
         self.pace = None
 
 
@@ -126,13 +146,13 @@
         self.goal = min(profile.goal for profile in terms.profiles)
         self.unit = max(1, self.goal // 32)
         self.caches, self.origin, self.known = [], None, {}
-        self.hand = {}          # by name, servers out by hand: since when, and until when, None: still
+        self.hand = {}  # by name, servers out by hand: since when, and until when, None: still
         self.logs = deque()
-        self.smooth, self.poor, self.often = 1.0, 0.0, True     # hops that ended well, badly; whether often
-        self.usual = 0                          # the most that warm caches served in a window, a weight
-        self.served, self.window = 0, 0         # what they served in the present window; its start
-        self.total_out = 0              # hops that wait at caches
-        self.lag, self.heard = 0, 0     # how long reads at caches take lately; when one was last seen
+        self.smooth, self.poor, self.often = 1.0, 0.0, True  # hops that ended well, badly; whether often
+        self.usual = 0  # the most that warm caches served in a window, a weight
+        self.served, self.window = 0, 0  # what they served in the present window; its start
+        self.total_out = 0  # hops that wait at caches
+        self.lag, self.heard = 0, 0  # how long reads at caches take lately; when one was last seen
         self.watch_at, self.failures = 0 if terms.watched else None, 0
 
     # --- the list -------------------------------------------------------------------------------------
@@ -165,7 +185,7 @@
     def list_entry(self, now, server, state, weight, started, zone, cell):
         since, back = self.hand.get(server.name, (0, 0))
         if back and (started is None or started < since):
-            started = back      # guards against a list that has not heard that it was restarted while out
+            started = back  # guards against a list that has not heard that it was restarted while out
         if started != server.started or server.state == 'gone':
             # A restart under the same id is a fresh, cold server: what was known of the old one is void.
             server.share, server.doubt, server.raised, server.eased = 1, 0, now, now
@@ -208,8 +228,18 @@
 
     def legacy(self, now):
         """What another process of this node must go on with, as plain values, with ages: for inherit()."""
-        return [self.usual, {s.name: [None if s.started is None else now - s.started, s.credit,
-                                      max(1, s.bear - s.out), s.lag] for s in self.known.values()}]
+        return [
+            self.usual,
+            {
+                s.name: [
+                    None if s.started is None else now - s.started,
+                    s.credit,
+                    max(1, s.bear - s.out),
+                    s.lag,
+                ]
+                for s in self.known.values()
+            },
+        ]
 
     def inherit(self, now, usual, servers):
         """Go on with that. Its cold credit is spent here and nowhere else."""
@@ -271,8 +301,11 @@
         if answered and lasted < most:
             if server.out + 1 >= server.bear / 2:
                 server.bear += 1 / server.bear
-        elif hop.sent >= server.eased and how != 'unsent' and (
-                (min(lasted, server.lag) if self.often else lasted) >= most or how in ('refused', 'error')):
+        elif (
+            hop.sent >= server.eased
+            and how != 'unsent'
+            and ((min(lasted, server.lag) if self.often else lasted) >= most or how in ('refused', 'error'))
+        ):
             if server.bear == 1:
                 # One hop from each node keeps a jammed server jammed: let it drain, then trickle back.
                 self.halve(now, server)
@@ -307,7 +340,7 @@
     def fade(self, now, since):
         """How much of what was seen then still counts. Guards against a lock-out: a node among hundreds may
         not get to a server often enough to learn that it is well again."""
-        return 0.5 ** min(64, (now - since) / (8 * self.goal))     # never 0, however long ago
+        return 0.5 ** min(64, (now - since) / (8 * self.goal))  # never 0, however long ago
 
     def turns(self, now, server):
         """The part of its own keys' reads that a set-aside server gets; with no news that grows by time."""
@@ -334,8 +367,10 @@
         if turns < 1 or server.doubt >= DOUBT:
             if turns == 1:
                 full = -log(FLOOR, 2) * 8 * self.goal // 10_000
-                self.logs.append('set aside: %s, %d hops unanswered; a trickle tries it, in full in %d s '
-                                 'unless silent again' % (server.name, server.doubt, full))
+                self.logs.append(
+                    'set aside: %s, %d hops unanswered; a trickle tries it, in full in %d s '
+                    'unless silent again' % (server.name, server.doubt, full)
+                )
             server.share, server.raised = FLOOR, now
 
     def survey(self, now):
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -22,11 +22,11 @@
 from .known import LOOKUPS, MARGIN, RACES, Histogram, Server
 from .terms import IDEMPOTENT, JOURNALLED
 
-NEVER_RAN = ('refused', 'unreachable', 'unsent', 'missing')   # endings that prove a hop never ran
-OVER = 2                # passed over: more than OVER times the mean in-flight plus MARGIN
-COPY_SHARE = 0.25       # copies, as a share of the reads taken
-NEAR = 1 << 30          # how much more a cache of the node's own zone counts for a key that stays near
-PAST = 256              # reads by which a key counts as known
+NEVER_RAN = ('refused', 'unreachable', 'unsent', 'missing')  # endings that prove a hop never ran
+OVER = 2  # passed over: more than OVER times the mean in-flight plus MARGIN
+COPY_SHARE = 0.25  # copies, as a share of the reads taken
+NEAR = 1 << 30  # how much more a cache of the node's own zone counts for a key that stays near
+PAST = 256  # reads by which a key counts as known
 MASK = (1 << 64) - 1
 
 
@@ -67,13 +67,13 @@
 
     def __init__(self, terms, seed, rank):
         super().__init__(terms, seed)
-        self.hint = min(terms.max_return, self.goal)    # when to come back if turned away; 0: not told
-        self.ready, self.alarms, self.asked, self.turn = deque(), [], None, 0   # ready: looked at next
-        self.last, self.every = 0, 0            # the last transaction; how far apart they come
-        self.fetching, self.followers = {}, {}   # by key: who fetches, who waits for that
-        self.queue = deque()            # reads that wait for a place to fetch
+        self.hint = min(terms.max_return, self.goal)  # when to come back if turned away; 0: not told
+        self.ready, self.alarms, self.asked, self.turn = deque(), [], None, 0  # ready: looked at next
+        self.last, self.every = 0, 0  # the last transaction; how far apart they come
+        self.fetching, self.followers = {}, {}  # by key: who fetches, who waits for that
+        self.queue = deque()  # reads that wait for a place to fetch
         self.fetches = Histogram(self.unit)
-        self.past, self.recent = Lookups(PAST), Lookups(LOOKUPS)    # reads
+        self.past, self.recent = Lookups(PAST), Lookups(LOOKUPS)  # reads
 
     # --- transactions ---------------------------------------------------------------------------------
 
@@ -84,11 +84,11 @@
         mark = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
         tx = Tx(self.terms.profiles[row], key, mark, since, limit, write)
         tx.refused = self.shares and self.shares.admits(now, tx.profile)
-        tx.twice = self.terms.may_copy and tx.read      # only idempotent reads are ever out twice
+        tx.twice = self.terms.may_copy and tx.read  # only idempotent reads are ever out twice
         if tx.read and key is not None:
             tx.known = self.past.add(mark)
             self.recent.add(mark)
-        if not write and not self.late(4 * (now - since)):      # copies cost a node that is behind most
+        if not write and not self.late(4 * (now - since)):  # copies cost a node that is behind most
             self.copies_left = min(RACES, self.copies_left + COPY_SHARE * max(0, 1 - 2 * self.strain()))
         self.ready.append(tx)
         if limit is not None:
@@ -117,9 +117,15 @@
             (self.unanswered if server.doubt else self.halve)(now, server)
             server.doubt = max(1, server.doubt)
         elif how in ('spoilt', 'rejected'):
-            server.doubt = 0        # it answers, whatever came of that on the way
-        elif (how in ('unreachable', 'lost') or how == 'expired' and self.over(now, tx)
-              or how == 'cancelled' and hop.dropped and lasted > 2 * server.lag):
+            server.doubt = 0  # it answers, whatever came of that on the way
+        elif (
+            how in ('unreachable', 'lost')
+            or how == 'expired'
+            and self.over(now, tx)
+            or how == 'cancelled'
+            and hop.dropped
+            and lasted > 2 * server.lag
+        ):
             self.unanswered(now, server)
         elif how == 'refused':
             # A full server is crowded, not dead: it gets less until it answers again.
@@ -141,7 +147,7 @@
         self.release(tx)
         self.ready.append(tx)
 
-    client_gone = finish        # nothing more is owed
+    client_gone = finish  # nothing more is owed
 
     # --- the origin's fetches -------------------------------------------------------------------------
 
@@ -182,7 +188,7 @@
             self.asked = None
         while self.alarms:
             when, _, tx = self.alarms[0]
-            over = tx is not None and tx.done and not tx.out    # no wake-up is asked for that
+            over = tx is not None and tx.done and not tx.out  # no wake-up is asked for that
             if when > now and not over:
                 break
             heappop(self.alarms)
@@ -220,7 +226,7 @@
             return self.give_up(now, tx, 'late for another attempt')
         once = tx.write or tx.limit is None or not tx.read and tx.hops and tx.hops[-1].ran
         if tx.missed and not (tx.again or once):
-            return self.step_fetch(now, tx)     # of whatever effect: a miss had none
+            return self.step_fetch(now, tx)  # of whatever effect: a miss had none
         return self.step_read(now, tx, False) if tx.read else self.step_once(now, tx)
 
     def cancel(self, tx):
@@ -248,7 +254,7 @@
             return self.give_up(now, tx, 'no budget for another attempt')
         server = tx.again or self.pick(now, tx)
         tx.again = decision = None
-        spare = 1 if self.terms.aside else 0        # a miss needs one more hop, to the origin
+        spare = 1 if self.terms.aside else 0  # a miss needs one more hop, to the origin
         if server and len(tx.hops) < self.terms.max_hops - spare:
             decision = self.send(now, tx, server, copy)
         if not decision:
@@ -259,7 +265,7 @@
             tx.hops[0].server.pace.alone = 0
         else:
             tx.delay = server.pace.delay(tx.profile.goal // 4, tx.profile.goal // 2)
-        tx.next = now + max(tx.delay, copy)     # the first may follow at once
+        tx.next = now + max(tx.delay, copy)  # the first may follow at once
         if tx.twice:
             self.alarm(tx.next, tx)
         return decision
@@ -362,7 +368,7 @@
         room = 2 - 6 * self.typical(now) / self.goal
         if self.origin:
             room = min(room, 2 - (4 if tx.known else 6) * self.expected(now, self.origin) / self.goal)
-        return mix(tx.mark) & 0xffff < room * 0x10000
+        return mix(tx.mark) & 0xFFFF < room * 0x10000
 
     def spread(self, tx, near):
         """Guards against a key that asks for more than its home bears: with over half of a cache's fair part
