--- a/lilacdyke/plan/__init__.py
+++ b/lilacdyke/plan/__init__.py
@@ -1,1 +1,1 @@
-"""Planners: what forwarders may spend of budgets that they share. Pure so far; see docs/ROADMAP.md."""
+"""Planners: coordinate the limits, server verdicts and task leases that the forwarders of a fleet share."""
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -1,61 +1,65 @@
-"""A planner's decisions: what it lends, by which limits, and when not. Without I/O.
+"""Decisions of a planner: what it lends, under which limits, and when it must not lend. No I/O.
 
-Owns the bank, the edition of the limits that it goes by, and what forwarders tell of the other planners. Must
-never lend of its own without news of most planners: a planner that is cut off from the rest does not hear
-that operators have lowered a limit.
+Owns the planner's side of the ledger, the edition of the limits in force, and what forwarders report about
+the other planners. A planner lends its own part only while a majority of planners is known to be reachable:
+one that is partitioned from the rest would not learn that operators have lowered a limit.
 
-How long an older limit can act. Operators change the file at most planners, the last of them at T. A planner
-that lends by an older edition has, not longer than its `window` ago, been told by a forwarder of answers of
-most planners; one of these has the new edition, and has answered that forwarder with it if the digest was
-sent after T. So from T and the window on nobody lends by the older one, and a lease and its tail later
-nothing is spent by it.
+How long an outdated limit can stay in effect: operators change the file at a majority of planners, the last
+of them at time T. A planner that still lends under an older edition has, within its `window`, received a
+forwarder's report of answers from a majority. One of those planners has the new edition, and answered that
+forwarder with it if the digest was sent after T. So nobody lends under the older edition after T + window,
+and nothing is spent under it a lease and its tail later.
 """
 
 from .frames import ROWS
 from .ledger import Bank, longer, shorter
 from .verdicts import Sight
 
-WINDOW = 2  # leases for which news of another planner counts
+QUORUM_WINDOW_LEASES = 2  # leases for which another planner counts as reachable after its last answer
 
 
 class Planner:
-    """One planner, from its start to its end."""
+    """State of one planner process."""
 
     def __init__(self, now, life, fleet, index):
         self.fleet, self.index = fleet, index
         self.edition, self.mosts = fleet.edition, fleet.mosts()
-        self.window = WINDOW * fleet.lease
+        self.window = QUORUM_WINDOW_LEASES * fleet.lease
         self.bank = Bank(life, fleet.lease, fleet.gift, now, None, fleet.tails(), fleet.units())
         self.sight = None if fleet.span is None else Sight(fleet.span)
-        self.heard = {}  # by another planner's name: when it last answered somebody, at the latest
+        self.last_heard = {}  # by planner name: a lower bound on when it last answered a forwarder
 
     # --- inputs -----------------------------------------------------------------------------------------
 
     def reread(self, fleet):
-        """The file has changed. Why it cannot be taken, or None. Seats, planners, floors and times are for
-        the next start."""
-        kept = [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in fleet.limit]
-        if kept != [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in self.fleet.limit]:
-            return 'limit: another name, kind or floor is for the next start'
+        """Adopt the limits of a changed fleet file. Return why it is rejected, or None. Changes to seats,
+        planners and times take effect only after a restart."""
+        fixed = [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in fleet.limit]
+        if fixed != [
+            (limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in self.fleet.limit
+        ]:
+            return 'limit: a change of name, kind or floor needs a restart'
         if fleet.edition <= self.edition:
-            return 'edition: %d is not above %d' % (fleet.edition, self.edition)
+            return 'edition: %d is not higher than %d' % (fleet.edition, self.edition)
         self.edition, self.mosts = fleet.edition, fleet.mosts()
         return None
 
     def told(self, now, digest):
-        """A digest has come: the plan that answers it, or None."""
+        """Process a digest. Return the plan that answers it, or None."""
         self.hear(digest['edition'], digest['mosts'])
-        self.hear_of_others(now, digest)
+        self.record_heard_planners(now, digest)
         self.bank.endow(
-            self.fleet.planner_parts(self.index, self.mosts if self.backed(now) else self.floors())
+            self.fleet.planner_parts(
+                self.index, self.mosts if self.has_quorum(now) else self.seat_owned_limits()
+            )
         )
         plan = self.bank.told(now, digest)
         if plan is None:
             return None
-        return dict(plan, edition=self.edition, mosts=self.mosts, verdicts=self.seen(now, digest))
+        return dict(plan, edition=self.edition, mosts=self.mosts, verdicts=self.verdicts_for(now, digest))
 
-    def seen(self, now, digest):
-        """Take evidence in; the verdicts that its forwarder is told."""
+    def verdicts_for(self, now, digest):
+        """Record the evidence in a digest. Return the verdicts to send to its forwarder."""
         if self.sight is None or digest['site'] is None:
             return []
         left = self.left(now, digest)
@@ -70,8 +74,8 @@
             )
         return self.sight.rows_for(now, digest['site'], {tuple(server) for server in digest['doubts']})
 
-    def tell(self, now):
-        """For staff: what is held on servers, and who has said something of late."""
+    def status(self, now):
+        """Return the current verdicts and the seats that reported evidence lately, for operators."""
         if self.sight is None:
             return {'verdicts': [], 'witnesses': []}
         return {
@@ -86,25 +90,26 @@
         }
 
     def left(self, now, digest):
-        """When a digest left at the earliest, by this clock, or None: not before our plan that it echoes, and
-        the time that that was held. Guards against a digest that lay somewhere."""
+        """Return the earliest time, by this clock, at which a digest was sent, or None if unknown. That is
+        when the plan that it echoes was sent, plus how long the forwarder had held that plan. Keeps digests
+        that were delayed on the way from counting as fresh."""
         if digest['life'] != self.bank.life or digest['stamp'] is None or digest['stamp'] > now:
             return None
         return min(now, digest['stamp'] + shorter(digest['held']))
 
-    def hear_of_others(self, now, digest):
-        """When others answered: not later than this digest left."""
+    def record_heard_planners(self, now, digest):
+        """Record when other planners answered the sender: before it sent this digest."""
         left = self.left(now, digest)
         if left is None:
             return
         for row in self.fleet.planner:
             if row.name in digest['heard']:
                 when = left - longer(digest['heard'][row.name])
-                self.heard[row.name] = max(self.heard.get(row.name, when), when)
+                self.last_heard[row.name] = max(self.last_heard.get(row.name, when), when)
 
     def hear(self, edition, mosts):
-        """Limits that another told. Of two that go by one number the lower ones count: guards against a
-        number given twice."""
+        """Adopt limits of a newer edition. If two contents share an edition number, which operators should
+        never do, the lower value of each limit applies."""
         if not self.fleet.fits(mosts):
             return
         if edition > self.edition:
@@ -112,14 +117,16 @@
         elif edition == self.edition:
             self.mosts = {name: min(most, mosts[name]) for name, most in self.mosts.items()}
 
-    # --- what follows -----------------------------------------------------------------------------------
+    # --- derived state ----------------------------------------------------------------------------------
 
-    def backed(self, now):
-        """Whether most planners, this one among them, are known to have answered lately."""
-        mine = self.fleet.planner[self.index].name
-        known = 1 + sum(now <= when + self.window for name, when in self.heard.items() if name != mine)
-        return 2 * known > len(self.fleet.planner)
+    def has_quorum(self, now):
+        """Return whether a majority of planners, this one included, has answered recently."""
+        own_name = self.fleet.planner[self.index].name
+        reachable = 1 + sum(
+            now <= when + self.window for name, when in self.last_heard.items() if name != own_name
+        )
+        return 2 * reachable > len(self.fleet.planner)
 
-    def floors(self):
-        """Limits at which planners own nothing."""
+    def seat_owned_limits(self):
+        """Return the limits at which all budgets belong to the seats, and none to planners."""
         return {limit.name: limit.grains()[1] for limit in self.fleet.limit}
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -80,7 +80,7 @@
         """What staff are told who ask."""
         now = self.clock()
         return dict(
-            self.planner.tell(now),
+            self.planner.status(now),
             tasks=self.voter.holders(now) if self.voter else [],
             votes=bool(self.voter and self.voter.votes(now)),
         )
@@ -117,7 +117,7 @@
             number=number,
             edition=self.planner.edition,
             forwarders=len(self.planner.bank.holders),
-            backed=self.planner.backed(now),
+            backed=self.planner.has_quorum(now),
             **{'servers_' + kind: count for kind, count in sorted(kinds.items())},
         )
         self.report_soon(number)
@@ -179,7 +179,7 @@
             links=len(self.desk.links),
             forwarders=len(self.planner.bank.holders),
             edition=self.planner.edition,
-            backed=self.planner.backed(now),
+            backed=self.planner.has_quorum(now),
             memory_kb=self.system.memory_kb(),
             **self.counts,
         )
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -371,7 +371,7 @@
         self.meet()
         self.meet({}, {'p1': 0})
         end = self.now + self.made.window
-        self.assertEqual((self.made.backed(end - 1), self.made.backed(end + 1)), (True, False))
+        self.assertEqual((self.made.has_quorum(end - 1), self.made.has_quorum(end + 1)), (True, False))
 
     def test_a_lowered_limit_is_lent_by_at_once_and_reaches_planners_by_forwarders(self):
         self.meet(), self.meet({}, {'p1': 0})
