--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -201,7 +201,7 @@
 
     def do_say(self, name, digest):
         link = self.links.get(name)
-        if link is not None and not link.digest(digest):
+        if link is not None and not link.send_digest(digest):
             self.node.count('digests_held')
 
     def do_end(self, name, why):
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -1,8 +1,8 @@
 """Links between forwarders and planners, as Twisted protocols.
 
-Owns the bytes: frames in, frames out, and what a link that ends leaves. Must never queue more than one frame
-for a peer that does not read, let bad bytes past the link that they came on, or decide: that is
-forwarder.py's and planner.py's.
+Owns framing, and cleanup when a link closes. Must never queue more than one frame for a peer that does not
+read, or let malformed bytes affect anything but the link that they came on. The decisions are in forwarder.py
+and planner.py.
 """
 
 from twisted.internet.protocol import Factory, Protocol
@@ -13,8 +13,8 @@
 
 
 class Speaker(Protocol):
-    """One end of a link. heard: the kinds that are expected here, each with the method that takes its
-    fields."""
+    """One end of a link. heard: maps each kind of frame accepted here to the name of the method that handles
+    its fields."""
 
     heard = {}
 
@@ -32,28 +32,28 @@
                 if kind in self.heard and not self.ended:
                     getattr(self, self.heard[kind])(fields)
         except OtherMajor as err:
-            self.bad('link refused', err)
+            self.protocol_error('link refused', err)
         except BadFrame as err:
-            self.bad('frame not read', err)
+            self.protocol_error('frame not read', err)
         except Exception:
             LOG.exception('fault')
             self.end()
 
-    def bad(self, event, err):
-        """Guards against bytes that are no frame: they end this link and nothing else."""
+    def protocol_error(self, event, err):
+        """Log and count a malformed frame, and close this link."""
         self.count_bad()
         warn(event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err)
         self.end()
 
     def say(self, kind, fields):
-        """Send a frame, if all that was sent before has gone to the system; whether it was sent."""
+        """Send a frame unless earlier data is still buffered. Return whether it was sent."""
         if self.ended or waiting(self.transport):
             return False
         self.transport.write(pack(kind, fields))
         return True
 
     def end(self):
-        """Nothing more is said or heard."""
+        """Abort the connection and ignore whatever arrives later."""
         if not self.ended:
             self.ended = True
             if self.transport:
@@ -61,22 +61,23 @@
 
 
 class ToPlanner(Speaker, Outgoing):
-    """A forwarder's end."""
+    """A forwarder's end of a link."""
 
-    heard = {PLAN: 'told'}
+    heard = {PLAN: 'plan_received'}
 
     def __init__(self, share, name):
         super().__init__()
         self.share, self.name = share, name
 
-    def told(self, plan):
+    def plan_received(self, plan):
         self.share.planned(self.name, plan)
 
     def count_bad(self):
         self.share.node.count('bad_frames')
 
-    def digest(self, fields):
-        """Whether it was sent: one that finds the last one still unsent is not; the next says more."""
+    def send_digest(self, fields):
+        """Send a digest unless the previous one is still buffered: the next digest supersedes it. Return if
+        it was sent."""
         return self.say(DIGEST, fields)
 
     def connectionLost(self, reason=None):
@@ -85,84 +86,89 @@
 
 
 class ToForwarder(Speaker):
-    """A planner's end."""
+    """A planner's end of a link."""
 
-    heard = {DIGEST: 'told', ASK: 'asked', SEEK: 'sought'}
+    heard = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
 
-    def __init__(self, desk):
+    def __init__(self, factory):
         super().__init__()
-        self.desk = desk
+        self.factory = factory
 
     def connectionMade(self):
         super().connectionMade()
-        self.desk.opened(self)
+        self.factory.link_opened(self)
 
-    def told(self, digest):
-        plan = self.desk.told(digest)
+    def digest_received(self, digest):
+        plan = self.factory.digest_received(digest)
         if plan is not None:
             self.say(PLAN, plan)
 
-    def sought(self, message):
-        """A seeker asks for a vote."""
-        answer = self.desk.sought(self, message)
+    def vote_requested(self, message):
+        """Answer a request for a vote."""
+        answer = self.factory.vote_requested(self, message)
         if answer is not None:
             self.say(VOTE, answer)
 
-    def free(self, task):
-        """A task that it waits for is free."""
+    def task_free(self, task):
+        """Notify the peer that a task it waits for is free."""
         self.say(FREE, {'task': task})
 
-    def asked(self, fields):
-        """Staff ask what is held."""
-        self.say(TOLD, self.desk.held())
+    def status_requested(self, fields):
+        """Answer an operator's status request."""
+        self.say(TOLD, self.factory.status())
 
     def count_bad(self):
-        self.desk.counts['bad_frames'] += 1
+        self.factory.counts['bad_frames'] += 1
 
     def connectionLost(self, reason=None):
         self.ended = True
-        self.desk.closed(self)
+        self.factory.link_closed(self)
 
 
-class Desk(Factory):
-    """A planner's listening side. most: links at once; beyond that the one that said nothing for the longest
-    makes way."""
+class PlannerFactory(Factory):
+    """A planner's listening side. max_links: concurrent links; a new link beyond that replaces the oldest."""
 
     noisy = False
 
-    def __init__(self, counts, most, tell, held=dict, vote=lambda message: (None, [])):
-        self.counts, self.most, self.tell, self.held, self.vote = counts, most, tell, held, vote
-        self.seekers = {}  # by life: the link on which it last sought something
-        self.links = {}  # the longest silent first
+    def __init__(self, counts, max_links, on_digest, status=dict, vote=lambda message: (None, [])):
+        self.counts, self.max_links, self.on_digest, self.status, self.vote = (
+            counts,
+            max_links,
+            on_digest,
+            status,
+            vote,
+        )
+        self.seekers = {}  # by life: the link on which it last requested a vote
+        self.links = {}  # in order of arrival
 
     def buildProtocol(self, addr):
         return ToForwarder(self)
 
-    def opened(self, link):
-        """Guards against peers that connect and say nothing, and against a forwarder whose old links were
-        never ended."""
-        if len(self.links) >= self.most:
-            first = next(iter(self.links))
-            del self.links[first]
+    def link_opened(self, link):
+        """Track a new link. Dropping the oldest at the limit keeps idle peers, and links that were never
+        closed, from using up all of them."""
+        if len(self.links) >= self.max_links:
+            oldest = next(iter(self.links))
+            del self.links[oldest]
             self.counts['crowded_out'] += 1
-            first.end()
+            oldest.end()
         self.links[link] = None
 
-    def closed(self, link):
+    def link_closed(self, link):
         self.links.pop(link, None)
         self.seekers = {life: other for life, other in self.seekers.items() if other is not link}
 
-    def sought(self, link, message):
-        """A voter's answer or None; who waits for what became free is told."""
-        answer, free = self.vote(message)
+    def vote_requested(self, link, message):
+        """Return the voter's answer, or None. Notify those that wait for a task that became free."""
+        answer, waiting_lives = self.vote(message)
         self.seekers[message['life']] = link
-        if len(self.seekers) > self.most:
+        if len(self.seekers) > self.max_links:
             del self.seekers[next(iter(self.seekers))]
-        for life in free:
+        for life in waiting_lives:
             if life in self.seekers:
-                self.seekers[life].free(message['task'])
+                self.seekers[life].task_free(message['task'])
         return answer
 
-    def told(self, digest):
+    def digest_received(self, digest):
         self.counts['digests'] += 1
-        return self.tell(digest)
+        return self.on_digest(digest)
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -22,7 +22,7 @@
 from .lease import Lease
 from .leases import Voter
 from .limits import FORWARDERS_PER_SEAT, address, read
-from .link import Desk
+from .link import PlannerFactory
 from .planner import Planner
 
 FIGURES = 10 * SECOND  # between two lines of figures
@@ -42,7 +42,7 @@
         self.life = life or '%s-%s' % (self.name, os.urandom(6).hex())
         self.planner = Planner(self.clock(), self.life, fleet, index)
         self.counts, self.port = Counter(), None
-        self.desk = Desk(
+        self.factory = PlannerFactory(
             self.counts,
             fleet.seats * FORWARDERS_PER_SEAT + 8 + SEEKERS * (fleet.tasks is not None),
             self.told,
@@ -60,7 +60,7 @@
 
     def begin(self, host, port):
         """Listen. The address is this planner's alone: a second process of it does not start."""
-        self.port = self.reactor.listenTCP(port, self.desk, backlog=1024, interface=host)
+        self.port = self.reactor.listenTCP(port, self.factory, backlog=1024, interface=host)
         say(
             'planner serves',
             planner=self.name,
@@ -176,7 +176,7 @@
         now = self.clock()
         say(
             'figures',
-            links=len(self.desk.links),
+            links=len(self.factory.links),
             forwarders=len(self.planner.bank.holders),
             edition=self.planner.edition,
             backed=self.planner.has_quorum(now),
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -1,4 +1,4 @@
-"""Limits of the fleet: the file, the parts, what a forwarder and a planner decide, and links with bad bytes."""
+"""Limits shared by a fleet: the file, the budgets, decisions of forwarders and planners, malformed frames."""
 
 import tempfile
 import unittest
@@ -13,7 +13,7 @@
 from lilacdyke.plan.frames import PLAN, pack
 from lilacdyke.plan.ledger import Parts, Purse, longer
 from lilacdyke.plan.limits import GRAIN
-from lilacdyke.plan.link import Desk, ToPlanner
+from lilacdyke.plan.link import PlannerFactory, ToPlanner
 from lilacdyke.plan.planner import Planner
 from lilacdyke.plan.shares import FINE, Shares
 from lilacdyke.values import BadLine
@@ -399,17 +399,17 @@
 
 
 class Links(unittest.TestCase):
-    def desk(self, most=2):
+    def factory(self, most=2):
         from collections import Counter
 
         self.counts = Counter()
-        return Desk(self.counts, most, lambda digest: None)
+        return PlannerFactory(self.counts, most, lambda digest: None)
 
     def test_bad_bytes_end_that_link_only_and_are_counted(self):
-        desk = self.desk()
+        factory = self.factory()
         links = []
         for _ in range(2):
-            link, wire = desk.buildProtocol(None), Wire()
+            link, wire = factory.buildProtocol(None), Wire()
             link.makeConnection(wire)
             links.append((link, wire))
         with self.assertLogs('lilacdyke', 'WARNING'):
@@ -420,9 +420,9 @@
         )
 
     def test_of_too_many_links_the_one_that_was_there_longest_makes_way(self):
-        desk, wires = self.desk(), []
+        factory, wires = self.factory(), []
         for _ in range(3):
-            link, wire = desk.buildProtocol(None), Wire()
+            link, wire = factory.buildProtocol(None), Wire()
             link.makeConnection(wire)
             wires.append(wire)
         self.assertEqual([wire.aborted for wire in wires], [True, False, False])
