--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -1,7 +1,7 @@
-"""A planner's process: its door, its signals, its file.
+"""The process of a planner: its listening socket, signals and fleet file.
 
-Owns the listening socket and the clock of one planner. Must never decide: planner.py does; nor end for what a
-peer sends, or for a file that cannot be read.
+Owns the socket and the clock of one planner; the decisions are in planner.py. Must not exit because of what a
+peer sends, or because the fleet file has become unreadable.
 """
 
 import gc
@@ -25,19 +25,19 @@
 from .link import PlannerFactory
 from .planner import Planner
 
-FIGURES = 10 * SECOND  # between two lines of figures
-BOOK_AGAIN = SECOND // 2  # until a file of numbers that could not be read or written is tried again
-REPORT = 60 * SECOND  # between two lines of the fleet's
-SEEKERS = 1_024  # links of processes that seek tasks, beside forwarders'
+COUNTS_INTERVAL = 10 * SECOND  # between two log lines of counts
+STORE_RETRY = SECOND // 2  # delay before a voter's file that could not be read is read again
+REPORT_INTERVAL = 60 * SECOND  # between two log lines on the whole fleet
+SEEKERS = 1_024  # links of processes that request task leases, in addition to the forwarders' links
 
 
 class Office:
-    """One planner's process, without its reactor's beginning and end."""
+    """The process of a planner, without starting and stopping its reactor."""
 
     def __init__(self, fleet, index, reactor, system=System, life=None):
         self.fleet, self.index, self.reactor, self.system = fleet, index, reactor, system
         self.elapsed = system.elapsed
-        self.zero = self.elapsed() - 1
+        self.clock_origin = self.elapsed() - 1
         self.name = fleet.planner[index].name
         self.life = life or '%s-%s' % (self.name, os.urandom(6).hex())
         self.planner = Planner(self.clock(), self.life, fleet, index)
@@ -45,21 +45,21 @@
         self.factory = PlannerFactory(
             self.counts,
             fleet.seats * FORWARDERS_PER_SEAT + 8 + SEEKERS * (fleet.tasks is not None),
-            self.told,
-            self.held,
+            self.digest_received,
+            self.status,
             self.vote,
         )
         self.voter, self.book = None, None
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         if fleet.tasks is not None and self.name in fleet.voters:
-            self.take_book()
+            self.start_voter()
 
     def clock(self):
-        """The planner's time: ticks of its own monotonic clock."""
-        return int((self.elapsed() - self.zero) * SECOND)
+        """Return the planner's time, in ticks of its monotonic clock."""
+        return int((self.elapsed() - self.clock_origin) * SECOND)
 
     def begin(self, host, port):
-        """Listen. The address is this planner's alone: a second process of it does not start."""
+        """Start listening. Binding the address keeps a second process of the same planner from starting."""
         self.port = self.reactor.listenTCP(port, self.factory, backlog=1024, interface=host)
         say(
             'planner serves',
@@ -68,16 +68,16 @@
             edition=self.planner.edition,
             life=self.life,
         )
-        self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
+        self.deadlines.at(self.clock() + COUNTS_INTERVAL, self.log_counts, 0)
         if self.fleet.tasks is not None:
-            self.seek_report()
+            self.acquire_reporter_lease()
 
-    def told(self, digest):
-        """The plan that answers a digest, or None."""
+    def digest_received(self, digest):
+        """Return the plan that answers a digest, or None."""
         return self.planner.told(self.clock(), digest)
 
-    def held(self):
-        """What staff are told who ask."""
+    def status(self):
+        """Return the fields of the answer to an operator's status request."""
         now = self.clock()
         return dict(
             self.planner.status(now),
@@ -85,29 +85,29 @@
             votes=bool(self.voter and self.voter.votes(now)),
         )
 
-    # --- the fleet's one line ----------------------------------------------------------------------------
+    # --- log line on the whole fleet ---------------------------------------------------------------------
 
-    def seek_report(self):
-        """Of all planners the one that holds this task writes the fleet's line, once a minute."""
-        self.reporter = Lease(
+    def acquire_reporter_lease(self):
+        """Request the reporter lease; the planner that holds it logs one line on the fleet per interval."""
+        self.reporter_lease = Lease(
             self.reactor,
             self.deadlines,
             self.clock,
             self.fleet,
             'reporter',
             Random(self.life).random,
-            self.report_soon,
+            self.schedule_report,
             lambda number: None,
         )
-        self.reporter.acquire()
+        self.reporter_lease.acquire()
 
-    def report_soon(self, number):
-        self.deadlines.at(self.clock() + REPORT, self.report, number)
+    def schedule_report(self, number):
+        self.deadlines.at(self.clock() + REPORT_INTERVAL, self.report, number)
 
     def report(self, number):
-        """One line, if the lease is the same still; its number tells a reader of logs which of two is the
-        later."""
-        if not self.reporter.held() or self.reporter.number != number:
+        """Log one line if this planner still holds the same lease. The lease number shows a reader which of
+        two reporters is the later one."""
+        if not self.reporter_lease.held() or self.reporter_lease.number != number:
             return
         now = self.clock()
         verdicts = self.planner.sight.now_held(now).values() if self.planner.sight else ()
@@ -120,34 +120,34 @@
             backed=self.planner.has_quorum(now),
             **{'servers_' + kind: count for kind, count in sorted(kinds.items())},
         )
-        self.report_soon(number)
+        self.schedule_report(number)
 
     # --- voting -----------------------------------------------------------------------------------------
 
-    def take_book(self, _=0):
-        """Vote by what a life before wrote down. Without that, or with voters that skip a step, it does not
-        vote, and says so. Guards against a disk that fails for a moment: that is tried again."""
+    def start_voter(self, _=0):
+        """Start voting from the stored state of an earlier process. Do not vote, and log a warning, if that
+        is missing or if more than one voter has changed since. Retry after a transient disk error."""
         self.book = book.Book(self.fleet.tasks.folder, self.name)
         try:
             self.book.read()
             if not book.step(self.book.voters, self.fleet.voters):
-                raise BadLine(
-                    'voters: %s before, and more than one of them has changed' % ', '.join(self.book.voters)
-                )
-            before, lease = self.book.lease, self.fleet.task_lease
-            if (self.book.voters, before) != (self.fleet.voters, lease):
-                self.book.write(self.book.bound, self.fleet.voters, max(lease, before))
+                raise BadLine('voters: more than one has changed; they were %s' % ', '.join(self.book.voters))
+            previous_lease, lease = self.book.lease, self.fleet.task_lease
+            if (self.book.voters, previous_lease) != (self.fleet.voters, lease):
+                self.book.write(self.book.bound, self.fleet.voters, max(lease, previous_lease))
         except (BookUnreadableError, OSError) as err:
             warn('does not vote yet', reason=err)
-            self.deadlines.at(self.clock() + BOOK_AGAIN, self.take_book, 0)
+            self.deadlines.at(self.clock() + STORE_RETRY, self.start_voter, 0)
             return
         except BadLine as err:
             warn('does not vote', reason=err)
             return
-        self.voter = Voter(self.clock(), self.life, lease, self.keep, self.book.bound, before)
+        self.voter = Voter(
+            self.clock(), self.life, lease, self.persist_bound, self.book.bound, previous_lease
+        )
 
-    def keep(self, bound):
-        """Have a bound on numbers written down; whether it was."""
+    def persist_bound(self, bound):
+        """Store an upper bound on lease numbers. Return whether it was stored."""
         try:
             self.book.write(bound, self.book.voters, self.fleet.task_lease)
         except OSError as err:
@@ -156,12 +156,12 @@
         return True
 
     def vote(self, message):
-        """A voter's answer or None, and who is to be told that the task is free."""
+        """Return (the voter's answer or None, lives of those to notify that the task is free)."""
         return (None, []) if self.voter is None else self.voter.told(self.clock(), message)
 
     def reread(self, path):
-        """SIGHUP: the file may have a new edition of the limits. What cannot be read or taken changes
-        nothing."""
+        """Reload the fleet file on SIGHUP, for a new edition of the limits. A file that is unreadable or
+        rejected changes nothing."""
         try:
             why = self.planner.reread(read(path))
         except BadLine as err:
@@ -171,8 +171,8 @@
         else:
             say('edition', edition=self.planner.edition, **self.planner.mosts)
 
-    def figures(self, _):
-        """A line of counts."""
+    def log_counts(self, _):
+        """Log a line of counts."""
         now = self.clock()
         say(
             'figures',
@@ -183,28 +183,28 @@
             memory_kb=self.system.memory_kb(),
             **self.counts,
         )
-        self.deadlines.at(now + FIGURES, self.figures, 0)
+        self.deadlines.at(now + COUNTS_INTERVAL, self.log_counts, 0)
 
 
 def plan(fleet, index, path):
-    """Run one planner until SIGTERM; the exit code."""
+    """Run a planner until SIGTERM. Return the exit code."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
-    office = Office(fleet, index, reactor)
+    planner_process = Office(fleet, index, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(office.reread, path))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(planner_process.reread, path))
     try:
-        office.begin(*address(fleet.planner[index].address))
+        planner_process.begin(*address(fleet.planner[index].address))
     except CannotListenError as err:
         warn('cannot listen', reason=err)
         return 1
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
-    say('stopped', **office.counts)
+    say('stopped', **planner_process.counts)
     return 0
