--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -76,8 +76,9 @@
         self.share.node.count('bad_frames')
 
     def send_digest(self, fields):
-        """Send a digest unless earlier data is still buffered; the next digest supersedes it. Return whether it
-        was sent."""
+        """Send a digest unless earlier data is still buffered; the next digest supersedes it.
+
+        Return whether it was sent."""
         return self.say(DIGEST, fields)
 
     def connectionLost(self, reason=None):
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -46,7 +46,7 @@
             self.counts,
             fleet.seats * FORWARDERS_PER_SEAT + 8 + SEEKERS * (fleet.tasks is not None),
             self.digest_received,
-            self.status,
+            self.fleet_status,
             self.vote,
         )
         self.voter, self.book = None, None
@@ -76,7 +76,7 @@
         """Return the plan that answers a digest, or None."""
         return self.planner.told(self.clock(), digest)
 
-    def status(self):
+    def fleet_status(self):
         """Return the fields of the answer to an operator's status request."""
         now = self.clock()
         return dict(
