--- a/lilacdyke/plan/ledger.py
+++ b/lilacdyke/plan/ledger.py
@@ -1,37 +1,35 @@
-"""Who may spend how much of a budget that all forwarders share: gifts up, leases down, and a sum that always
-holds.
+"""Ledger of budgets that all forwarders share: deposits to planners and leases from them.
 
-Owns the promises. Each seat owns a fixed part of every budget, and the forwarder on it needs nobody to spend
-that. What it can spare it gives to a planner for a while (a promise not to spend it); a planner lends out
-what it was given and what is its own (`pool`), for a shorter while, and nothing else. So the sum of what all
-may spend never passes the whole, whatever messages are lost, late, doubled or reordered, whoever restarts or
-is cut off, and with any number of planners that know nothing of each other. Must never do I/O, read a clock,
-or trust another's clock for more than its rate.
+Each seat owns a fixed part of every budget, which its forwarder may spend without asking anybody. A forwarder
+deposits budget that it does not need with a planner for a limited time, and does not spend it meanwhile (a
+`gift` on the wire). A planner leases out those deposits and its own part (the `pool`), for a shorter time. So
+the sum of what all may spend never exceeds the total, however messages are lost, delayed, duplicated or
+reordered, whoever restarts or is partitioned, and with any number of planners that do not know each other.
+Must never do I/O, read a clock, or rely on another clock for more than its rate.
 
-Times are whole ticks of the caller's own monotonic clock; amounts are whole grains. Rates of clocks differ by
+Times are integer ticks of the caller's monotonic clock; amounts are integer grains. Clock rates differ by
 less than one part in DRIFT.
 
-How time is told apart without a common clock. A lease runs, for who borrows, from when it sent the digest
-that the plan answers; the planner counts it from when that digest came, which is later: it never ends first
-in the planner's books. A gift runs, for who gives, from when it sent the digest with it; the planner knows
-that this was not before it sent the plan that the digest echoes, plus the time that the giver held that: in
-the planner's books it never ends last.
+Expiry without a common clock: a lease runs, for the borrower, from when it sent the digest that the plan
+answers. The planner counts it from the arrival of that digest, which is later, so it never expires first on
+the planner's side. A deposit runs, for the forwarder, from when it sent the digest that carries it. The
+planner counts it from when it sent the plan that the digest echoes, plus how long the forwarder had held that
+plan. That is not later, so a deposit never expires last on the planner's side.
 
-What is spent by being open (requests, connections) may stay so for a `tail` beyond the lease that let it
-begin: the planner charges leases for that much longer, gifts bind twice that longer, and who borrows does not
-say that it holds a smaller lease while more than that is still open.
+What counts while it is open (requests, connections) may stay open for a `tail` beyond the lease under which
+it began. The planner therefore charges leases for that much longer, deposits last for twice that longer, and
+a borrower does not confirm a smaller lease while more than that is still open.
 """
 
 DRIFT = 20
-LIVES = 8  # lives of one planner that a purse still remembers gifts to
-KEYS = 4_096  # budgets in one message; the rest is not asked for
-FORWARDERS = 4_096  # that one planner serves
-LOOKS = 40  # looks of a planner at all forwarders, in a lease
+MAX_LIVES = 8  # lives (restarts) of one planner for which a forwarder remembers deposits
+MAX_KEYS = 4_096  # budgets in one message; further ones are left out
+MAX_FORWARDERS = 4_096  # served by one planner
+SNAPSHOTS_PER_LEASE = 40  # how often per lease a planner recomputes a budget over all forwarders
 
 
 class Parts(dict):
-    """Grains by key. A key with a colon is one of a family, each of which has what stands under the family's
-    name."""
+    """Grains by key. A key `family:member` without an entry of its own has the amount of its family."""
 
     def __missing__(self, key):
         family, colon, _ = key.partition(':')
@@ -39,17 +37,17 @@
 
 
 def longer(span):
-    """The most that a span of another's clock takes on this one."""
+    """Return the longest that a span of another process's clock can last on this one."""
     return span + -(-2 * span // DRIFT)
 
 
 def shorter(span):
-    """The least that it takes."""
+    """Return the shortest that a span of another process's clock can last on this one."""
     return span - -(-2 * span // DRIFT)
 
 
-class Gift:
-    """An amount promised until then."""
+class Deposit:
+    """An amount that a forwarder leaves to a planner until a given time."""
 
     __slots__ = ('until', 'amount')
 
@@ -57,28 +55,34 @@
         self.until, self.amount = until, amount
 
 
-def bound(gifts, when):
-    """The most that gifts bind at that time and later ones up to it: what holds until then for sure."""
-    return max((gift.amount for gift in gifts if gift.until >= when), default=0)
+def reserved(deposits, when):
+    """Return the largest deposit that lasts until the given time."""
+    return max((deposit.amount for deposit in deposits if deposit.until >= when), default=0)
 
 
 class Account:
-    """What a purse has with one life of one planner."""
+    """A forwarder's deposits with, and leases from, one life of one planner."""
 
-    __slots__ = ('life', 'gifts', 'stamp', 'came', 'version', 'held', 'leases')
+    __slots__ = ('life', 'deposits', 'stamp', 'received_at', 'version', 'confirmed_version', 'leases')
 
     def __init__(self, life):
-        self.life, self.gifts = life, {}  # by key: gifts, the newest last
-        self.stamp = self.came = None  # of the newest plan: its own time stamp, and when it came here
+        self.life, self.deposits = life, {}  # by key: deposits, the newest last
+        self.stamp = self.received_at = (
+            None  # of the newest plan: the planner's time stamp, and its arrival here
+        )
         self.version, self.leases = 0, {}  # by key: (until, amount) of the newest plan
-        self.held = 0  # the newest plan under which all that is open has room
+        self.confirmed_version = 0  # the newest plan whose leases cover all that is open
 
 
 class Purse:
-    """A forwarder's: what it may spend. own: Parts, the grains of each budget that are its seat's; lease,
-    gift: how long those run; tails: Parts, how long what began under a lease may stay open beyond it; units:
-    Parts, what amounts must be a multiple of; whole: Parts, all that there is of each budget, where that is
-    known."""
+    """A forwarder's side of the ledger: what it may spend.
+
+    own: grains of each budget that belong to its seat.
+    lease, gift: durations of leases and deposits.
+    tails: how long what began under a lease may stay open beyond it, by key.
+    units: the granularity of amounts, by key.
+    whole: the total of each budget, where that is known.
+    """
 
     __slots__ = (
         'life',
@@ -91,60 +95,68 @@
         'seq',
         'sent',
         'accounts',
-        'share',
+        'deposit_divisor',
         'since',
         'whole',
     )
 
-    def __init__(self, now, life, planners, own, lease, gift, tails=None, units=None, whole=None, share=2):
+    def __init__(
+        self, now, life, planners, own, lease, gift, tails=None, units=None, whole=None, deposit_divisor=2
+    ):
         if gift < 2 * longer(lease):
-            raise ValueError('gifts must run at least twice as long as leases')
+            raise ValueError('deposits must last at least twice as long as leases')
         self.life, self.own, self.full, self.lease, self.gift = life, own, own, lease, gift
         self.tails, self.units, self.whole = tails or Parts(), units or Parts(), whole
-        self.seq, self.sent = 0, {}  # digests sent lately: by number, (planner, when)
-        self.accounts = {planner: [] for planner in planners}  # by planner: its lives, the latest last
-        self.share = share * max(1, len(planners))  # of its own it gives one planner at most one such part
-        # Guards against a forwarder that restarts and has forgotten what it gave: as much as it can have
-        # given counts as given until that would have run out.
+        self.seq, self.sent = 0, {}  # recent digests: by sequence number, (planner, time)
+        self.accounts = {
+            planner: [] for planner in planners
+        }  # by planner: an account for each of its lives, the latest last
+        self.deposit_divisor = deposit_divisor * max(
+            1, len(planners)
+        )  # it deposits at most 1/deposit_divisor of its own with one planner
+        # A restarted forwarder has lost its record of deposits. Until the deposits of an earlier life must
+        # have expired, it assumes the largest that could have been made.
         self.since = (
             now if own else None
-        )  # since when the seat, or the half that answers for gifts, is this one's
+        )  # when this process took over the seat, or the half that covers deposits
 
     def seated(self, now, own, full, anew):
-        """Of the seat, whose part is `full`, this one has so much from now on. anew: it has taken over the
-        half that answers for gifts: who had that may have given as much as one gives."""
+        """Set how much of the seat's budget, `full`, this process holds from now on. anew: it has taken over
+        the half that covers deposits, whose previous owner may have made the largest possible ones."""
         self.own, self.full = own, full
         if anew:
             self.since = now
 
-    def binds(self, key):
-        """How long a gift runs."""
+    def deposit_duration(self, key):
+        """Return how long a deposit lasts."""
         return self.gift + 2 * longer(self.tails[key])
 
-    def shy(self, now, key):
-        """Whether a life before this one may have given what binds still."""
-        return self.since is not None and now <= self.since + self.binds(key)
+    def in_recovery(self, now, key):
+        """Return whether deposits of an earlier life may still be in force."""
+        return self.since is not None and now <= self.since + self.deposit_duration(key)
 
-    def most(self, key):
-        """What it gives to one planner at the most."""
-        part = self.full[key] // self.share
+    def max_deposit(self, key):
+        """Return the most that may be deposited with one planner."""
+        part = self.full[key] // self.deposit_divisor
         return part - part % (self.units[key] or 1)
 
     def account(self, planner):
-        """That with the planner's present life, or None."""
+        """Return the account for the planner's current life, or None."""
         lives = self.accounts[planner]
         return lives[-1] if lives else None
 
     def given(self, now, key):
-        """How much of a budget is promised away now."""
-        if self.shy(now, key):
-            return self.most(key) * len(self.accounts)
+        """Return how much of a budget is deposited with planners now."""
+        if self.in_recovery(now, key):
+            return self.max_deposit(key) * len(self.accounts)
         return sum(
-            bound(account.gifts.get(key, ()), now) for lives in self.accounts.values() for account in lives
+            reserved(account.deposits.get(key, ()), now)
+            for lives in self.accounts.values()
+            for account in lives
         )
 
     def borrowed(self, now, key):
-        """How much of it others have lent."""
+        """Return how much of a budget is leased from planners now."""
         total = 0
         for lives in self.accounts.values():
             if lives and key in lives[-1].leases:
@@ -153,141 +165,145 @@
         return total
 
     def may(self, now, key):
-        """The grains that it may spend of a budget now. Guards against absurd plans: never more than there
-        is."""
+        """Return the grains of a budget that may be spent now. The total of the budget, where known, is an
+        upper bound, whatever a plan says."""
         found = self.own[key] - self.given(now, key) + self.borrowed(now, key)
         return found if self.whole is None else min(found, self.whole[key])
 
     # --- messages ---------------------------------------------------------------------------------------
 
     def digest(self, now, planner, spare, wants, used=()):
-        """The next digest to a planner. spare, wants: grains by key, what it can do without and what it
-        lacks; used: a table of those that are open now."""
+        """Return the next digest for a planner. spare, wants: grains by key that it can do without, and that
+        it lacks; used: grains by key that are open now."""
         used = dict(used)
         self.seq += 1
         self.forget(now)
         self.sent[self.seq] = (planner, now)
-        account, gifts = self.account(planner), {}
+        account, deposits = self.account(planner), {}
         if account and all(amount <= self.may(now, key) for key, amount in used.items()):
-            account.held = account.version
-        # Nothing is given while gifts of a life before may bind: a planner counts the two apart, and would
-        # lend both; nor by one that shares its seat with another process.
+            account.confirmed_version = account.version
+        # No deposits while those of an earlier life may be in force: a planner counts the two separately and
+        # would lend both. None either from a process that shares its seat with another.
         if account is not None and account.stamp is not None and self.own == self.full:
-            for key, amount in [pair for pair in spare.items() if not self.shy(now, pair[0])][:KEYS]:
-                gifts[key] = self.give(
+            for key, amount in [pair for pair in spare.items() if not self.in_recovery(now, pair[0])][
+                :MAX_KEYS
+            ]:
+                deposits[key] = self.make_deposit(
                     now, planner, account, key, min(amount, self.own[key] - used.get(key, 0))
                 )
         return {
             'forwarder': self.life,
             'seq': self.seq,
-            'holds': account.held if account else 0,
+            'holds': account.confirmed_version if account else 0,
             'life': account.life if account else None,
             'stamp': account.stamp if account else None,
-            'held': now - account.came if account and account.came is not None else 0,
-            'gifts': {key: amount for key, amount in gifts.items() if amount},
-            'wants': {key: amount for key, amount in list(wants.items())[:KEYS] if amount > 0},
+            'held': now - account.received_at if account and account.received_at is not None else 0,
+            'gifts': {key: amount for key, amount in deposits.items() if amount},
+            'wants': {key: amount for key, amount in list(wants.items())[:MAX_KEYS] if amount > 0},
         }
 
-    def give(self, now, planner, account, key, amount):
-        """Promise as much as is left to promise, beside what other planners have; what was promised before
-        binds on until it runs out. One planner is never given more than its part, over all of its lives: that
-        is what a restarted forwarder counts on."""
-        gifts = [gift for gift in account.gifts.get(key, ()) if gift.until >= now]
+    def make_deposit(self, now, planner, account, key, amount):
+        """Deposit up to `amount`, less what is deposited with other planners, and return the amount. Earlier
+        deposits stay in force until they expire. The bound for one planner holds over all of its lives; a
+        restarted forwarder relies on that."""
+        deposits = [deposit for deposit in account.deposits.get(key, ()) if deposit.until >= now]
         lives = sum(
-            bound(other.gifts.get(key, ()), now) for other in self.accounts[planner] if other is not account
+            reserved(other.deposits.get(key, ()), now)
+            for other in self.accounts[planner]
+            if other is not account
         )
-        others = self.given(now, key) - bound(account.gifts.get(key, ()), now)
-        amount = max(0, min(amount - others, self.most(key) - lives))
+        others = self.given(now, key) - reserved(account.deposits.get(key, ()), now)
+        amount = max(0, min(amount - others, self.max_deposit(key) - lives))
         amount -= amount % (self.units[key] or 1)
-        gifts = [
-            gift for gift in gifts if gift.amount > amount
-        ]  # a smaller one that ends sooner adds nothing
+        deposits = [
+            deposit for deposit in deposits if deposit.amount > amount
+        ]  # a smaller one that expires sooner adds nothing
         if amount:
-            gifts.append(Gift(now + self.binds(key), amount))
-        account.gifts[key] = gifts
+            deposits.append(Deposit(now + self.deposit_duration(key), amount))
+        account.deposits[key] = deposits
         return amount
 
     def forget(self, now):
-        """Digests whose answers would be void by now, and gifts that have run out."""
+        """Drop digests whose answers would be too late by now, and expired deposits."""
         self.sent = {seq: row for seq, row in self.sent.items() if now < row[1] + self.lease}
         for lives in self.accounts.values():
             for account in lives:
-                account.gifts = {
+                account.deposits = {
                     key: kept
-                    for key, gifts in account.gifts.items()
-                    if (kept := [gift for gift in gifts if gift.until >= now])
+                    for key, deposits in account.deposits.items()
+                    if (kept := [deposit for deposit in deposits if deposit.until >= now])
                 }
-            lives[:] = [account for account in lives[:-1] if account.gifts] + lives[-1:]
+            lives[:] = [account for account in lives[:-1] if account.deposits] + lives[-1:]
 
     def planned(self, now, planner, plan):
-        """A plan has come. Whether it is of use: one that answers no digest of ours that is still young, or
-        that is older than what is held, changes nothing."""
-        asked = self.sent.get(plan['seq'])
-        if asked is None or asked[0] != planner or plan['forwarder'] != self.life:
+        """Apply a plan and return whether it was used. Ignore one that does not answer a recent digest of
+        this forwarder, or that is older than the current one."""
+        request = self.sent.get(plan['seq'])
+        if request is None or request[0] != planner or plan['forwarder'] != self.life:
             return False
-        until = asked[1] + self.lease
+        until = request[1] + self.lease
         if now >= until:
             return False
         account = self.account(planner)
         if account is None or account.life != plan['life']:
             if (
                 any(old.life == plan['life'] for old in self.accounts[planner])
-                or len(self.accounts[planner]) >= LIVES
+                or len(self.accounts[planner]) >= MAX_LIVES
             ):
-                return False  # a life that has ended, or one that comes back too often: alone is safe
+                return False  # a life that has ended, or too many restarts: ignoring its plans is safe
             account = Account(plan['life'])
             self.accounts[planner].append(account)
         elif plan['version'] <= account.version:
             return False
-        account.version, account.stamp, account.came = plan['version'], plan['stamp'], now
+        account.version, account.stamp, account.received_at = plan['version'], plan['stamp'], now
         account.leases = {
-            key: (until, amount) for key, amount in list(plan['leases'].items())[:KEYS] if amount > 0
+            key: (until, amount) for key, amount in list(plan['leases'].items())[:MAX_KEYS] if amount > 0
         }
         return True
 
 
-class Holder:
-    """What a planner knows of one life of a forwarder."""
+class ForwarderRecord:
+    """State that a planner keeps for one life of a forwarder."""
 
-    __slots__ = ('name', 'seq', 'seen', 'gifts', 'grants', 'wants')
+    __slots__ = ('name', 'seq', 'seen', 'deposits', 'grants', 'wants')
 
     def __init__(self, name):
         self.name, self.seq, self.seen = name, 0, 0
-        self.gifts = {}  # by key: gifts
-        self.grants = []  # (version, until, leases by key), not yet run out nor superseded for sure
+        self.deposits = {}  # by key: deposits
+        self.grants = []  # (version, until, leases by key), neither expired nor confirmed as superseded
         self.wants = {}
 
     def charge(self, now, key, tail):
-        """The most that it may be spending of what it was lent, or have open a tail later."""
+        """Return the most of its leases that it may be using, or may have open within a tail after them."""
         return max((leases.get(key, 0) for _, until, leases in self.grants if now <= until + tail), default=0)
 
 
-class Look:
-    """What a planner found of one budget when it last looked at all forwarders; kept for a moment, and never
-    better than what is so."""
+class BudgetSnapshot:
+    """A planner's totals for one budget over all forwarders. Cached for a short time, during which it never
+    overstates what may be lent."""
 
-    __slots__ = ('when', 'pool', 'charges', 'lent', 'level', 'rest')
+    __slots__ = ('when', 'pool', 'charges', 'lent', 'fair_share', 'remainder')
 
     def __init__(self, when, pool, charges, wants):
         self.when, self.pool, self.charges = (
             when,
             pool,
             charges,
-        )  # charges: by forwarder, those that there are
+        )  # charges: by forwarder
         self.lent = sum(charges.values())
-        self.level, self.rest = (
+        self.fair_share, self.remainder = (
             None,
             0,
-        )  # what each may have of it, if some lack: water-filling; and what is left by division
-        left = len(wants)
+        )  # max-min fair share if demand exceeds the pool, and the remainder of the division
+        claims = len(wants)
         for wanted in sorted(wants):
-            if wanted > pool // left:
-                self.level, self.rest = pool // left, pool % left
+            if wanted > pool // claims:
+                self.fair_share, self.remainder = pool // claims, pool % claims
                 break
-            pool, left = pool - wanted, left - 1
+            pool, claims = pool - wanted, claims - 1
 
-    def grant(self, holder, amount):
-        """One was lent so much: it is charged with that from now on, or with more that it had."""
+    def record_grant(self, holder, amount):
+        """Charge a forwarder with a new lease, unless it is charged with more already."""
         had = self.charges.get(holder, 0)
         if amount > had:
             self.charges[holder] = amount
@@ -295,10 +311,15 @@
 
 
 class Bank:
-    """A planner's: what it was given and what is its own, and to whom it is lent. It needs nothing of its
-    past: what an earlier life lent of what it was given is backed by that, which givers count apart; and its
-    own it lends only once all that an earlier life can have lent has run out. endowed: Parts, its own; tails:
-    as a purse's; units: Parts, what an amount must be a multiple of to be of use."""
+    """A planner's side of the ledger: deposits, its own budget, and the leases made from both.
+
+    It keeps no state over a restart. Leases that an earlier life made from deposits are covered by those
+    deposits, which forwarders account for separately. Its own budget is lent only after all leases of an
+    earlier life must have expired.
+
+    own_budget: grains of each budget that belong to this planner.
+    tails, units: as for a forwarder.
+    """
 
     __slots__ = (
         'life',
@@ -306,73 +327,79 @@
         'gift',
         'version',
         'holders',
-        'endowed',
+        'own_budget',
         'tails',
         'units',
         'since',
         'keep',
-        'looks',
-        'tidied',
+        'snapshots',
+        'last_expiry',
     )
 
-    def __init__(self, life, lease, gift, now=0, endowed=None, tails=None, units=None):
+    def __init__(self, life, lease, gift, now=0, own_budget=None, tails=None, units=None):
         self.life, self.lease, self.gift, self.since = life, lease, gift, now
         self.version, self.holders = 0, {}
-        self.endowed, self.tails, self.units = endowed or Parts(), tails or Parts(), units or Parts()
+        self.own_budget, self.tails, self.units = own_budget or Parts(), tails or Parts(), units or Parts()
         self.keep = (
-            lease // LOOKS
-        )  # how long a look at all forwarders is kept: guards against a look for each of hundreds
-        self.looks, self.tidied = {}, now
+            lease // SNAPSHOTS_PER_LEASE
+        )  # how long a snapshot is reused, so that not every digest scans all forwarders
+        self.snapshots, self.last_expiry = {}, now
 
     def endow(self, parts):
-        """What is its own from now on."""
-        if parts != self.endowed:
-            self.endowed = parts
-            self.looks.clear()
+        """Set this planner's own budget."""
+        if parts != self.own_budget:
+            self.own_budget = parts
+            self.snapshots.clear()
 
-    def charged(self, key):
-        """How long a lease is charged for."""
+    def charge_duration(self, key):
+        """Return how long a lease is charged for."""
         return longer(self.lease) + longer(self.tails[key])
 
     def told(self, now, digest):
-        """A digest has come: the plan that answers it, or None if it is old."""
-        if now >= self.tidied + self.keep:
-            self.tidy(now)
+        """Process a digest. Return the plan that answers it, or None if it is outdated."""
+        if now >= self.last_expiry + self.keep:
+            self.expire(now)
         holder = self.holders.get(digest['forwarder'])
         if holder is None:
-            if len(self.holders) >= FORWARDERS:
+            if len(self.holders) >= MAX_FORWARDERS:
                 return None
-            holder = self.holders[digest['forwarder']] = Holder(digest['forwarder'])
+            holder = self.holders[digest['forwarder']] = ForwarderRecord(digest['forwarder'])
         if digest['seq'] <= holder.seq:
             return None
         holder.seq, holder.seen, holder.wants = digest['seq'], now, dict(digest['wants'])
         if digest['life'] == self.life:
-            holder.grants = [grant for grant in holder.grants if grant[0] >= digest['holds']]
+            holder.grants = [
+                record_grant for record_grant in holder.grants if record_grant[0] >= digest['holds']
+            ]
             self.receive(now, holder, digest)
         return self.plan(now, holder)
 
     def receive(self, now, holder, digest):
-        """Take gifts in. They run from when the digest was sent at the earliest: not before our plan's stamp
-        and what it was held."""
+        """Record deposits. They count from the earliest time at which the digest can have been sent: the
+        stamp of the plan that it echoes, plus how long the forwarder had held that plan."""
         if digest['stamp'] is None or digest['stamp'] > now:
             return
-        left = min(now, digest['stamp'] + shorter(digest['held']))
+        sent_at = min(now, digest['stamp'] + shorter(digest['held']))
         for key, amount in digest['gifts'].items():
-            until = left + shorter(self.gift + 2 * longer(self.tails[key]))
-            kept = [gift for gift in holder.gifts.get(key, ()) if gift.until > until or gift.amount > amount]
-            holder.gifts[key] = kept + [Gift(until, amount)]
+            until = sent_at + shorter(self.gift + 2 * longer(self.tails[key]))
+            kept = [
+                deposit
+                for deposit in holder.deposits.get(key, ())
+                if deposit.until > until or deposit.amount > amount
+            ]
+            holder.deposits[key] = kept + [Deposit(until, amount)]
 
     def pool(self, now, key, until):
-        """What is given for sure until then, and what is this planner's own."""
-        return sum(bound(holder.gifts.get(key, ()), until) for holder in self.holders.values()) + (
-            self.endowed[key] if now > self.since + self.charged(key) else 0
+        """Return the sum of deposits that last until the given time and of this planner's own budget."""
+        return sum(reserved(holder.deposits.get(key, ()), until) for holder in self.holders.values()) + (
+            self.own_budget[key] if now > self.since + self.charge_duration(key) else 0
         )
 
-    def look(self, now, key):
-        """What there is of a budget, for leases that begin until the look is old."""
-        found = self.looks.get(key)
+    def snapshot(self, now, key):
+        """Return a snapshot of a budget that is valid for leases made until it is replaced."""
+        found = self.snapshots.get(key)
         if found is None or not found.when <= now < found.when + self.keep:
-            tail, until = longer(self.tails[key]), now + self.charged(key) + self.keep
+            tail, until = longer(self.tails[key]), now + self.charge_duration(key) + self.keep
             charges = {
                 holder: charge
                 for holder in self.holders.values()
@@ -383,25 +410,29 @@
                 for holder in self.holders.values()
                 if holder.wants.get(key, 0) > 0 and now <= holder.seen + self.lease
             ]
-            found = self.looks[key] = Look(now, self.pool(now, key, until), charges, wants)
-            if len(self.looks) > KEYS:
-                del self.looks[next(iter(self.looks))]
+            found = self.snapshots[key] = BudgetSnapshot(now, self.pool(now, key, until), charges, wants)
+            if len(self.snapshots) > MAX_KEYS:
+                del self.snapshots[next(iter(self.snapshots))]
         return found
 
     def plan(self, now, holder):
-        """What this forwarder may borrow: its fair part of what it lacks, out of what is given for as long as
-        the lease runs."""
+        """Return the plan for a forwarder: its fair share of what it lacks, from what is available for as
+        long as the lease runs."""
         leases = {}
         for key, wanted in holder.wants.items():
-            look, unit = self.look(now, key), self.units[key] or 1
-            free = look.pool - (look.lent - look.charges.get(holder, 0))
-            # Rounded up: what one has too much of its unit for, another lacks.
-            fair = wanted if look.level is None else -(-min(wanted, look.level + look.rest) // unit) * unit
-            amount = min(wanted, free, fair)
+            snapshot, unit = self.snapshot(now, key), self.units[key] or 1
+            available = snapshot.pool - (snapshot.lent - snapshot.charges.get(holder, 0))
+            # Rounded up to whole units; the available amount still bounds the sum.
+            fair_amount = (
+                wanted
+                if snapshot.fair_share is None
+                else -(-min(wanted, snapshot.fair_share + snapshot.remainder) // unit) * unit
+            )
+            amount = min(wanted, available, fair_amount)
             amount -= amount % unit
             if amount > 0:
                 leases[key] = amount
-                look.grant(holder, amount)
+                snapshot.record_grant(holder, amount)
         self.version += 1
         holder.grants.append((self.version, now + longer(self.lease), leases))
         return {
@@ -414,16 +445,16 @@
             'forwarders': len(self.holders),
         }
 
-    def tidy(self, now):
-        """What has run out binds nobody; a forwarder of whom nothing is left is forgotten."""
-        self.tidied = now
+    def expire(self, now):
+        """Drop expired leases and deposits, and forwarders that have neither and have long been silent."""
+        self.last_expiry = now
         tail = longer(max(self.tails.values(), default=0))
         for name, holder in list(self.holders.items()):
-            holder.grants = [grant for grant in holder.grants if now <= grant[1] + tail]
-            holder.gifts = {
+            holder.grants = [record_grant for record_grant in holder.grants if now <= record_grant[1] + tail]
+            holder.deposits = {
                 key: kept
-                for key, gifts in holder.gifts.items()
-                if (kept := [gift for gift in gifts if gift.until >= now])
+                for key, deposits in holder.deposits.items()
+                if (kept := [deposit for deposit in deposits if deposit.until >= now])
             }
-            if not holder.grants and not holder.gifts and now > holder.seen + 4 * self.gift:
+            if not holder.grants and not holder.deposits and now > holder.seen + 4 * self.gift:
                 del self.holders[name]
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -8,7 +8,7 @@
 from lilacdyke.framing import LENGTH
 from lilacdyke.plan.belief import BINS, SERVERS
 from lilacdyke.plan.frames import AMOUNT, MOST, BadFrame, Frames, OtherMajor, pack
-from lilacdyke.plan.ledger import KEYS, Bank, Parts, Purse
+from lilacdyke.plan.ledger import MAX_KEYS, Bank, Parts, Purse
 
 PLAN = {
     'forwarder': 'f',
@@ -122,7 +122,7 @@
             for server in range(1_024)
         }
         ((_, came),) = Frames().feed(pack('plan', dict(PLAN, leases=keys)))
-        self.assertEqual((came['leases'], len(keys) <= KEYS), (keys, True))
+        self.assertEqual((came['leases'], len(keys) <= MAX_KEYS), (keys, True))
         seen = [
             ['%0200d' % server, 7, 3, 1, 1, 1, 0, [AMOUNT - 1] * BINS, 40, None, 9, 2]
             for server in range(SERVERS)
--- a/tests/plan/test_ledger.py
+++ b/tests/plan/test_ledger.py
@@ -1,15 +1,15 @@
-"""Budgets among forwarders: each promise, the model checker, and broken ledgers that it must find."""
+"""The shared ledger of budgets, its model checker, and broken ledgers that the checker must detect."""
 
 import unittest
 
 from lilacdyke.plan import check
-from lilacdyke.plan.ledger import Bank, Gift, Parts, Purse, longer, shorter
+from lilacdyke.plan.ledger import Bank, Deposit, Parts, Purse, longer, shorter
 
 LEASE, GIFT, OWN = 20, 60, 100
 
 
 def purse(now=0, life='f', planners=('p',), own=OWN):
-    """One that has run for long."""
+    """Return a ledger that has run for longer than any deposit lasts."""
     return Purse(now - GIFT - 1, life, list(planners), all_of(own), LEASE, GIFT)
 
 
@@ -18,43 +18,43 @@
 
 
 def meet(made, bank, now=0, planner='p', spare=(), wants=(), wait=0):
-    """A digest there and its plan back, `wait` later; the plan."""
+    """Exchange a digest and its plan, which arrives `wait` later. Return the plan."""
     plan = bank.told(now, made.digest(now, planner, dict(spare), dict(wants)))
     made.planned(now + wait, planner, plan)
     return plan
 
 
-class Promises(unittest.TestCase):
+class Ledger(unittest.TestCase):
     def setUp(self):
         self.bank, self.rich, self.poor = Bank('b', LEASE, GIFT), purse(life='rich'), purse(life='poor')
 
     def lend(self, now=0, amount=30):
-        """The rich one gives, the poor one borrows."""
+        """The rich one deposits, the poor one borrows."""
         meet(self.rich, self.bank, now)
         meet(self.rich, self.bank, now, spare={'k': amount})
         meet(self.poor, self.bank, now, wants={'k': 80})
 
-    def test_alone_each_has_its_own(self):
+    def test_forwarder_without_planner_may_spend_its_own_part(self):
         self.assertEqual(self.rich.may(5, 'k'), OWN)
 
-    def test_nothing_is_given_to_a_planner_that_never_answered(self):
+    def test_no_deposit_with_planner_that_never_answered(self):
         self.rich.digest(0, 'p', {'k': 30}, {})
         self.assertEqual(self.rich.may(0, 'k'), OWN)
 
-    def test_what_one_spares_the_other_may_spend(self):
+    def test_deposit_of_one_forwarder_is_leased_to_another(self):
         self.lend()
         self.assertEqual(
             (self.rich.may(1, 'k'), self.poor.may(1, 'k'), self.poor.may(1, 'other')), (70, 130, OWN)
         )
 
-    def test_a_lease_runs_out_before_the_gift_behind_it(self):
+    def test_lease_expires_before_deposit_that_covers_it(self):
         self.lend()
         self.assertEqual(
             [(self.rich.may(at, 'k'), self.poor.may(at, 'k')) for at in (19, 20, 60, 61)],
             [(70, 130), (70, 100), (70, 100), (100, 100)],
         )
 
-    def test_a_lease_runs_from_when_its_digest_left(self):
+    def test_lease_runs_from_sending_of_its_digest(self):
         self.lend()
         plan = self.bank.told(10, self.poor.digest(0, 'p', {}, {'k': 80}))
         self.assertEqual(
@@ -62,28 +62,28 @@
             (True, 130, 100),
         )
 
-    def test_a_plan_that_comes_late_is_void(self):
+    def test_plan_that_arrives_after_a_lease_is_ignored(self):
         plan = self.bank.told(0, self.poor.digest(0, 'p', {}, {'k': 80}))
         self.assertFalse(self.poor.planned(LEASE, 'p', plan))
 
-    def test_an_older_plan_does_not_replace_a_newer_one(self):
+    def test_older_plan_does_not_replace_newer_one(self):
         self.lend()
         plans = [self.bank.told(1, self.poor.digest(1, 'p', {}, {'k': wanted})) for wanted in (80, 10)]
         taken = [self.poor.planned(2, 'p', plan) for plan in reversed(plans)]
         self.assertEqual((taken, self.poor.may(3, 'k')), ([True, False], 110))
 
-    def test_an_old_digest_is_not_answered(self):
+    def test_outdated_digest_is_not_answered(self):
         first, second = [self.poor.digest(0, 'p', {}, {}) for _ in range(2)]
         self.assertIsNotNone(self.bank.told(0, second))
         self.assertIsNone(self.bank.told(1, first))
 
-    def test_what_is_lent_is_not_lent_again_until_it_is_known_to_be_over(self):
+    def test_leased_budget_is_not_leased_again_before_it_is_released(self):
         self.lend()
         third = purse(life='third')
         meet(third, self.bank, 1, wants={'k': 80})
         self.assertEqual(third.may(2, 'k'), OWN)
 
-    def test_it_is_once_the_borrower_has_said_that_it_holds_a_smaller_one(self):
+    def test_budget_is_leased_again_after_borrower_confirms_smaller_lease(self):
         self.lend()
         third = purse(life='third')
         meet(self.poor, self.bank, 1, wants={})
@@ -91,7 +91,7 @@
         meet(third, self.bank, 3, wants={'k': 80})
         self.assertEqual((self.poor.may(4, 'k'), third.may(4, 'k')), (100, 130))
 
-    def test_those_that_want_share_evenly(self):
+    def test_borrowers_get_equal_shares(self):
         self.lend(amount=40)
         third = purse(life='third')
         for now in (1, 2, 3, 4):
@@ -99,7 +99,7 @@
             meet(self.poor, self.bank, now, wants={'k': 80})
         self.assertEqual((third.may(5, 'k'), self.poor.may(5, 'k')), (120, 120))
 
-    def test_a_gift_that_would_end_before_the_lease_backs_none(self):
+    def test_deposit_that_expires_before_the_lease_is_not_leased(self):
         self.lend()
         end = shorter(GIFT) - longer(LEASE)
         plans = [
@@ -107,62 +107,62 @@
         ]
         self.assertEqual(plans, [{'k': 30}, {}])
 
-    def test_a_planner_that_starts_anew_lends_only_what_its_new_life_was_given(self):
+    def test_restarted_planner_leases_only_new_deposits(self):
         self.lend()
         fresh = Bank('b2', LEASE, GIFT)
         meet(self.poor, fresh, 1, wants={'k': 80})
         self.assertEqual(self.poor.may(2, 'k'), OWN)
 
-    def test_gifts_to_the_life_before_bind_on(self):
+    def test_deposits_with_earlier_life_of_planner_stay_in_force(self):
         self.lend(amount=30)
         fresh = Bank('b2', LEASE, GIFT)
         meet(self.rich, fresh, 1)
         meet(self.rich, fresh, 2, spare={'k': 80})
-        self.assertEqual(self.rich.may(3, 'k'), 50)  # half of its own is the most that one planner gets
+        self.assertEqual(self.rich.may(3, 'k'), 50)  # at most half of its own is deposited with one planner
 
-    def test_a_forwarder_that_starts_anew_counts_on_what_it_may_have_given(self):
+    def test_restarted_forwarder_assumes_largest_deposits(self):
         fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
         self.assertEqual((fresh.may(GIFT, 'k'), fresh.may(GIFT + 1, 'k')), (50, 100))
 
-    def test_and_gives_nothing_meanwhile_as_a_planner_would_lend_both(self):
+    def test_restarted_forwarder_deposits_nothing_until_old_deposits_expire(self):
         fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
         meet(fresh, self.bank, 1)
         self.assertEqual(
             [fresh.digest(at, 'p', {'k': 30}, {})['gifts'] for at in (GIFT, GIFT + 1)], [{}, {'k': 30}]
         )
 
-    def test_an_absurd_plan_changes_nothing_that_was_not_asked(self):
+    def test_plan_with_wrong_seq_or_forwarder_is_ignored(self):
         digest = self.poor.digest(0, 'p', {}, {})
         plan = self.bank.told(0, digest)
         for wrong in ({'seq': 99}, {'forwarder': 'rich'}):
             with self.subTest(wrong=wrong):
                 self.assertFalse(self.poor.planned(0, 'p', dict(plan, **wrong)))
 
-    def test_spans_of_others_clocks_are_taken_wide(self):
+    def test_clock_drift_bounds(self):
         self.assertEqual((longer(20), shorter(60), shorter(1)), (22, 54, 0))
 
-    def test_leases_as_long_as_gifts_are_refused(self):
+    def test_deposits_shorter_than_two_leases_are_rejected(self):
         with self.assertRaises(ValueError):
             Purse(0, 'f', ['p'], all_of(OWN), 20, 30)
 
-    def test_a_forwarder_of_whom_nothing_is_left_is_forgotten(self):
+    def test_silent_forwarder_without_leases_is_dropped(self):
         self.lend()
-        self.bank.tidy(1 + 5 * GIFT)
+        self.bank.expire(1 + 5 * GIFT)
         self.assertEqual(self.bank.holders, {})
 
 
-class Open(unittest.TestCase):
-    """What is spent by being open, and planners' own."""
+class OpenRequests(unittest.TestCase):
+    """Budgets that count open requests, and budgets that planners own."""
 
     def setUp(self):
         self.bank = Bank('b', LEASE, GIFT, -GIFT, Parts(k=30), Parts(k=5), Parts(k=10))
         self.poor = Purse(-GIFT - 13, 'poor', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5))
 
-    def test_a_planner_lends_its_own_though_nobody_gave(self):
+    def test_planner_leases_its_own_budget_in_whole_units(self):
         meet(self.poor, self.bank, wants={'k': 25})
         self.assertEqual(self.poor.may(1, 'k'), OWN + 20)  # whole units only
 
-    def test_not_right_after_its_start(self):
+    def test_planner_leases_no_budget_of_its_own_after_start(self):
         fresh = Bank('b2', LEASE, GIFT, 0, Parts(k=30), Parts(k=5))
         end = longer(LEASE) + longer(5)
         meet(self.poor, fresh, end, wants={'k': 30})
@@ -170,7 +170,7 @@
         meet(self.poor, fresh, end + 1, wants={'k': 30})
         self.assertEqual((before, self.poor.may(end + 1, 'k')), (OWN, OWN + 30))
 
-    def test_a_lease_is_charged_for_as_long_as_what_it_let_begin_may_be_open(self):
+    def test_lease_is_charged_for_its_tail(self):
         meet(self.poor, self.bank, wants={'k': 30})
         third, lent = Purse(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5)), []
         for now in (longer(LEASE) + longer(5), longer(LEASE) + longer(5) + 1):
@@ -178,7 +178,7 @@
             lent.append(third.may(now, 'k') - OWN)
         self.assertEqual(lent, [0, 30])
 
-    def test_a_look_that_is_kept_lends_nothing_twice(self):
+    def test_cached_snapshot_leases_nothing_twice(self):
         self.bank.keep = 10
         third = Purse(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5))
         meet(self.poor, self.bank, 0, wants={'k': 30})
@@ -187,67 +187,67 @@
         meet(third, self.bank, 2, wants={'k': 30})
         self.assertEqual((self.poor.may(3, 'k'), third.may(3, 'k')), (OWN + 30, OWN + 20))
 
-    def test_a_smaller_lease_is_held_only_once_what_is_open_has_room(self):
+    def test_smaller_lease_is_confirmed_only_when_it_covers_open_requests(self):
         meet(self.poor, self.bank, wants={'k': 30})
         meet(self.poor, self.bank, 1, wants={})
         told = [self.poor.digest(2, 'p', {}, {}, {'k': used})['holds'] for used in (OWN + 1, OWN)]
         self.assertEqual(told, [1, 2])
 
-    def test_nothing_is_given_that_is_open(self):
+    def test_open_requests_are_not_deposited(self):
         meet(self.poor, self.bank)
         self.assertEqual(self.poor.digest(1, 'p', {'k': 50}, {}, {'k': OWN - 20})['gifts'], {'k': 20})
 
-    def test_a_family_has_one_part_for_each_of_its_keys(self):
+    def test_family_amount_applies_to_each_member(self):
         parts = Parts(cold=7)
         self.assertEqual((parts['cold:a'], parts['cold'], parts['other'], parts['x:cold']), (7, 7, 0, 0))
 
 
-class Trusting(Bank):
-    """Counts a gift from when it came."""
+class DepositFromArrival(Bank):
+    """Counts a deposit from its arrival."""
 
     def receive(self, now, holder, digest):
         for key, amount in digest['gifts'].items():
-            holder.gifts[key] = [*holder.gifts.get(key, ()), Gift(now + self.gift, amount)]
+            holder.deposits[key] = [*holder.deposits.get(key, ()), Deposit(now + self.gift, amount)]
 
 
-class Forgetful(Bank):
-    """Takes a new plan for the end of the one before."""
+class ForgetsEarlierPlan(Bank):
+    """Drops the leases of earlier plans with each new plan."""
 
     def plan(self, now, holder):
         holder.grants = []
         return super().plan(now, holder)
 
 
-class Generous(Bank):
-    """Lends what is given now, however soon that ends."""
+class LendsExpiringDeposits(Bank):
+    """Lends deposits that expire before the lease does."""
 
     def pool(self, now, key, until):
         return super().pool(now, key, until - longer(self.lease))
 
 
-class Doubling(Bank):
-    """Does not look at what it has lent to others."""
+class IgnoresCharges(Bank):
+    """Ignores leases of other forwarders."""
 
-    def look(self, now, key):
-        found = super().look(now, key)
+    def snapshot(self, now, key):
+        found = super().snapshot(now, key)
         found.charges.clear()
         found.lent = 0
         return found
 
 
-class Unnoted(Bank):
-    """Does not note, in a look that it keeps, what it lends."""
+class DoesNotChargeSnapshot(Bank):
+    """Does not charge new leases to the cached snapshot."""
 
     def plan(self, now, holder):
         made = super().plan(now, holder)
-        for look in self.looks.values():
-            look.charges.pop(holder, None)
-            look.lent = sum(look.charges.values())
+        for snapshot in self.snapshots.values():
+            snapshot.charges.pop(holder, None)
+            snapshot.lent = sum(snapshot.charges.values())
         return made
 
 
-class Late(Purse):
-    """Counts a lease from when its plan came."""
+class LeaseFromArrival(Purse):
+    """Counts a lease from the arrival of its plan."""
 
     def planned(self, now, planner, plan):
         good = super().planned(now, planner, plan)
@@ -259,16 +259,16 @@
         return good
 
 
-class Bold(Purse):
-    """Forgets, when it restarts, that it may have given."""
+class ForgetsDepositsOnRestart(Purse):
+    """Assumes no earlier deposits after a restart."""
 
     def __init__(self, now, *given):
         super().__init__(now, *given)
         self.since = now - 1_000
 
 
-class Fickle(Purse):
-    """Forgets what it gave to a planner's life before."""
+class ForgetsDepositsWithEarlierLife(Purse):
+    """Forgets deposits with earlier lives of a planner."""
 
     def planned(self, now, planner, plan):
         good = super().planned(now, planner, plan)
@@ -276,32 +276,32 @@
         return good
 
 
-class Hasty(Bank):
-    """Lends its own right after it started."""
+class LendsOwnBudgetAfterStart(Bank):
+    """Lends its own budget right after its start."""
 
     def __init__(self, *given):
         super().__init__(*given)
         self.since -= 1_000
 
 
-class Untold(Purse):
-    """Says that it holds a smaller lease while more is open."""
+class IgnoresOpenRequests(Purse):
+    """Confirms a smaller lease while more is open."""
 
     def digest(self, now, planner, spare, wants, used=()):
         return super().digest(now, planner, spare, wants)
 
 
-class Owning(Purse):
-    """Has the seat's part while another still has the seat."""
+class SpendsOwnedSeat(Purse):
+    """Spends the seat's budget while another process owns the seat."""
 
     def __init__(self, now, life, planners, own, *given):
         super().__init__(now, life, planners, own or Parts(dict.fromkeys(check.KEYS, check.OWN)), *given)
         self.since = self.since if own else now - 1_000
 
 
-class Checked(unittest.TestCase):
+class ModelChecker(unittest.TestCase):
     def found(self, **kinds):
-        """Whether some walk shows that the sum does not hold."""
+        """Return whether some random walk exceeds the total."""
         for seed in range(700):
             try:
                 check.walk(seed, 400, **kinds)
@@ -309,34 +309,34 @@
                 return True
         return False
 
-    def test_the_sum_holds_in_all_small_worlds(self):
+    def test_total_is_kept_in_all_states_of_small_worlds(self):
         for forwarders, planners in ((2, 1), (3, 2)):
             seen, depth, lent = check.search(forwarders, planners, 4_000)
             self.assertEqual((seen, depth >= 2, lent > 0), (4_000, True, True))
 
-    def test_the_sum_holds_on_long_walks_and_something_is_lent_on_them(self):
+    def test_total_is_kept_on_random_walks_with_leases(self):
         lent = sum(check.walk(seed, 300) > 0 for seed in range(150))
         self.assertGreater(lent, 60)
 
-    def test_a_process_that_spends_a_seat_that_another_has_is_found(self):
-        world = check.World(2, 1, None, Owning)
+    def test_process_that_spends_an_owned_seat_is_detected(self):
+        world = check.World(2, 1, None, SpendsOwnedSeat)
         world.restart_purse(1, False)
-        world.forwarders = 1  # the seats: the other one is somebody's who still spends all of it
+        world.forwarders = 1  # one seat, which another process still spends in full
         with self.assertRaises(check.Overspent):
             world.judge()
 
-    def test_broken_ledgers_are_found(self):
+    def test_broken_ledgers_are_detected(self):
         for kinds in (
-            {'bank': Trusting},
-            {'bank': Forgetful},
-            {'bank': Generous},
-            {'bank': Doubling},
-            {'purse': Late},
-            {'purse': Bold},
-            {'purse': Fickle},
-            {'bank': Hasty},
-            {'purse': Untold},
-            {'bank': Unnoted},
+            {'bank': DepositFromArrival},
+            {'bank': ForgetsEarlierPlan},
+            {'bank': LendsExpiringDeposits},
+            {'bank': IgnoresCharges},
+            {'purse': LeaseFromArrival},
+            {'purse': ForgetsDepositsOnRestart},
+            {'purse': ForgetsDepositsWithEarlierLife},
+            {'bank': LendsOwnBudgetAfterStart},
+            {'purse': IgnoresOpenRequests},
+            {'bank': DoesNotChargeSnapshot},
         ):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.found(**kinds))
