--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -87,7 +87,7 @@
 
     def has(self, anew=False):
         """What the purse may count on by the halves that are held."""
-        half = self.told.half(self.full)
+        half = self.told.heir_part(self.full)
         own = (
             self.full
             if self.held and self.left
@@ -132,7 +132,7 @@
             lambda number: say('canary', number=number),
             lambda number: say('no canary', number=number),
         )
-        self.shares.may_try = self.canary.held
+        self.shares.is_canary = self.canary.held
         self.canary.acquire()
 
     # --- what it needs ----------------------------------------------------------------------------------
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -32,7 +32,7 @@
     def __init__(self, now, fleet, purse, needs, used, chance):
         self.purse, self.needs, self.used, self.chance = purse, needs, used, chance
         self.lease = fleet.lease
-        self.fits, self.edition, self.mosts = fleet.fits, fleet.edition, fleet.mosts()
+        self.accepts_limits, self.edition, self.mosts = fleet.accepts_limits, fleet.edition, fleet.mosts()
         self.contacts = {
             row.name: Contact(row.name, now + int(self.lease * chance() / FIRST)) for row in fleet.planner
         }
@@ -84,7 +84,7 @@
 
     def hear(self, edition, mosts):
         """Limits of an edition; a newer one is passed on to all planners. Whether it is known here now."""
-        if edition > self.edition and self.fits(mosts):
+        if edition > self.edition and self.accepts_limits(mosts):
             self.edition, self.mosts = edition, mosts
         return edition <= self.edition
 
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -1,10 +1,10 @@
-"""What the operators' fleet file says, and how each limit is cut: whose part is whose, before anybody lends.
+"""The fleet file, and how it divides each limit among seats and planners.
 
-Owns the form of that file and the arithmetic of parts: of each limit the seats own the floor, in even parts,
-and the planners the rest, in even parts. All parts together are the limit, never more. Must never do I/O
-beyond reading the one file.
+Owns the schema of that file and the arithmetic of parts: the floor of each limit is divided evenly among the
+seats, and the rest evenly among the planners. The parts never add up to more than the limit. Must never do
+I/O beyond reading that file.
 
-A part is in grains, GRAIN of them one request a second, one open request or one connection.
+Amounts are in grains: GRAIN grains are one request per second, one open request or one connection.
 """
 
 from typing import Annotated, Literal
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..decode import address as literal
+from ..decode import address as decode_address
 from ..values import BadLine, down
 from .ledger import Parts, longer
 from .sites import Loss, Name, Part
@@ -20,52 +20,57 @@
 
 GRAIN = 1_000
 Amount = Annotated[float, Meta(gt=0, le=1e7)]
-OPEN = ('open', 'links')  # what is spent by being there, not by coming
-SERVERS = ('cold', 'links', 'tries')  # one limit for each server
-SPAN = 3  # leases that a verdict acts for, unless the file says otherwise
-FORWARDERS_PER_SEAT = 3  # processes that may have a link at once: one, its heir, and what a stopped one left
+CONCURRENT = ('open', 'links')  # limits on a number at a time, not on a rate
+PER_SERVER = ('cold', 'links', 'tries')  # limits that apply to each server separately
+VERDICT_SPAN_LEASES = 3  # default duration of a verdict, in leases
+FORWARDERS_PER_SEAT = 3  # concurrent links: of a process, its successor, and one that was stopped
 
 
 class PlannerRow(Part):
-    """One planner: its name, and the literal address at which this process reaches it."""
+    """A planner: its name, and the literal address at which this process reaches it."""
 
     name: Name
     address: str
 
 
 class Limit(Part):
-    """One limit of the whole fleet. what: requests (of a class, or of all), fetches (hops at the origin),
-    cold (hops at each server that is cold) a second, tries (hops at each that the fleet holds to be out) a
-    second; open (requests, of a class or of all), links (connections at each server) at once."""
+    """A limit that applies to the fleet as a whole.
+
+    what: `requests` (of one class, or of all), `fetches` (hops to the origin), `cold` (hops to each cold
+    server) and `tries` (hops to each server that the fleet considers down) are per second; `open` (requests
+    of one class, or of all) and `links` (connections to each server) are at a time.
+    """
 
     name: Name
     what: Literal['requests', 'fetches', 'cold', 'tries', 'open', 'links']
     most: Amount
-    floor: Annotated[float, Meta(ge=0, le=1e7)] | None = None  # of it the seats' own; a half
+    floor: Annotated[float, Meta(ge=0, le=1e7)] | None = (
+        None  # owned by the seats; half of the limit by default
+    )
     profile: Annotated[str, Meta(min_length=1)] | None = msgspec.field(default=None, name='class')
     answer: Literal[429, 503] = 429
 
     @property
-    def at_once(self):
-        return self.what in OPEN
+    def concurrent(self):
+        return self.what in CONCURRENT
 
-    def grains(self):
-        """(all of it, the seats' own)."""
+    def in_grains(self):
+        """Return (the limit, the part of it that the seats own)."""
         most = down(self.most) * GRAIN // down(1)
         floor = most // 2 if self.floor is None else down(self.floor) * GRAIN // down(1)
-        return (most // GRAIN * GRAIN, floor // GRAIN * GRAIN) if self.at_once else (most, floor)
+        return (most // GRAIN * GRAIN, floor // GRAIN * GRAIN) if self.concurrent else (most, floor)
 
 
 class Verdicts(Part):
-    """Verdicts on servers, where this table is there. span_s: S, for how long one acts after its newest
-    evidence; three leases."""
+    """Settings of verdicts on servers; the table enables them. span_s: how long a verdict applies after its
+    newest evidence, three leases by default."""
 
     span_s: Annotated[float, Meta(ge=0.3, le=300)] | None = None
 
 
 class Tasks(Part):
-    """Leases for tasks, where this table is there. lease_s: how long one is; voters: names of planners, all
-    of them if it is not given; folder: where a voter keeps its file of numbers."""
+    """Settings of task leases; the table enables them. lease_s: duration of a lease; voters: names of
+    planners, all by default; folder: where a voter keeps its file."""
 
     folder: Annotated[str, Meta(min_length=1)]
     lease_s: Annotated[float, Meta(ge=0.2, le=300)] = 5.0
@@ -73,7 +78,7 @@
 
 
 class Fleet(Part):
-    """The whole file."""
+    """The fleet file."""
 
     enabled: bool
     installation: Name
@@ -82,10 +87,10 @@
     limit: list[Limit] = []
     verdicts: Verdicts | None = None
     tasks: Tasks | None = None
-    loss: Loss | None = None  # what `lilacdyke site plan` works with; nothing that runs reads it
+    loss: Loss | None = None  # input of `lilacdyke site plan` only
     edition: Annotated[int, Meta(ge=1, le=1 << 31)] = 1
     lease_s: Annotated[float, Meta(ge=0.2, le=60)] = 2.0
-    longest_s: Annotated[float, Meta(gt=0, le=60)] = 3.0  # the longest that a request is open
+    longest_s: Annotated[float, Meta(gt=0, le=60)] = 3.0  # the longest time for which a request is open
 
     @property
     def lease(self):
@@ -93,16 +98,19 @@
 
     @property
     def gift(self):
-        """How long what was given is not called back: what is lent from it has to run out, in anybody's
-        clock."""
+        """Return the duration of a deposit, which has to outlast leases made from it by any clock."""
         return 2 * longer(self.lease)
 
     @property
     def span(self):
-        """S; None where there are no verdicts."""
+        """Return the duration of a verdict in ticks, or None without verdicts."""
         if self.verdicts is None:
             return None
-        return down(self.verdicts.span_s) if self.verdicts.span_s is not None else SPAN * self.lease
+        return (
+            down(self.verdicts.span_s)
+            if self.verdicts.span_s is not None
+            else VERDICT_SPAN_LEASES * self.lease
+        )
 
     @property
     def task_lease(self):
@@ -110,93 +118,99 @@
 
     @property
     def voters(self):
-        """Names of those that vote."""
+        """Return the names of the planners that vote."""
         return self.tasks.voters or [row.name for row in self.planner]
 
     def tails(self):
-        """How long what began under a lease may stay open beyond it: a request for its longest, and a
-        connection until it is looked at after that."""
+        """Return how long what began under a lease may stay open beyond it: the longest duration of a
+        request, plus half a lease until surplus connections are closed."""
         return Parts(
-            {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.at_once}
+            {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.concurrent}
         )
 
     def mosts(self):
-        """What operators may change while all runs: all of each limit, by its name."""
-        return {limit.name: limit.grains()[0] for limit in self.limit}
+        """Return the limits in grains by name. Operators may change them at runtime."""
+        return {limit.name: limit.in_grains()[0] for limit in self.limit}
 
     def units(self):
-        """What an amount must be a multiple of."""
-        return Parts({limit.name: GRAIN for limit in self.limit if limit.at_once})
+        """Return the granularity of amounts, by name of limit."""
+        return Parts({limit.name: GRAIN for limit in self.limit if limit.concurrent})
 
     def seat_parts(self, seat):
-        """What a seat owns; None, or one that the file does not have, owns nothing."""
+        """Return the part of each limit that a seat owns; none for a seat that is None or out of range."""
         if seat is None or not 0 <= seat < self.seats:
             return Parts()
         return Parts(
-            {limit.name: even(limit.grains()[1], self.seats, seat, limit.at_once) for limit in self.limit}
+            {
+                limit.name: even_share(limit.in_grains()[1], self.seats, seat, limit.concurrent)
+                for limit in self.limit
+            }
         )
 
-    def half(self, parts):
-        """Of a seat's parts those that a process leaves to its heir while both live; the rest answers for all
-        gifts."""
+    def heir_part(self, parts):
+        """Return the part of a seat's budget that a process passes to its successor while both run. The rest
+        covers all deposits."""
         return Parts(
             {key: amount // 2 - amount // 2 % (self.units()[key] or 1) for key, amount in parts.items()}
         )
 
-    def planner_parts(self, index, mosts):
-        """What a planner owns of each limit, with these in force."""
+    def planner_budget(self, index, mosts):
+        """Return the part of each limit that a planner owns, for the given limits."""
         return Parts(
             {
-                limit.name: even(
-                    max(0, mosts[limit.name] - limit.grains()[1]), len(self.planner), index, limit.at_once
+                limit.name: even_share(
+                    max(0, mosts[limit.name] - limit.in_grains()[1]),
+                    len(self.planner),
+                    index,
+                    limit.concurrent,
                 )
                 for limit in self.limit
             }
         )
 
-    def fits(self, mosts):
-        """Whether these can be in force: the limits' names, none under what the seats own without being
-        told."""
+    def accepts_limits(self, mosts):
+        """Return whether these limits may be adopted: the same names, none of them below the part that the
+        seats own."""
         return mosts.keys() == self.mosts().keys() and all(
-            mosts[limit.name] >= limit.grains()[1] and not (limit.at_once and mosts[limit.name] % GRAIN)
+            mosts[limit.name] >= limit.in_grains()[1] and not (limit.concurrent and mosts[limit.name] % GRAIN)
             for limit in self.limit
         )
 
 
-def even(amount, holders, index, whole):
-    """One of so many even parts; in whole units the first few have one more, and the sum is the amount."""
-    if not whole:
+def even_share(amount, holders, index, whole_units):
+    """Return one of `holders` equal parts. In whole units, the first parts get the remainder."""
+    if not whole_units:
         return amount // holders
     units = amount // GRAIN
     return (units // holders + (index < units % holders)) * GRAIN
 
 
 def address(text):
-    """A literal address and a port, as a pair."""
+    """Parse a literal address and a port. Return them as a pair."""
     try:
-        return literal(text)
+        return decode_address(text)
     except BadLine as err:
         raise BadLine('planner: %s' % err) from None
 
 
 def check(fleet):
-    """What types cannot tell."""
+    """Check what the types do not express. Return the fleet, or raise BadLine."""
     for what, names in (
         ('limit', [limit.name for limit in fleet.limit]),
         ('planner', [row.name for row in fleet.planner]),
     ):
         if len(set(names)) < len(names):
-            raise BadLine('%s: a name twice' % what)
+            raise BadLine('%s: duplicate name' % what)
     for limit in fleet.limit:
-        most, floor = limit.grains()
+        most, floor = limit.in_grains()
         if not 0 <= floor <= most:
-            raise BadLine('limit %s: floor: over most' % limit.name)
+            raise BadLine('limit %s: floor: greater than most' % limit.name)
         if limit.profile is not None and limit.what not in ('requests', 'open'):
-            raise BadLine('limit %s: class: %s have none' % (limit.name, limit.what))
-        if limit.at_once and most < GRAIN:
-            raise BadLine('limit %s: most: under one' % limit.name)
+            raise BadLine('limit %s: class: not allowed with what = %s' % (limit.name, limit.what))
+        if limit.concurrent and most < GRAIN:
+            raise BadLine('limit %s: most: less than one' % limit.name)
         if limit.what == 'tries' and fleet.verdicts is None:
-            raise BadLine('limit %s: tries: there are no verdicts' % limit.name)
+            raise BadLine('limit %s: tries: requires the table verdicts' % limit.name)
     for row in fleet.planner:
         address(row.address)
     if fleet.loss is not None:
@@ -204,14 +218,14 @@
     if fleet.tasks is not None:
         names = [row.name for row in fleet.planner]
         if len(set(fleet.voters)) < len(fleet.voters) or set(fleet.voters) - set(names):
-            raise BadLine('tasks: voters: each the name of one planner')
+            raise BadLine('tasks: voters: must be distinct names of planners')
     if fleet.span is not None and fleet.span < 2 * fleet.lease:
-        raise BadLine('verdicts: span_s: under two leases')
+        raise BadLine('verdicts: span_s: less than two leases')
     return fleet
 
 
 def read(path):
-    """The fleet file at this path; whatever is wrong with it is a BadLine that names the key."""
+    """Read the fleet file at this path. Raise BadLine, which names the key, if it is invalid."""
     try:
         with open(path, 'rb') as file:
             return check(msgspec.toml.decode(file.read(), type=Fleet))
@@ -220,7 +234,7 @@
 
 
 def enabled(fleet, installation):
-    """Refuse what was not turned on, here and by name: nobody turns it on by accident."""
+    """Return the fleet. Raise BadLine unless it is enabled and names this installation."""
     if not fleet.enabled:
         raise BadLine('enabled: is false')
     if installation != fleet.installation:
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -34,9 +34,9 @@
     def reread(self, fleet):
         """Adopt the limits of a changed fleet file. Return why it is rejected, or None. Changes to seats,
         planners and times take effect only after a restart."""
-        fixed = [(limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in fleet.limit]
+        fixed = [(limit.name, limit.what, limit.profile, limit.in_grains()[1]) for limit in fleet.limit]
         if fixed != [
-            (limit.name, limit.what, limit.profile, limit.grains()[1]) for limit in self.fleet.limit
+            (limit.name, limit.what, limit.profile, limit.in_grains()[1]) for limit in self.fleet.limit
         ]:
             return 'limit: a change of name, kind or floor needs a restart'
         if fleet.edition <= self.edition:
@@ -49,7 +49,7 @@
         self.hear(digest['edition'], digest['mosts'])
         self.record_heard_planners(now, digest)
         self.bank.endow(
-            self.fleet.planner_parts(
+            self.fleet.planner_budget(
                 self.index, self.mosts if self.has_quorum(now) else self.seat_owned_limits()
             )
         )
@@ -110,7 +110,7 @@
     def hear(self, edition, mosts):
         """Adopt limits of a newer edition. If two contents share an edition number, which operators should
         never do, the lower value of each limit applies."""
-        if not self.fleet.fits(mosts):
+        if not self.fleet.accepts_limits(mosts):
             return
         if edition > self.edition:
             self.edition, self.mosts = edition, mosts
@@ -129,4 +129,4 @@
 
     def seat_owned_limits(self):
         """Return the limits at which all budgets belong to the seats, and none to planners."""
-        return {limit.name: limit.grains()[1] for limit in self.fleet.limit}
+        return {limit.name: limit.in_grains()[1] for limit in self.fleet.limit}
--- a/lilacdyke/plan/shares.py
+++ b/lilacdyke/plan/shares.py
@@ -1,53 +1,64 @@
-"""What this forwarder may spend of the fleet's limits right now, and what it spends: the part that comes
-under the module's gate.
+"""Enforcement of the fleet's limits at one forwarder.
 
-Owns the counts of what is open and the buckets of what comes. Must never let anything pass that the module
-would not: it only refuses. Asked by the module (`admits`, `allows`), told by the node what came of it
-(`done`, `sent`, `linked`).
+Owns the counts of what is open and the token buckets of rates. It only refuses: it must never let anything
+pass that the router would not. The router asks it (`admits`, `allows`); the node reports results (`done`,
+`sent`, `linked`).
 """
 
 from ..values import SECOND
 from .ledger import DRIFT
-from .limits import GRAIN, SERVERS
+from .limits import GRAIN, PER_SERVER
 
-BURST = 10  # a bucket holds a tenth of a second
-FINE = SECOND * (DRIFT + 1)  # of a grain: a bucket loses nothing by being looked at often
-MOST_KEYS = 4_096  # that are kept count of; servers that were not asked for the longest are forgotten
+BURSTS_PER_SECOND = 10  # a bucket holds 1/BURSTS_PER_SECOND seconds of its rate
+TOKENS_PER_GRAIN = SECOND * (DRIFT + 1)  # resolution of buckets: frequent refills lose nothing by rounding
+MAX_KEYS = 4_096  # counters at most; those of servers without open connections are evicted first
 
 
 class Spent:
-    """What is spent of one key."""
-
-    __slots__ = ('key', 'tokens', 'dated', 'open', 'peak', 'asked', 'refused', 'before', 'since')
+    """Usage of one limit, or of one limit at one server."""
+
+    __slots__ = (
+        'key',
+        'tokens',
+        'dated',
+        'open',
+        'peak',
+        'admitted',
+        'refused',
+        'previous_demand',
+        'window_start',
+    )
 
     def __init__(self, key, now):
-        # Tokens are FINE parts of grains. An empty bucket: what a life before spent is not known.
+        # The bucket starts empty, since the usage of an earlier life is unknown.
         self.key, self.tokens, self.dated = key, 0, now
-        self.open = self.peak = 0  # now, and the most since the last look
-        self.asked = self.refused = self.before = 0  # since the last look; the demand found then, in grains
-        self.since = now
+        self.open = self.peak = 0  # now, and the maximum in this window
+        self.admitted = self.refused = self.previous_demand = 0  # demand of the previous window in grains
+        self.window_start = now
 
-    def fill(self, now, may):
-        """Tokens come by the clock, which may be fast."""
-        span = max(0, now - self.dated)
+    def fill(self, now, budget):
+        """Refill the bucket, at a rate low enough for a clock that runs fast."""
+        elapsed = max(0, now - self.dated)
         self.dated = now
-        self.tokens = min(max(GRAIN, may // BURST) * FINE, self.tokens + may * span * DRIFT)
-
-    def demand(self, now, at_once):
-        """The grains that would have been needed lately: the more of the last two spells, since the last look
-        and before."""
-        span = max(1, now - self.since)
-        lately = (
-            self.peak + self.refused if at_once else (self.asked + self.refused) * SECOND / span
+        self.tokens = min(
+            max(GRAIN, budget // BURSTS_PER_SECOND) * TOKENS_PER_GRAIN, self.tokens + budget * elapsed * DRIFT
+        )
+
+    def demand(self, now, concurrent):
+        """Return the recent demand in grains, the greater of the current and the previous window, and start a
+        new window."""
+        elapsed = max(1, now - self.window_start)
+        current_demand = (
+            self.peak + self.refused if concurrent else (self.admitted + self.refused) * SECOND / elapsed
         ) * GRAIN
-        found, self.before = max(int(lately), self.before), int(lately)
-        self.asked = self.refused = 0
-        self.peak, self.since = self.open, now
-        return found
+        demand, self.previous_demand = max(int(current_demand), self.previous_demand), int(current_demand)
+        self.admitted = self.refused = 0
+        self.peak, self.window_start = self.open, now
+        return demand
 
 
 class Shares:
-    """The parts in force at one forwarder."""
+    """The limits that apply at one forwarder, and their usage."""
 
     def __init__(self, now, fleet, purse, profiles):
         self.purse, self.spent = purse, {}
@@ -55,16 +66,12 @@
             what: [limit for limit in fleet.limit if limit.what == what]
             for what in ('requests', 'fetches', 'cold', 'tries', 'open', 'links')
         }
-        self.out = lambda now, server: (
-            False
-        )  # whether the fleet holds that a server does not answer; the view's to say
-        self.may_try = (
-            None  # where the fleet has tasks: whether this forwarder is one that tries such servers
-        )
-        self.at_once = {limit.name for limit in fleet.limit if limit.at_once}
-        self.names = [limit.name for limit in fleet.limit if limit.what not in SERVERS]
-        # The limits that a request of a class falls under.
-        self.of = {
+        self.out = lambda now, server: False  # whether the fleet considers a server down; set by the view
+        self.is_canary = None  # with task leases: whether this forwarder may probe such servers
+        self.concurrent = {limit.name for limit in fleet.limit if limit.concurrent}
+        self.global_names = [limit.name for limit in fleet.limit if limit.what not in PER_SERVER]
+        # The limits that apply to requests of a class.
+        self.limits_of = {
             profile: [
                 limit
                 for limit in self.limits['requests'] + self.limits['open']
@@ -72,67 +79,68 @@
             ]
             for profile in profiles
         }
-        for name in self.names:
-            self.book(now, name)
-
-    def book(self, now, key):
-        """What is spent of a key."""
-        found = self.spent.get(key)
-        if found is None:
-            if len(self.spent) >= MOST_KEYS:
-                self.forget()
-            found = self.spent[key] = Spent(key, now)
-        return found
-
-    def forget(self):
-        """Guards against keys of servers that are long gone: one of which nothing is open makes way."""
+        for name in self.global_names:
+            self.usage(now, name)
+
+    def usage(self, now, key):
+        """Return the usage of a key."""
+        entry = self.spent.get(key)
+        if entry is None:
+            if len(self.spent) >= MAX_KEYS:
+                self.evict()
+            entry = self.spent[key] = Spent(key, now)
+        return entry
+
+    def evict(self):
+        """Drop the oldest usage of a server at which nothing is open."""
         for key, spent in list(self.spent.items()):
             if ':' in key and not spent.open:
                 del self.spent[key]
                 return
 
-    def room(self, now, limit, spent):
-        """Whether one more may be spent."""
-        may = self.purse.may(now, spent.key)
-        if limit.at_once:
-            good = (spent.open + 1) * GRAIN <= may
+    def has_room(self, now, limit, spent):
+        """Return whether one more fits into the budget, and count a refusal."""
+        budget = self.purse.may(now, spent.key)
+        if limit.concurrent:
+            allowed = (spent.open + 1) * GRAIN <= budget
         else:
-            spent.fill(now, may)
-            good = spent.tokens >= GRAIN * FINE
-        spent.refused += not good
-        return good
+            spent.fill(now, budget)
+            allowed = spent.tokens >= GRAIN * TOKENS_PER_GRAIN
+        spent.refused += not allowed
+        return allowed
 
-    # --- asked by the module ----------------------------------------------------------------------------
+    # --- called by the router ----------------------------------------------------------------------------
 
     def admits(self, now, profile):
-        """None if a request of this class may be taken; else the status by which it is refused. It is counted
-        if it may."""
-        rows = [(limit, self.book(now, limit.name)) for limit in self.of[profile]]
+        """Admit a request of this class and count it. Return None, or the status with which it is refused."""
+        rows = [(limit, self.usage(now, limit.name)) for limit in self.limits_of[profile]]
         for limit, spent in rows:
-            if not self.room(now, limit, spent):
+            if not self.has_room(now, limit, spent):
                 return limit.answer
         for limit, spent in rows:
             self.spend(limit, spent)
         return None
 
     def allows(self, now, server, cold):
-        """Whether a hop may go to a server. cold: whether that is cold."""
-        if self.may_try is not None and self.out(now, server) and not self.may_try():
+        """Return whether a hop may go to a server. cold: whether that server is cold."""
+        if self.is_canary is not None and self.out(now, server) and not self.is_canary():
             return False
-        return all(self.room(now, limit, self.book(now, key)) for limit, key in self.keys(now, server, cold))
+        return all(
+            self.has_room(now, limit, self.usage(now, key)) for limit, key in self.keys(now, server, cold)
+        )
 
     @staticmethod
     def spend(limit, spent):
-        """One more."""
-        if limit.at_once:
+        """Count one more."""
+        if limit.concurrent:
             spent.open += 1
             spent.peak = max(spent.peak, spent.open)
         else:
-            spent.asked += 1
-            spent.tokens -= GRAIN * FINE
+            spent.admitted += 1
+            spent.tokens -= GRAIN * TOKENS_PER_GRAIN
 
     def keys(self, now, server, cold):
-        """The limits that a hop to a server falls under, with their keys."""
+        """Return the limits that apply to a hop to a server, with their keys."""
         if server.origin:
             return [(limit, limit.name) for limit in self.limits['fetches']]
         found = [*self.limits['cold']] if cold else []
@@ -141,34 +149,34 @@
         return [(limit, '%s:%s' % (limit.name, server.name)) for limit in found]
 
     def links(self, now, server):
-        """Whether one more connection may be opened there."""
+        """Return whether one more connection to a server may be opened."""
         return all(
-            self.room(now, limit, self.book(now, '%s:%s' % (limit.name, server.name)))
+            self.has_room(now, limit, self.usage(now, '%s:%s' % (limit.name, server.name)))
             for limit in self.limits['links']
         )
 
-    # --- told by the node -------------------------------------------------------------------------------
+    # --- called by the node ------------------------------------------------------------------------------
 
     def done(self, profile):
-        """A request that was admitted has its final answer, or needs none, and no hop of it is out."""
-        for limit in self.of[profile]:
-            if limit.at_once:
+        """Record the end of an admitted request, once none of its hops is in flight."""
+        for limit in self.limits_of[profile]:
+            if limit.concurrent:
                 self.spent[limit.name].open -= 1
 
     def sent(self, now, server, cold):
-        """A hop has gone out."""
+        """Record a hop that was sent."""
         for limit, key in self.keys(now, server, cold):
-            self.spend(limit, self.book(now, key))
+            self.spend(limit, self.usage(now, key))
 
     def linked(self, now, server, more):
-        """So many more connections are there."""
+        """Record a change in the number of connections to a server."""
         for limit in self.limits['links']:
-            spent = self.book(now, '%s:%s' % (limit.name, server.name))
+            spent = self.usage(now, '%s:%s' % (limit.name, server.name))
             spent.open += more
             spent.peak = max(spent.peak, spent.open)
 
     def over(self, now, server):
-        """How many connections to a server are more than this forwarder may have now."""
+        """Return how many connections to a server exceed the current budget."""
         return max(
             (
                 -(self.purse.may(now, spent.key) // GRAIN) + spent.open
@@ -181,26 +189,28 @@
     # --- for the digest ---------------------------------------------------------------------------------
 
     def used(self):
-        """What is open, in grains by key."""
+        """Return what is open, in grains by key."""
         return {
             key: spent.open * GRAIN
             for key, spent in self.spent.items()
-            if spent.open and key.partition(':')[0] in self.at_once
+            if spent.open and key.partition(':')[0] in self.concurrent
         }
 
     def needs(self, now, servers):
-        """(spare, wants): grains by key that this forwarder can do without, and that it lacks. servers: names
-        of those that are cold, of each of which a part can be spared too."""
+        """Return (spare, wants): grains by key that this forwarder can do without, and that it lacks.
+
+        servers: names of cold servers, whose unused budgets can be spared too.
+        """
         spare, wants = {}, {}
-        keys = dict.fromkeys(self.names)
+        keys = dict.fromkeys(self.global_names)
         for limit in self.limits['cold']:
             keys.update(dict.fromkeys('%s:%s' % (limit.name, name) for name in servers))
         keys.update(dict.fromkeys(self.spent))
-        for key in list(keys)[:MOST_KEYS]:
-            at_once = key.partition(':')[0] in self.at_once
-            own, demand = self.purse.own[key], self.book(now, key).demand(now, at_once)
+        for key in list(keys)[:MAX_KEYS]:
+            concurrent = key.partition(':')[0] in self.concurrent
+            own, demand = self.purse.own[key], self.usage(now, key).demand(now, concurrent)
             spare[key] = max(0, own - demand * 3 // 2)
-            lacks = demand * 5 // 4 - (own - self.purse.given(now, key))
-            if lacks > 0:
-                wants[key] = -(-lacks // GRAIN) * GRAIN if at_once else lacks
+            shortfall = demand * 5 // 4 - (own - self.purse.given(now, key))
+            if shortfall > 0:
+                wants[key] = -(-shortfall // GRAIN) * GRAIN if concurrent else shortfall
         return {key: amount for key, amount in spare.items() if amount}, wants
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -15,7 +15,7 @@
 from lilacdyke.plan.limits import GRAIN
 from lilacdyke.plan.link import PlannerFactory, ToPlanner
 from lilacdyke.plan.planner import Planner
-from lilacdyke.plan.shares import FINE, Shares
+from lilacdyke.plan.shares import TOKENS_PER_GRAIN, Shares
 from lilacdyke.values import BadLine
 
 from ..helpers import terms
@@ -58,7 +58,9 @@
 
 def changed(fleet, **most):
     rows = [
-        msgspec.structs.replace(limit, most=most.get(limit.name, limit.most), floor=limit.grains()[1] / GRAIN)
+        msgspec.structs.replace(
+            limit, most=most.get(limit.name, limit.most), floor=limit.in_grains()[1] / GRAIN
+        )
         for limit in fleet.limit
     ]
     return msgspec.structs.replace(fleet, limit=rows, edition=fleet.edition + 1)
@@ -93,10 +95,10 @@
             fleet = msgspec.structs.replace(read(), seats=seats)
             for limit in fleet.limit:
                 parts = [fleet.seat_parts(seat)[limit.name] for seat in range(seats)]
-                parts += [fleet.planner_parts(index, fleet.mosts())[limit.name] for index in range(3)]
-                most, _ = limit.grains()
+                parts += [fleet.planner_budget(index, fleet.mosts())[limit.name] for index in range(3)]
+                most, _ = limit.in_grains()
                 self.assertTrue(most - seats - 3 <= sum(parts) <= most)
-                self.assertTrue(not limit.at_once or all(part % GRAIN == 0 for part in parts))
+                self.assertTrue(not limit.concurrent or all(part % GRAIN == 0 for part in parts))
 
     def test_who_has_no_seat_owns_nothing(self):
         self.assertEqual([dict(read().seat_parts(seat)) for seat in (None, 3, -1)], [{}, {}, {}])
@@ -133,7 +135,7 @@
         server, other, held = Server('c1', False), Server('c2', False), []
         self.shares.out = lambda now, server: server.name == 'c1'
         before = self.shares.allows(0, server, False)
-        self.shares.may_try = lambda: bool(held)
+        self.shares.is_canary = lambda: bool(held)
         without = self.shares.allows(0, server, False), self.shares.allows(0, other, False)
         held.append(True)
         self.assertEqual((before, without, self.shares.allows(0, server, False)), (True, (False, True), True))
@@ -178,7 +180,8 @@
             self.shares.admits(0, self.once)
         self.shares.admits(50_000, self.read)
         self.assertEqual(
-            (self.shares.spent['open'].open, self.shares.spent['reads'].tokens > GRAIN * FINE), (2, True)
+            (self.shares.spent['open'].open, self.shares.spent['reads'].tokens > GRAIN * TOKENS_PER_GRAIN),
+            (2, True),
         )
 
     def test_a_limit_it_does_not_fall_under_is_not_asked(self):
