--- a/lilacdyke/plan/frames.py
+++ b/lilacdyke/plan/frames.py
@@ -1,9 +1,9 @@
-"""Frames between forwarders and planners: MessagePack in a length, versioned, read strictly.
+"""Frames between forwarders and planners: length-prefixed MessagePack, versioned and strictly validated.
 
-Owns the form on the wire. A frame is four bytes of length (big-endian, MOST at most), then a MessagePack
-array [major, minor, kind, fields]. A newer minor version may bring fields that this one does not know: they
-are skipped. A newer major is refused. Must never guess at what is out of form, hold more than one frame's
-bytes, or touch a socket.
+Owns the wire format. A frame is a length of four bytes (big-endian, MAX_FRAME_BYTES at most), then a
+MessagePack array [major, minor, kind, fields]. Unknown fields and kinds, of a newer minor version, are
+skipped. Another major version is rejected. Must never accept malformed input, buffer more than one frame, or
+touch a socket.
 """
 
 import msgpack
@@ -13,191 +13,233 @@
 from .leases import VERBS
 
 MAJOR, MINOR = 1, 2
-MOST = 1 << 20  # bytes of one frame
-AMOUNT = 1 << 40  # no grains, versions or spans beyond that
-NAME = 200  # characters of a key or a life
-ROWS = 1_024  # of evidence, or verdicts, in one frame
+MAX_FRAME_BYTES = 1 << 20  # size of one frame
+MAX_AMOUNT = 1 << 40  # exclusive upper bound of amounts, versions and spans
+MAX_NAME_CHARS = 200  # in a key or a life
+MAX_ROWS = 1_024  # of evidence, or of verdicts, in one frame
 
 
-class BadFrame(Exception):
-    """Bytes that are no frame: the link ends. Says why, in one line."""
+class BadFrameError(Exception):
+    """Raised for a malformed frame, with a reason in one line. The link has to be closed."""
 
 
-class OtherMajor(BadFrame):
-    """The other side speaks a version that this one does not."""
+class UnsupportedVersionError(BadFrameError):
+    """Raised for a frame of another major version."""
 
 
-def whole(value):
-    """A number that may be an amount, a version or a span."""
-    if type(value) is not int or not 0 <= value < AMOUNT:
-        raise BadFrame('no whole number in range: %.60r' % (value,))
+def whole_number(value):
+    """Validate an integer in the range of amounts, versions and spans."""
+    if type(value) is not int or not 0 <= value < MAX_AMOUNT:
+        raise BadFrameError('not an integer in range: %.60r' % (value,))
     return value
 
 
 def name(value):
-    """A word."""
-    if type(value) is not str or not 0 < len(value) <= NAME:
-        raise BadFrame('no name: %.60r' % (value,))
+    """Validate a non-empty string."""
+    if type(value) is not str or not 0 < len(value) <= MAX_NAME_CHARS:
+        raise BadFrameError('not a valid name: %.60r' % (value,))
     return value
 
 
-def maybe(read):
-    """What may be nil."""
+def optional(read):
+    """Return a validator that also accepts None."""
     return lambda value: None if value is None else read(value)
 
 
 def amounts(value):
-    """Grains by key."""
+    """Validate a table of grains by key."""
     if type(value) is not dict:
-        raise BadFrame('no table: %.60r' % (value,))
-    return {name(key): whole(amount) for key, amount in value.items()}
+        raise BadFrameError('not a table: %.60r' % (value,))
+    return {name(key): whole_number(amount) for key, amount in value.items()}
 
 
-def part(value):
-    """A number from 0 up that need not be whole."""
-    if type(value) not in (int, float) or not 0 <= value < AMOUNT:
-        raise BadFrame('no number in range: %.60r' % (value,))
+def number(value):
+    """Validate a non-negative integer or float."""
+    if type(value) not in (int, float) or not 0 <= value < MAX_AMOUNT:
+        raise BadFrameError('not a number in range: %.60r' % (value,))
     return value
 
 
-def truth(value):
+def boolean(value):
     if type(value) is not bool:
-        raise BadFrame('neither true nor false: %.60r' % (value,))
+        raise BadFrameError('not a boolean: %.60r' % (value,))
     return value
 
 
-def word(*words):
-    """One of these."""
+def one_of(*choices):
+    """Return a validator for one of several strings."""
 
     def read(value):
-        if value not in words:
-            raise BadFrame('none of %s: %.60r' % (', '.join(words), value))
+        if value not in choices:
+            raise BadFrameError('not one of %s: %.60r' % (', '.join(choices), value))
         return value
 
     return read
 
 
 def counts(value):
-    """A short row of counts."""
+    """Validate a list of at most BINS counts."""
     if type(value) is not list or len(value) > BINS:
-        raise BadFrame('no counts: %.60r' % (value,))
-    return [whole(count) for count in value]
+        raise BadFrameError('not a list of counts: %.60r' % (value,))
+    return [whole_number(count) for count in value]
 
 
-def rows(*reads):
-    """Rows with a field for each of these; more fields, of a later minor version, are skipped."""
+def rows(*readers):
+    """Return a validator for rows with one field per reader. Further fields, of a newer minor version, are
+    skipped."""
 
     def read(value):
-        if type(value) is not list or len(value) > ROWS:
-            raise BadFrame('no rows: %.60r' % (value,))
-        found = []
+        if type(value) is not list or len(value) > MAX_ROWS:
+            raise BadFrameError('not a list of rows: %.60r' % (value,))
+        result = []
         for row in value:
-            if type(row) is not list or len(row) < len(reads):
-                raise BadFrame('no row: %.60r' % (row,))
-            found.append([each(field) for each, field in zip(reads, row)])
-        return found
+            if type(row) is not list or len(row) < len(readers):
+                raise BadFrameError('not a row: %.60r' % (row,))
+            result.append([reader(field) for reader, field in zip(readers, row)])
+        return result
 
     return read
 
 
-# The fields of each kind, all of which must be there.
-DIGEST, PLAN, ASK, TOLD, SEEK, VOTE, FREE = 'digest', 'plan', 'ask', 'told', 'seek', 'vote', 'free'
-SEEN = rows(
-    name, whole, whole, whole, whole, whole, whole, counts, maybe(whole), maybe(whole), maybe(whole), whole
-)  # a server, its start; belief.FIELDS; times; ages; run
-VERDICTS = rows(
-    name, whole, word(*KINDS), part, whole, whole, whole, whole, part, truth
+# Required fields of each kind, with their validators.
+DIGEST, PLAN, ASK, STATUS, SEEK, VOTE, FREE = 'digest', 'plan', 'ask', 'told', 'seek', 'vote', 'free'
+EVIDENCE_ROWS = rows(
+    name,
+    whole_number,
+    whole_number,
+    whole_number,
+    whole_number,
+    whole_number,
+    whole_number,
+    counts,
+    optional(whole_number),
+    optional(whole_number),
+    optional(whole_number),
+    whole_number,
+)  # server, start time; belief.FIELDS; histogram of times; ages; run
+VERDICT_ROWS = rows(
+    name,
+    whole_number,
+    one_of(*KINDS),
+    number,
+    whole_number,
+    whole_number,
+    whole_number,
+    whole_number,
+    number,
+    boolean,
 )  # verdicts.Verdict.plain
-WITNESSES = rows(whole, name, name, whole)  # seat, site, life, servers seen
+WITNESS_ROWS = rows(whole_number, name, name, whole_number)  # seat, site, life, servers seen
 FIELDS = {
     DIGEST: {
         'forwarder': name,
-        'seq': whole,
-        'holds': whole,
-        'life': maybe(name),
-        'stamp': maybe(whole),
-        'held': whole,
+        'seq': whole_number,
+        'holds': whole_number,
+        'life': optional(name),
+        'stamp': optional(whole_number),
+        'held': whole_number,
         'gifts': amounts,
         'wants': amounts,
     },
     PLAN: {
         'forwarder': name,
-        'seq': whole,
+        'seq': whole_number,
         'life': name,
-        'version': whole,
-        'stamp': whole,
+        'version': whole_number,
+        'stamp': whole_number,
         'leases': amounts,
-        'forwarders': whole,
+        'forwarders': whole_number,
+    },
+    SEEK: {'task': name, 'life': name, 'seq': whole_number, 'verb': one_of(*VERBS), 'number': whole_number},
+    VOTE: {
+        'task': name,
+        'life': name,
+        'seq': whole_number,
+        'voter': name,
+        'yes': boolean,
+        'number': whole_number,
     },
-    SEEK: {'task': name, 'life': name, 'seq': whole, 'verb': word(*VERBS), 'number': whole},
-    VOTE: {'task': name, 'life': name, 'seq': whole, 'voter': name, 'yes': truth, 'number': whole},
     FREE: {'task': name},
     ASK: {},
-    TOLD: {
-        'verdicts': rows(name, whole, word(*KINDS), part, whole, whole, whole, whole, part, maybe(name)),
-        'witnesses': WITNESSES,
+    STATUS: {
+        'verdicts': rows(
+            name,
+            whole_number,
+            one_of(*KINDS),
+            number,
+            whole_number,
+            whole_number,
+            whole_number,
+            whole_number,
+            number,
+            optional(name),
+        ),
+        'witnesses': WITNESS_ROWS,
     },
 }
-# Fields that came with a later minor version, with what holds where they are not there.
-LATER = {
+# Fields added by a later minor version, with their validators and defaults.
+OPTIONAL_FIELDS = {
     DIGEST: {
-        'edition': (whole, 0),
+        'edition': (whole_number, 0),
         'mosts': (amounts, {}),
         'heard': (amounts, {}),
-        'seat': (maybe(whole), None),
-        'site': (maybe(name), None),
-        'seen': (SEEN, []),
-        'doubts': (rows(name, whole), []),
+        'seat': (optional(whole_number), None),
+        'site': (optional(name), None),
+        'seen': (EVIDENCE_ROWS, []),
+        'doubts': (rows(name, whole_number), []),
     },
-    PLAN: {'edition': (whole, 0), 'mosts': (amounts, {}), 'verdicts': (VERDICTS, [])},
+    PLAN: {'edition': (whole_number, 0), 'mosts': (amounts, {}), 'verdicts': (VERDICT_ROWS, [])},
     ASK: {},
     SEEK: {},
     VOTE: {},
     FREE: {},
-    TOLD: {'tasks': (rows(name, name, maybe(whole), whole), []), 'votes': (truth, False)},
+    STATUS: {
+        'tasks': (rows(name, name, optional(whole_number), whole_number), []),
+        'votes': (boolean, False),
+    },
 }
 
 
 def pack(kind, fields):
-    """One frame's bytes."""
+    """Return the bytes of a frame."""
     body = msgpack.packb([MAJOR, MINOR, kind, fields])
-    if len(body) > MOST:
-        raise BadFrame('a %s of %d bytes' % (kind, len(body)))
+    if len(body) > MAX_FRAME_BYTES:
+        raise BadFrameError('%s too large: %d bytes' % (kind, len(body)))
     return LENGTH.pack(len(body)) + body
 
 
 def unpack(body):
-    """(kind, fields) of a frame's body; a kind that this version does not know gives None for its fields."""
+    """Return (kind, fields) of a frame's body. The fields of an unknown kind are None."""
     try:
-        tree = msgpack.unpackb(body, strict_map_key=True)
-    except Exception as err:  # the library raises many kinds, all of which mean the same
-        raise BadFrame('not MessagePack: %s' % ' '.join(str(err).split())[:100]) from None
-    if type(tree) is not list or len(tree) < 4:
-        raise BadFrame('no frame: %.60r' % (tree,))
-    major, _, kind, fields = whole(tree[0]), whole(tree[1]), name(tree[2]), tree[3]
+        message = msgpack.unpackb(body, strict_map_key=True)
+    except Exception as err:  # the library raises exceptions of many types for malformed input
+        raise BadFrameError('not MessagePack: %s' % ' '.join(str(err).split())[:100]) from None
+    if type(message) is not list or len(message) < 4:
+        raise BadFrameError('not a frame: %.60r' % (message,))
+    major, _, kind, fields = whole_number(message[0]), whole_number(message[1]), name(message[2]), message[3]
     if major != MAJOR:
-        raise OtherMajor('version %d.%d, and this is %d.%d' % (major, tree[1], MAJOR, MINOR))
+        raise UnsupportedVersionError('version %d.%d, and this is %d.%d' % (major, message[1], MAJOR, MINOR))
     if kind not in FIELDS:
         return kind, None
     if type(fields) is not dict:
-        raise BadFrame('%s without fields' % kind)
+        raise BadFrameError('%s without fields' % kind)
     missing = [field for field in FIELDS[kind] if field not in fields]
     if missing:
-        raise BadFrame('%s without %s' % (kind, missing[0]))
-    told = {field: read(fields[field]) for field, read in FIELDS[kind].items()}
-    for field, (read, usual) in LATER[kind].items():
-        told[field] = read(fields[field]) if field in fields else usual
-    return kind, told
+        raise BadFrameError('%s without %s' % (kind, missing[0]))
+    values = {field: read(fields[field]) for field, read in FIELDS[kind].items()}
+    for field, (read, default) in OPTIONAL_FIELDS[kind].items():
+        values[field] = read(fields[field]) if field in fields else default
+    return kind, values
 
 
 class Frames(FrameReader):
-    """Frames out of a stream, however it was cut."""
+    """Extracts frames from a stream of bytes."""
 
     __slots__ = ()
 
     def __init__(self):
-        super().__init__(MOST, BadFrame)
+        super().__init__(MAX_FRAME_BYTES, BadFrameError)
 
     def feed(self, data):
-        """All that is whole by now, as (kind, fields). A BadFrame ends the stream."""
+        """Return all complete frames as (kind, fields). Raise BadFrameError for a malformed one."""
         return [unpack(body) for body in super().feed(data)]
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -9,7 +9,19 @@
 
 from ..net.logs import LOG, warn
 from ..net.sockets import Outgoing, no_delay, waiting
-from .frames import ASK, DIGEST, FREE, PLAN, SEEK, TOLD, VOTE, BadFrame, Frames, OtherMajor, pack
+from .frames import (
+    ASK,
+    DIGEST,
+    FREE,
+    PLAN,
+    SEEK,
+    STATUS,
+    VOTE,
+    BadFrameError,
+    Frames,
+    UnsupportedVersionError,
+    pack,
+)
 
 
 class Speaker(Protocol):
@@ -31,9 +43,9 @@
             for kind, fields in self.frames.feed(data):
                 if kind in self.heard and not self.ended:
                     getattr(self, self.heard[kind])(fields)
-        except OtherMajor as err:
+        except UnsupportedVersionError as err:
             self.protocol_error('link refused', err)
-        except BadFrame as err:
+        except BadFrameError as err:
             self.protocol_error('frame not read', err)
         except Exception:
             LOG.exception('fault')
@@ -116,7 +128,7 @@
 
     def status_requested(self, fields):
         """Answer an operator's status request."""
-        self.say(TOLD, self.factory.status())
+        self.say(STATUS, self.factory.status())
 
     def count_bad(self):
         self.factory.counts['bad_frames'] += 1
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -11,7 +11,7 @@
 and nothing is spent under it a lease and its tail later.
 """
 
-from .frames import ROWS
+from .frames import MAX_ROWS
 from .ledger import Bank, longer, shorter
 from .verdicts import Sight
 
@@ -81,12 +81,12 @@
         return {
             'verdicts': [
                 [*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()
-            ][:ROWS],
+            ][:MAX_ROWS],
             'witnesses': [
                 [seat, witness.site, witness.life, len(witness.rows)]
                 for seat, witness in self.sight.witnesses.items()
                 if witness.life
-            ][:ROWS],
+            ][:MAX_ROWS],
         }
 
     def left(self, now, digest):
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -13,7 +13,7 @@
 from ..values import SECOND, BadLine
 from . import limits
 from .belief import BACK, LEFT, SLOW, WELL
-from .frames import ASK, TOLD, BadFrame, Frames, pack
+from .frames import ASK, STATUS, BadFrameError, Frames, pack
 
 PATIENCE = 2.0  # seconds for one planner's answer
 
@@ -48,7 +48,7 @@
             if not data:
                 raise OSError('it closed the link')
             for kind, fields in frames.feed(data):
-                if kind == TOLD:
+                if kind == STATUS:
                     return fields
     raise OSError('no answer in %g s' % patience)
 
@@ -57,7 +57,7 @@
     """The same by a row of the fleet file; None, and one line, if it gives no answer."""
     try:
         return ask(limits.address(row.address))
-    except (OSError, BadFrame) as err:
+    except (OSError, BadFrameError) as err:
         click.echo('lilacdyke: %s at %s: %s' % (row.name, row.address, ' '.join(str(err).split())), err=True)
         return None
 
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: what is read, however cut, and what ends a link."""
+"""Frames between forwarders and planners: splitting, validation and versions."""
 
 import unittest
 from random import Random
@@ -7,7 +7,14 @@
 
 from lilacdyke.framing import LENGTH
 from lilacdyke.plan.belief import BINS, SERVERS
-from lilacdyke.plan.frames import AMOUNT, MOST, BadFrame, Frames, OtherMajor, pack
+from lilacdyke.plan.frames import (
+    MAX_AMOUNT,
+    MAX_FRAME_BYTES,
+    BadFrameError,
+    Frames,
+    UnsupportedVersionError,
+    pack,
+)
 from lilacdyke.plan.ledger import MAX_KEYS, Bank, Parts, Purse
 
 PLAN = {
@@ -29,14 +36,14 @@
     return LENGTH.pack(len(body)) + body
 
 
-class Reading(unittest.TestCase):
-    def test_frames_however_cut(self):
+class FrameValidation(unittest.TestCase):
+    def test_frames_split_at_any_byte(self):
         data, reader, found = pack('plan', PLAN) * 3, Frames(), []
         for at in range(len(data)):
             found += reader.feed(data[at : at + 1])
         self.assertEqual((found, len(reader.buffer)), ([('plan', PLAN)] * 3, 0))
 
-    def test_what_the_ledger_says_goes_through_as_it_is(self):
+    def test_ledger_messages_survive_round_trip(self):
         purse, bank = Purse(0, 'f', ['p'], Parts(k=100), 20, 60), Bank('b', 20, 60)
         digest = dict(
             purse.digest(100, 'p', {'k': 3}, {'l': 4}),
@@ -58,25 +65,25 @@
         ((_, back),) = Frames().feed(pack('plan', plan))
         self.assertEqual((came, back, purse.planned(101, 'p', back)), (digest, plan, True))
 
-    def test_fields_and_kinds_of_a_later_minor_version_are_skipped(self):
+    def test_unknown_fields_and_kinds_are_skipped(self):
         reader = Frames()
         self.assertEqual(reader.feed(framed([1, 9, 'plan', dict(PLAN, colour='red')])), [('plan', PLAN)])
         self.assertEqual(reader.feed(framed([1, 9, 'song', 7])), [('song', None)])
 
-    def test_what_an_earlier_minor_version_does_not_say_is_filled_in(self):
+    def test_missing_fields_of_newer_minor_version_get_defaults(self):
         old = {field: value for field, value in PLAN.items() if field not in ('edition', 'mosts', 'verdicts')}
         self.assertEqual(
             Frames().feed(framed([1, 0, 'plan', old])),
             [('plan', dict(PLAN, edition=0, mosts={}, verdicts=[]))],
         )
 
-    def test_another_major_version_is_refused(self):
-        with self.assertRaisesRegex(OtherMajor, 'version 2.0, and this is 1.2'):
+    def test_other_major_version_is_rejected(self):
+        with self.assertRaisesRegex(UnsupportedVersionError, 'version 2.0, and this is 1.2'):
             Frames().feed(framed([2, 0, 'plan', PLAN]))
 
-    def test_what_is_out_of_form(self):
+    def test_malformed_frames_are_rejected(self):
         cases = [
-            LENGTH.pack(MOST + 1),
+            LENGTH.pack(MAX_FRAME_BYTES + 1),
             LENGTH.pack(3) + b'\xc1\xc1\xc1',
             framed(7),
             framed([1, 0, 'plan']),
@@ -108,14 +115,14 @@
             for rows in ({}, [7], [good[:-1]], [good] * 1_025)
         ]
         for data in cases:
-            with self.subTest(data=data[:60]), self.assertRaises(BadFrame):
+            with self.subTest(data=data[:60]), self.assertRaises(BadFrameError):
                 Frames().feed(data)
 
-    def test_a_frame_too_large_is_not_written(self):
-        with self.assertRaises(BadFrame):
-            pack('plan', dict(PLAN, leases={'k%d' % number: 1 for number in range(MOST // 5)}))
+    def test_frame_beyond_maximum_size_is_not_packed(self):
+        with self.assertRaises(BadFrameError):
+            pack('plan', dict(PLAN, leases={'k%d' % number: 1 for number in range(MAX_FRAME_BYTES // 5)}))
 
-    def test_three_limits_at_each_of_1024_servers_with_long_names_fit(self):
+    def test_largest_messages_for_1024_servers_fit_into_a_frame(self):
         keys = {
             '%s:%0190d' % (limit, server): 9
             for limit in ('cold', 'links', 'tries')
@@ -124,7 +131,7 @@
         ((_, came),) = Frames().feed(pack('plan', dict(PLAN, leases=keys)))
         self.assertEqual((came['leases'], len(keys) <= MAX_KEYS), (keys, True))
         seen = [
-            ['%0200d' % server, 7, 3, 1, 1, 1, 0, [AMOUNT - 1] * BINS, 40, None, 9, 2]
+            ['%0200d' % server, 7, 3, 1, 1, 1, 0, [MAX_AMOUNT - 1] * BINS, 40, None, 9, 2]
             for server in range(SERVERS)
         ]
         purse = Purse(0, 'f', ['p'], Parts(k=100), 20, 60)
@@ -144,13 +151,13 @@
             (1_024, len(digest['gifts']) + len(digest['wants'])),
         )
 
-    def test_noise_never_raises_anything_else(self):
-        chance, data = Random(1), pack('plan', PLAN)
+    def test_corrupted_bytes_raise_only_bad_frame_error(self):
+        rng, data = Random(1), pack('plan', PLAN)
         for _ in range(3_000):
             noise = bytearray(data)
-            for _ in range(chance.randint(1, 4)):
-                noise[chance.randrange(len(noise))] = chance.randrange(256)
+            for _ in range(rng.randint(1, 4)):
+                noise[rng.randrange(len(noise))] = rng.randrange(256)
             try:
                 Frames().feed(bytes(noise))
-            except BadFrame as err:
+            except BadFrameError as err:
                 self.assertNotIn('\n', str(err))
