--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -1,159 +1,177 @@
-"""A forwarder's side of its links to planners: when to dial, when to say what, what to believe. Without I/O.
+"""Decisions of a forwarder about its links to planners: when to dial, send and close. No I/O.
 
-Owns what is known of each planner and the newest limits that any of them told. Inputs only update it; the
-host then pulls `decide(now)` until it gives None: ('dial', planner), ('say', planner, digest), ('end',
-planner, why), ('wake', when). Must never have a transaction wait: nobody asks it anything on a transaction's
-way, and what it learns the purse has.
+Owns the state of each link and the newest limits that any planner sent. Inputs only update that state; the
+host then calls `decide(now)` until it returns None, and carries out each decision: ('dial', planner),
+('say', planner, digest), ('end', planner, why), ('wake', when). It is not on the path of a transaction, so
+must never delay one; leases reach transactions through the ledger.
 """
 
 from .ledger import longer
 
 UP, DOWN, DIALLING = 'up', 'down', 'dialling'
-SAYS = 4  # digests in a lease
-SILENT = 2  # leases without a plan after which a link is given up
-FIRST, LAST = 4, 4  # waits between dials begin at a part of a lease, and end at so many leases
-
-
-class Contact:
-    """What is known of one planner."""
-
-    __slots__ = ('name', 'state', 'next', 'failures', 'since', 'came', 'asked', 'written')
+SAYS = 4  # digests sent per lease
+SILENT_LEASES = 2  # leases without a plan after which a link is closed
+# Backoff between dials starts at lease / FIRST_BACKOFF_DIVISOR and ends at lease * MAX_BACKOFF_LEASES.
+FIRST_BACKOFF_DIVISOR, MAX_BACKOFF_LEASES = 4, 4
+
+
+class PlannerState:
+    """State of the link to one planner."""
+
+    __slots__ = (
+        'name',
+        'state',
+        'next_action',
+        'failures',
+        'state_since',
+        'last_plan_at',
+        'digest_sent_at',
+        'written',
+    )
 
     def __init__(self, name, now):
-        self.name, self.state, self.next = name, DOWN, now  # next: when to dial, or to say something
-        self.failures, self.since = 0, now  # since: when its state began
-        self.came = self.asked = None  # when the newest plan came; when the digest that it answers was sent
-        self.written = True  # whether the system took all that was said
+        self.name, self.state, self.next_action = name, DOWN, now  # next_action: when to dial or send
+        self.failures, self.state_since = 0, now
+        self.last_plan_at = self.digest_sent_at = None  # newest plan, and the digest that it answers
+        self.written = True  # whether the send buffer is empty
 
 
 class Forwarder:
-    """One forwarder's links."""
+    """The links of one forwarder."""
 
     def __init__(self, now, fleet, purse, needs, used, chance):
         self.purse, self.needs, self.used, self.chance = purse, needs, used, chance
         self.lease = fleet.lease
         self.accepts_limits, self.edition, self.mosts = fleet.accepts_limits, fleet.edition, fleet.mosts()
-        self.contacts = {
-            row.name: Contact(row.name, now + int(self.lease * chance() / FIRST)) for row in fleet.planner
+        self.planners = {
+            row.name: PlannerState(row.name, now + int(self.lease * chance() / FIRST_BACKOFF_DIVISOR))
+            for row in fleet.planner
         }
-        self.asked = None  # the wake-up that was asked for
-        self.told, self.needed = None, ({}, {})  # when needs were last looked at, and what was found
-        self.view, self.seat = (
-            None,
-            None,
-        )  # what it has seen of servers, where the fleet has verdicts (view.py)
+        self.scheduled_wake = None  # time of the pending wake-up
+        self.needs_at, self.cached_needs = None, ({}, {})  # the latest needs, and when they were computed
+        self.view, self.seat = None, None  # set if the fleet uses verdicts (view.py)
 
     # --- inputs -----------------------------------------------------------------------------------------
 
     def up(self, now, name):
-        """A link is there."""
-        contact = self.contacts[name]
-        contact.state, contact.since, contact.written = UP, now, True
-        contact.next = now + int(
-            self.lease * self.chance() / SAYS
-        )  # 300 that come at once do not speak at once
+        """Handle an established link."""
+        planner = self.planners[name]
+        planner.state, planner.state_since, planner.written = UP, now, True
+        planner.next_action = now + int(self.lease * self.chance() / SAYS)  # spreads first digests of a fleet
 
     def down(self, now, name):
-        """It has ended, or did not come up. The waits grow, and are drawn: guards against a herd at a planner
-        that comes back."""
-        contact = self.contacts[name]
-        lasted = (
-            contact.state == UP and contact.came is not None and contact.came >= contact.since + self.lease
+        """Handle a closed link or a failed dial. Exponential backoff with jitter keeps a fleet from dialling
+        a recovered planner all at once."""
+        planner = self.planners[name]
+        was_stable = (
+            planner.state == UP
+            and planner.last_plan_at is not None
+            and planner.last_plan_at >= planner.state_since + self.lease
+        )
+        planner.failures = 0 if was_stable else min(8, planner.failures + 1)
+        backoff = min(
+            self.lease * MAX_BACKOFF_LEASES, (self.lease << planner.failures) // FIRST_BACKOFF_DIVISOR
+        )
+        planner.state, planner.state_since, planner.next_action = (
+            DOWN,
+            now,
+            now + int(backoff * (0.5 + self.chance())),
         )
-        contact.failures = 0 if lasted else min(8, contact.failures + 1)
-        wait = min(self.lease * LAST, (self.lease << contact.failures) // FIRST)
-        contact.state, contact.since, contact.next = DOWN, now, now + int(wait * (0.5 + self.chance()))
 
     def written(self, name, whole):
-        """Whether the system has taken all that was said to it. Guards against a peer that does not read:
-        nothing is queued."""
-        self.contacts[name].written = whole
+        """Set whether the send buffer of a link is empty. Nothing is sent to a peer that does not read."""
+        self.planners[name].written = whole
 
     def planned(self, now, name, plan):
-        """A plan has come. Whether it was of use."""
-        contact, asked = self.contacts[name], self.purse.sent.get(plan['seq'])
+        """Process a plan. Return whether it was used."""
+        planner, request = self.planners[name], self.purse.sent.get(plan['seq'])
         if not self.purse.planned(now, name, plan):
             return False
-        contact.came = now
-        # One whose limits this one cannot pass on is not told of as heard: others would take it for news.
+        planner.last_plan_at = now
+        # A planner whose limits are not adopted here is not reported as heard: others would count it as
+        # reachable without having learned its edition.
         if self.hear(plan['edition'], plan['mosts']):
-            contact.asked = asked[1]
+            planner.digest_sent_at = request[1]
         if self.view:
-            self.view.planned(now, name, plan, asked[1])
+            self.view.planned(now, name, plan, request[1])
         return True
 
     def hear(self, edition, mosts):
-        """Limits of an edition; a newer one is passed on to all planners. Whether it is known here now."""
+        """Adopt the limits of a newer edition, which later digests pass on to all planners. Return whether
+        this edition, or a newer one, is in force."""
         if edition > self.edition and self.accepts_limits(mosts):
             self.edition, self.mosts = edition, mosts
         return edition <= self.edition
 
-    # --- what follows -----------------------------------------------------------------------------------
+    # --- decisions --------------------------------------------------------------------------------------
 
     def alone(self, now):
-        """Whether no planner has answered within a lease."""
+        """Return whether no planner has answered within a lease."""
         return not any(
-            contact.came is not None and now < contact.came + self.lease for contact in self.contacts.values()
+            planner.last_plan_at is not None and now < planner.last_plan_at + self.lease
+            for planner in self.planners.values()
         )
 
-    def heard(self, now):
-        """How long ago what each planner answered was sent."""
+    def answer_ages(self, now):
+        """Return how long ago the latest answered digest was sent, by planner."""
         return {
-            name: now - contact.asked for name, contact in self.contacts.items() if contact.asked is not None
+            name: now - planner.digest_sent_at
+            for name, planner in self.planners.items()
+            if planner.digest_sent_at is not None
         }
 
     def decide(self, now):
-        """The next thing to do, or None."""
-        if self.asked is not None and now >= self.asked:
-            self.asked = None
-        for contact in self.contacts.values():
-            if contact.state == UP and now >= max(contact.since, contact.came or 0) + SILENT * longer(
-                self.lease
-            ):
-                self.down(now, contact.name)
-                return 'end', contact.name, 'silent'
-            if now < contact.next:
+        """Return the next decision, or None."""
+        if self.scheduled_wake is not None and now >= self.scheduled_wake:
+            self.scheduled_wake = None
+        for planner in self.planners.values():
+            if planner.state == UP and now >= max(
+                planner.state_since, planner.last_plan_at or 0
+            ) + SILENT_LEASES * longer(self.lease):
+                self.down(now, planner.name)
+                return 'end', planner.name, 'silent'
+            if now < planner.next_action:
                 continue
-            if contact.state == DOWN:
-                contact.state, contact.since, contact.next = DIALLING, now, now + self.lease
-                return 'dial', contact.name
-            if contact.state == DIALLING:
-                self.down(now, contact.name)
-                return 'end', contact.name, 'no answer'
-            contact.next = now + int(self.lease * (0.75 + 0.5 * self.chance()) / SAYS)
-            if contact.written:
-                return 'say', contact.name, self.digest(now, contact.name)
-        first = min(contact.next for contact in self.contacts.values())
-        if self.asked is None or first < self.asked:
-            self.asked = first
+            if planner.state == DOWN:
+                planner.state, planner.state_since, planner.next_action = DIALLING, now, now + self.lease
+                return 'dial', planner.name
+            if planner.state == DIALLING:
+                self.down(now, planner.name)
+                return 'end', planner.name, 'no answer'
+            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.chance()) / SAYS)
+            if planner.written:
+                return 'say', planner.name, self.digest(now, planner.name)
+        first = min(planner.next_action for planner in self.planners.values())
+        if self.scheduled_wake is None or first < self.scheduled_wake:
+            self.scheduled_wake = first
             return 'wake', first
         return None
 
     def digest(self, now, name):
-        """What a planner is told."""
-        if self.told is None or now >= self.told + self.lease // (2 * SAYS):
-            self.told, self.needed = now, self.needs(now)
-        spare, wants = self.needed
-        used, mine = self.used(), self.purse.account(name)
+        """Return the next digest for a planner."""
+        if self.needs_at is None or now >= self.needs_at + self.lease // (2 * SAYS):
+            self.needs_at, self.cached_needs = now, self.needs(now)
+        spare, wants = self.cached_needs
+        used, account = self.used(), self.purse.account(name)
         lent = (
             {}
-            if mine is None
-            else {key: amount for key, (until, amount) in mine.leases.items() if now < until}
+            if account is None
+            else {key: amount for key, (until, amount) in account.leases.items() if now < until}
         )
-        # What others lend already is not wanted of this one too.
-        lacks = {
+        # Leases from other planners count against what is wanted from this one.
+        shortfall = {
             key: amount - self.purse.borrowed(now, key) + lent.get(key, 0) for key, amount in wants.items()
         }
-        made = self.purse.digest(
-            now, name, spare, {key: amount for key, amount in lacks.items() if amount > 0}, used
+        digest = self.purse.digest(
+            now, name, spare, {key: amount for key, amount in shortfall.items() if amount > 0}, used
         )
         if self.view:
-            made.update(
+            digest.update(
                 seat=self.seat,
                 site=self.view.site,
                 doubts=self.view.doubts(now),
                 seen=self.view.report(
-                    now, name, made['seq'], made['life'] if made['stamp'] is not None else None
+                    now, name, digest['seq'], digest['life'] if digest['stamp'] is not None else None
                 ),
             )
-        return dict(made, edition=self.edition, mosts=self.mosts, heard=self.heard(now))
+        return dict(digest, edition=self.edition, mosts=self.mosts, heard=self.answer_ages(now))
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -272,9 +272,9 @@
         seconds = []
         for seed in range(300):
             made = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(seed).random)
-            made.contacts['p0'].failures = 8
+            made.planners['p0'].failures = 8
             made.down(0, 'p0')
-            seconds.append(made.contacts['p0'].next // 10_000)
+            seconds.append(made.planners['p0'].next_action // 10_000)
         self.assertLess(max(seconds.count(second) for second in set(seconds)), 110)
 
     def test_a_link_without_plans_is_given_up(self):
