--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -1,7 +1,7 @@
-"""What ties a node to its fleet: the seat, the purse, the links to planners.
+"""A node's membership in its fleet: its seat, its budget and its links to planners.
 
-Owns the connections to planners and the seat's hold. Must never keep a transaction waiting, nor end the node:
-whatever fails in here leaves the node with its own part, or with none if the seat is another's.
+Owns the connections to planners and the locks on the seat. Must never delay a transaction or stop the node:
+on any failure the node continues with its own part, or with none if another process holds the seat.
 """
 
 from ..net.logs import LOG, say, warn
@@ -14,26 +14,25 @@
 from .shares import Shares
 from .view import View
 
-TRIES = 10  # looks at a seat that is another's, in a lease
-FIGURES = 5  # leases between two lines
+SEAT_RETRIES_PER_LEASE = 10  # attempts per lease to lock a seat that another process holds
+STATUS_CHECK_LEASES = 5  # leases between two checks for planners that answer
 
 
 class Share:
-    """A node's part in its fleet."""
+    """The state of a node as a member of its fleet."""
 
     def __init__(self, node, fleet):
         self.node, self.told, self.deadlines, self.clock = node, fleet, node.deadlines, node.clock
-        now, seats = self.clock(), [row.name for row in fleet.planner]
+        now, planner_names = self.clock(), [row.name for row in fleet.planner]
         self.rank = node.place.rank if node.place.rank < fleet.seats else None
-        self.full = fleet.seat_parts(self.rank)
-        # What keeps the seat's two halves: the one that answers for gifts, and the one that is left to an
-        # heir.
-        self.held, self.left, self.seeking = None, None, False
+        self.seat_budget = fleet.seat_parts(self.rank)
+        # Locks on the two halves of the seat: the first covers deposits, the second is passed to a successor.
+        self.first_half, self.second_half, self.retry_scheduled = None, None, False
         self.life = '%s-%x' % (node.place.name, int(node.chance() * (1 << 48)))
         self.purse = Purse(
             now,
             self.life,
-            seats,
+            planner_names,
             Parts(),
             fleet.lease,
             fleet.gift,
@@ -45,84 +44,86 @@
         self.forwarder = Forwarder(now, fleet, self.purse, self.needs, self.shares.used, node.chance)
         self.view = None
         if fleet.span is not None:
-            self.view = self.forwarder.view = View(node, fleet.span, seats)
+            self.view = self.forwarder.view = View(node, fleet.span, planner_names)
             self.forwarder.seat, self.shares.out = node.place.rank, self.view.out
-        self.canary = None
+        self.canary_lease = None
         if self.view and fleet.tasks is not None:
-            self.seek_canary()
+            self.acquire_canary_lease()
         self.addresses = {row.name: address(row.address) for row in fleet.planner}
-        self.links, self.alone, self.pulling = {}, None, False
+        self.links, self.isolated, self.deciding = {}, None, False
         node.caches.shares = self.shares
         self.take_seat(0)
-        self.figures(0)
-        self.settle()
+        self.check_status(0)
+        self.run_decisions()
 
     # --- the seat ---------------------------------------------------------------------------------------
 
     def take_seat(self, _):
-        """Have the seat's part, or what of it no other process on this machine has: an elder that still
-        empties itself, or one that was stopped and goes on some day. Until then only what is lent may be
-        spent."""
-        self.seeking = False
+        """Lock both halves of the seat, or those that no other process on this machine holds, such as a
+        predecessor that is still draining or is suspended. Without them only leases may be spent."""
+        self.retry_scheduled = False
         if self.rank is None:
             warn('no seat', rank=self.node.place.rank, seats=self.told.seats)
             return
-        had = self.held, self.left
-        self.held = self.held or self.hold('first')
+        before = self.first_half, self.second_half
+        self.first_half = self.first_half or self.hold_half('first')
         if not self.node.handed:
-            self.left = self.left or self.hold('second')
-        if (self.held, self.left) != had:
-            self.has(anew=had[0] is None and self.held is not None)
-        if self.held is None or self.left is None:
-            self.seek()
+            self.second_half = self.second_half or self.hold_half('second')
+        if (self.first_half, self.second_half) != before:
+            self.update_budget(anew=before[0] is None and self.first_half is not None)
+        if self.first_half is None or self.second_half is None:
+            self.schedule_seat_retry()
 
-    def hold(self, which):
+    def hold_half(self, which):
         return self.node.system.hold('lilacdyke/%s/seat/%d/%s' % (self.told.installation, self.rank, which))
 
-    def seek(self):
-        """Look again soon."""
-        if not self.seeking:
-            self.seeking = True
-            self.deadlines.at(self.clock() + max(1, self.told.lease // TRIES), self.take_seat, 0)
+    def schedule_seat_retry(self):
+        """Schedule another attempt to lock the seat."""
+        if not self.retry_scheduled:
+            self.retry_scheduled = True
+            self.deadlines.at(
+                self.clock() + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.take_seat, 0
+            )
 
-    def has(self, anew=False):
-        """What the purse may count on by the halves that are held."""
-        half = self.told.heir_part(self.full)
+    def update_budget(self, anew=False):
+        """Set the budget that the ledger may count on, by the halves of the seat that are held."""
+        heir_part = self.told.heir_part(self.seat_budget)
         own = (
-            self.full
-            if self.held and self.left
-            else half
-            if self.left
-            else Parts({key: amount - half[key] for key, amount in self.full.items()})
-            if self.held
+            self.seat_budget
+            if self.first_half and self.second_half
+            else heir_part
+            if self.second_half
+            else Parts({key: amount - heir_part[key] for key, amount in self.seat_budget.items()})
+            if self.first_half
             else Parts()
         )
-        self.purse.seated(self.clock(), own, self.full, anew)
-        say('seat', seat=self.rank, first=self.held is not None, second=self.left is not None)
+        self.purse.seated(self.clock(), own, self.seat_budget, anew)
+        say('seat', seat=self.rank, first=self.first_half is not None, second=self.second_half is not None)
 
     def hand_over(self, _=0):
-        """An heir serves: the second half is left to it, once what is open here has room in the first."""
+        """Pass the second half of the seat to a successor that serves, once the first half covers all that is
+        open here. Take it back if the successor is gone."""
         if self.rank is None:
             return
         if not self.node.handed:
             self.take_seat(0)
-            if self.held and self.left and self.purse.own != self.full:
-                self.has()  # it was to be left, and the heir is gone
-        elif self.left is not None:
-            left, self.left = self.left, None
-            self.has()
+            if self.first_half and self.second_half and self.purse.own != self.seat_budget:
+                self.update_budget()  # the handover was pending, and the successor is gone
+        elif self.second_half is not None:
+            second, self.second_half = self.second_half, None
+            self.update_budget()
             now = self.clock()
             if any(amount > self.purse.may(now, key) for key, amount in self.shares.used().items()):
-                self.left = left  # kept from others, and not spent
-                self.deadlines.at(now + max(1, self.told.lease // TRIES), self.hand_over, 0)
+                self.second_half = second  # stays locked, but is not spent
+                self.deadlines.at(now + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.hand_over, 0)
             else:
-                self.node.system.let_go(left)
+                self.node.system.let_go(second)
 
-    def seek_canary(self):
-        """Two forwarders of each site try servers that are held to be out, as it takes two to say that one
-        answers again. Tries go through the gate as any hop; with no canary nobody tries until the verdict
-        ends."""
-        self.canary = Lease(
+    def acquire_canary_lease(self):
+        """Request one of the two canary leases of this site. Only their holders probe servers that the fleet
+        considers down: two, since it takes two to report a recovery. Probes are subject to the gate like any
+        hop. Without a canary nobody probes until the verdict expires."""
+        self.canary_lease = Lease(
             self.node.reactor,
             self.deadlines,
             self.clock,
@@ -132,13 +133,13 @@
             lambda number: say('canary', number=number),
             lambda number: say('no canary', number=number),
         )
-        self.shares.is_canary = self.canary.held
-        self.canary.acquire()
+        self.shares.is_canary = self.canary_lease.held
+        self.canary_lease.acquire()
 
-    # --- what it needs ----------------------------------------------------------------------------------
+    # --- demand and evidence ----------------------------------------------------------------------------
 
     def needs(self, now):
-        """What can be spared and what is lacked; connections that are too many go first, if they rest."""
+        """Return what can be spared and what is lacked, after closing idle connections beyond the budget."""
         router = self.node.router
         if self.shares.limits['links']:
             self.node.caches.trim(lambda server: self.shares.over(now, server))
@@ -147,57 +148,57 @@
         )
 
     def ended(self, now, hop, how, lasted):
-        """A hop has ended: what it says of its server is evidence for all."""
+        """Record the end of a hop as evidence on its server."""
         if self.view:
             self.view.ended(now, hop, how, lasted)
 
     # --- links ------------------------------------------------------------------------------------------
 
-    def planned(self, name, plan):
-        """A plan has come."""
+    def on_plan(self, name, plan):
+        """Process a plan."""
         self.forwarder.planned(self.clock(), name, plan)
-        self.settle()
+        self.run_decisions()
 
-    def lost(self, link):
-        """A link has ended."""
+    def link_lost(self, link):
+        """Handle a closed link."""
         if self.links.get(link.name) is link:
             del self.links[link.name]
             self.forwarder.down(self.clock(), link.name)
-            self.settle()
+            self.run_decisions()
 
-    def settle(self):
-        """Pull what there is to do. Nothing of it may hold up or raise into what the node does."""
-        if self.pulling:
+    def run_decisions(self):
+        """Carry out pending decisions. An exception is logged, and must not reach the node."""
+        if self.deciding:
             return
-        self.pulling = True
+        self.deciding = True
         try:
             while decision := self.forwarder.decide(self.clock()):
                 getattr(self, 'do_' + decision[0])(*decision[1:])
         except Exception:
             LOG.exception('fault')
-            self.deadlines.at(self.clock() + self.told.lease, self.woken, 0)
+            self.deadlines.at(self.clock() + self.told.lease, self.on_wake, 0)
         finally:
-            self.pulling = False
+            self.deciding = False
 
-    def woken(self, _):
-        self.settle()
+    def on_wake(self, _):
+        self.run_decisions()
 
     def do_wake(self, when):
-        self.deadlines.at(when, self.woken, 0)
+        self.deadlines.at(when, self.on_wake, 0)
 
     def do_dial(self, name):
-        """Open a link; how long that may take is the forwarder's to say."""
+        """Open a link. The forwarder limits how long that may take."""
         link = self.links[name] = ToPlanner(self, name)
         connect(self.node.reactor, self.addresses[name], link).addCallbacks(
-            self.up, lambda failure: self.lost(link)
+            self.link_up, lambda failure: self.link_lost(link)
         ).addErrback(self.node.fault)
 
-    def up(self, link):
+    def link_up(self, link):
         if self.links.get(link.name) is link:
             self.forwarder.up(self.clock(), link.name)
-            self.settle()
+            self.run_decisions()
         else:
-            link.end()  # it came up after it was given up
+            link.end()  # connected after the dial was given up
 
     def do_say(self, name, digest):
         link = self.links.get(name)
@@ -205,7 +206,7 @@
             self.node.count('digests_held')
 
     def do_end(self, name, why):
-        """The forwarder has given it up already."""
+        """Close a link that the forwarder has given up."""
         link = self.links.pop(name, None)
         if link is not None:
             say('link given up', planner=name, why=why)
@@ -213,17 +214,19 @@
             if link.transport is None:
                 link.up.cancel()
 
-    # --- figures ----------------------------------------------------------------------------------------
+    # --- status -----------------------------------------------------------------------------------------
 
-    def figures(self, _):
-        """A line of what is in force; and one when it begins or ends that no planner answers."""
+    def check_status(self, _):
+        """Log a line when planners stop answering, and when one answers again."""
         now = self.clock()
-        alone = self.forwarder.alone(now)
-        if alone is not self.alone:
-            self.alone = alone
+        isolated = self.forwarder.alone(now)
+        if isolated is not self.isolated:
+            self.isolated = isolated
             say(
-                'alone' if alone else 'with planners',
-                seat=self.rank if self.held or self.left else 'none',
+                'alone' if isolated else 'with planners',
+                seat=self.rank if self.first_half or self.second_half else 'none',
                 edition=self.forwarder.edition,
             )
-        self.deadlines.at(now + FIGURES * self.told.lease // (5 if alone else 1), self.figures, 0)
+        self.deadlines.at(
+            now + STATUS_CHECK_LEASES * self.told.lease // (5 if isolated else 1), self.check_status, 0
+        )
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -82,7 +82,7 @@
         self.share, self.name = share, name
 
     def plan_received(self, plan):
-        self.share.planned(self.name, plan)
+        self.share.on_plan(self.name, plan)
 
     def count_bad(self):
         self.share.node.count('bad_frames')
@@ -95,7 +95,7 @@
 
     def connectionLost(self, reason=None):
         self.ended = True
-        self.share.lost(self)
+        self.share.link_lost(self)
 
 
 class ToForwarder(Speaker):
