--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -1,7 +1,7 @@
-"""How a node's hops become evidence, and the fleet's verdicts a word that its module reads.
+"""Turns a node's hops into evidence on servers, and the fleet's verdicts into routing constraints.
 
-Owns one node's evidence, its beliefs, and the words that it has set on servers. Must never send, choose a
-server, or touch anything of a server but its word; nor keep a transaction waiting.
+Owns one node's evidence, its view of the verdicts, and the constraint (`word`) that it sets on each server.
+Must never send, choose a server, change anything of a server but its word, or delay a transaction.
 """
 
 from ..known import NO_WORD
@@ -9,88 +9,91 @@
 from ..values import SECOND
 from .belief import FAILING, SILENT, Belief, Seen
 
-KEPT = 8  # reports to one planner that may still be answered
-LATE = 4  # a slow server's answers are trouble from this part of the shortest goal on
-LINES = 5  # for staff, a second
-FADES = 16  # looks at words without news, in a span
-WELL, FAILED, REFUSED, UNHEARD = 'well', 'failed', 'refused', 'silent'
-SAID = {
+MAX_UNANSWERED_REPORTS = 8  # reports to one planner that wait for a plan
+SLOW_GOAL_DIVISOR = 4  # answers are slow from 1/SLOW_GOAL_DIVISOR of the shortest goal on
+LOG_LINES_PER_SECOND = 5
+REFRESHES_PER_SPAN = 16  # recomputations of words per span when no plan arrives
+WELL, FAILED, REFUSED, NO_ANSWER = 'well', 'failed', 'refused', 'silent'
+OUTCOMES = {
     'committed': WELL,
     'missing': WELL,
     'error': FAILED,
     'spoilt': FAILED,
     'refused': REFUSED,
-    'unreachable': UNHEARD,
-    'lost': UNHEARD,
+    'unreachable': NO_ANSWER,
+    'lost': NO_ANSWER,
 }
 
 
 class View:
-    """A node's part in the fleet's verdicts. span: S, ticks."""
+    """Evidence and verdicts at one node. span: duration of a verdict in ticks."""
 
     def __init__(self, node, span, planners):
         self.node, self.clock, self.span = node, node.clock, span
         self.site = 'z%s' % node.place.terms.zone
-        self.late = node.router.goal // LATE  # from when on an answer is slow
-        self.seen = Seen(self.clock(), span, self.late)
-        self.belief = Belief(span, node.chance, self.late)
-        self.sent = {name: {} for name in planners}  # by planner: what it was sent, by the digest's number
-        self.known = {name: (None, {}) for name in planners}  # by planner: its life, and what it has for sure
-        self.words, self.timed = (
-            {},
-            False,
-        )  # by server: (kind, whether on the way alone, until) of those that act
-        self.quiet = 0  # until when nothing is written
+        self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
+        self.seen = Seen(self.clock(), span, self.slow_after)
+        self.belief = Belief(span, node.chance, self.slow_after)
+        self.pending_reports = {name: {} for name in planners}  # by planner: reports by digest number
+        self.acknowledged = {
+            name: (None, {}) for name in planners
+        }  # by planner: its life, and the evidence it has received
+        # By server: (kind, whether it concerns only the network path from this site, until) of active words.
+        self.words, self.refresh_scheduled = {}, False
+        self.next_log_at = 0  # verdict changes before this time are not logged
 
     # --- evidence ---------------------------------------------------------------------------------------
 
     def ident(self, server):
-        """(name, start) as lists have it; None for one that this node knows to be another process than its
-        list says."""
+        """Return (name, start time) as in discovery's list, or None if this node knows that the server is
+        another process by now."""
         entry = self.node.entries.get(server.name)
         if entry is None or self.node.starts.current(entry) != server.started:
             return None
         return server.name, int(entry.started)
 
     @staticmethod
-    def how(hop, how, lasted, over):
-        """What an ending says of its server, or None; as the module takes it (logic.hop_ended)."""
+    def classify(hop, how, lasted, over):
+        """Classify the end of a hop as evidence on its server, or None, in line with logic.hop_ended."""
         if how == 'expired' and over or how == 'cancelled' and hop.dropped and lasted > 2 * hop.server.lag:
-            return UNHEARD
-        return SAID.get(how)
+            return NO_ANSWER
+        return OUTCOMES.get(how)
 
     def ended(self, now, hop, how, lasted):
-        """A hop has ended."""
+        """Record the end of a hop as evidence on its server."""
         server = hop.server
-        said, ident = self.how(hop, how, lasted, self.node.router.over(now, hop.tx)), self.ident(server)
-        if said is None or ident is None or server.origin:
+        outcome, ident = (
+            self.classify(hop, how, lasted, self.node.router.over(now, hop.tx)),
+            self.ident(server),
+        )
+        if outcome is None or ident is None or server.origin:
             return
-        quick = said == WELL and lasted < self.late
-        self.saw(now, ident, said, lasted, quick)
+        quick = outcome == WELL and lasted < self.slow_after
+        self.saw(now, ident, outcome, lasted, quick)
         if server.word is not NO_WORD and quick is (server.word[1] == 0):
             self.look(now)
 
-    def saw(self, now, ident, said, lasted, quick):
-        """One more thing seen. quick: that it did well, and soon."""
-        self.seen.ended(now, ident, said, lasted)
+    def saw(self, now, ident, outcome, lasted, quick):
+        """Record one observation. quick: whether it was a fast success."""
+        self.seen.ended(now, ident, outcome, lasted)
         self.belief.saw(now, ident, quick)
 
     def report(self, now, planner, seq, life):
-        """What has changed since what this planner has for sure; life: of its own, None while it cannot tell
-        how old what comes is."""
-        whole = self.seen.report(now)
-        marks = {
+        """Return the evidence that has changed since the last report that this planner answered. life: the
+        planner's life, or None while the planner cannot date the report."""
+        rows = self.seen.report(now)
+        versions = {
             server: (row[:6], now - min(age for age in row[6:9] if age is not None))
-            for server, row in whole.items()
+            for server, row in rows.items()
         }
-        self.sent[planner][seq] = (life, marks)
-        while len(self.sent[planner]) > KEPT:
-            del self.sent[planner][next(iter(self.sent[planner]))]
-        had = self.known[planner][1] if self.known[planner][0] == life else {}
-        return [[*server, *row] for server, row in whole.items() if marks[server] != had.get(server)]
+        self.pending_reports[planner][seq] = (life, versions)
+        while len(self.pending_reports[planner]) > MAX_UNANSWERED_REPORTS:
+            del self.pending_reports[planner][next(iter(self.pending_reports[planner]))]
+        previous = self.acknowledged[planner][1] if self.acknowledged[planner][0] == life else {}
+        return [[*server, *row] for server, row in rows.items() if versions[server] != previous.get(server)]
 
     def doubts(self, now):
-        """Servers that this node gives less than their turns for what it saw itself."""
+        """Return servers to which this node sends less than their share, because of its own observations."""
         router = self.node.router
         return [
             list(ident)
@@ -101,42 +104,44 @@
     # --- verdicts ---------------------------------------------------------------------------------------
 
     def planned(self, now, planner, plan, asked):
-        """A plan of use has come, that answers the digest sent at `asked`."""
-        life, marks = self.sent[planner].pop(plan['seq'], (None, {}))
-        self.known[planner] = (plan['life'], marks if life == plan['life'] else {})
+        """Process a plan that answers the digest sent at `asked`."""
+        life, versions = self.pending_reports[planner].pop(plan['seq'], (None, {}))
+        self.acknowledged[planner] = (plan['life'], versions if life == plan['life'] else {})
         if plan['verdicts']:
             self.belief.planned(asked, plan['verdicts'])
         if plan['verdicts'] or self.words:
             self.look(now)
 
     def look(self, now):
-        """Set the words that follow from what is held now."""
+        """Set the words that follow from the current verdicts."""
         idents = {server: ident for server in self.node.router.caches if (ident := self.ident(server))}
-        acting = self.belief.words(now, {ident: server.zone for server, ident in idents.items()})
+        active_words = self.belief.words(now, {ident: server.zone for server, ident in idents.items()})
         for server in self.node.router.known.values():
-            held, server.word = acting.get(idents.get(server), (None, NO_WORD))
-            self.note(now, server.name, held.kind if held else None, bool(held and held.way), server.word[0])
+            held, server.word = active_words.get(idents.get(server), (None, NO_WORD))
+            self.update_word(
+                now, server.name, held.kind if held else None, bool(held and held.way), server.word[0]
+            )
         for name in self.words.keys() - self.node.router.known.keys():
-            self.note(now, name, None, False, 0)
-        if self.words and not self.timed:
-            self.timed = True
-            self.node.deadlines.at(now + max(1, self.span // FADES), self.fade, 0)
-
-    def fade(self, _):
-        """What is held weighs less as it grows old, news or none."""
-        self.timed = False
+            self.update_word(now, name, None, False, 0)
+        if self.words and not self.refresh_scheduled:
+            self.refresh_scheduled = True
+            self.node.deadlines.at(now + max(1, self.span // REFRESHES_PER_SPAN), self.refresh_words, 0)
+
+    def refresh_words(self, _):
+        """Recompute words, since verdicts lose weight with age."""
+        self.refresh_scheduled = False
         self.look(self.clock())
 
-    def note(self, now, name, kind, way, until):
-        """A word that begins, ends or goes on; a line for staff as it changes, a few a second."""
-        had = self.words.pop(name, None)
+    def update_word(self, now, name, kind, way, until):
+        """Record the word of a server, and log changes at a limited rate."""
+        previous = self.words.pop(name, None)
         if kind is not None:
             self.words[name] = (kind, way, until)
-        if (had and had[:2]) != (kind and (kind, way)) and now >= self.quiet:
-            self.quiet = now + SECOND // LINES
+        if (previous and previous[:2]) != (kind and (kind, way)) and now >= self.next_log_at:
+            self.next_log_at = now + SECOND // LOG_LINES_PER_SECOND
             say('verdict', server=name, kind=kind or 'none', way=way)
 
     def out(self, now, server):
-        """Whether the fleet holds that a server does not answer."""
-        found = self.words.get(server.name)
-        return found is not None and found[0] in (SILENT, FAILING) and now < found[2]
+        """Return whether the fleet considers a server down."""
+        word = self.words.get(server.name)
+        return word is not None and word[0] in (SILENT, FAILING) and now < word[2]
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -1,4 +1,4 @@
-"""A node's hops as evidence, and verdicts as words on its servers: one node, no links."""
+"""Evidence from a node's hops, and verdicts as constraints on its servers: one node without links."""
 
 import unittest
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 SPAN, GOAL = 60_000, 4_000
 
 
-class Node(unittest.TestCase):
+class NodeView(unittest.TestCase):
     def setUp(self):
         self.now = 100_000
         caches = [Server('c%d' % number, False) for number in range(5)]
@@ -40,8 +40,8 @@
             self.now, SimpleNamespace(server=server or self.server, tx=None, dropped=False), how, lasted
         )
 
-    def told(self, planner='p0', life='one', answer=True, verdicts=()):
-        """Names of servers in the next report, which is answered."""
+    def next_report(self, planner='p0', life='one', answer=True, verdicts=()):
+        """Return the servers named in the next report, which is answered unless `answer` is false."""
         self.seq += 1
         rows = self.view.report(self.now, planner, self.seq, life)
         if answer:
@@ -53,66 +53,73 @@
             )
         return [row[0] for row in rows]
 
-    def silent(self, age=0):
+    def silent_verdict(self, age=0):
         return ('c3', 0, 'silent', 1.0, 0, 3, 2, age, 1.0, False)
 
-    def test_what_a_planner_has_is_not_told_again_and_what_is_new_is(self):
+    def test_only_changed_evidence_is_reported(self):
         self.ended()
-        first = self.told(), self.told()
+        first = self.next_report(), self.next_report()
         self.now += SPAN // 4
-        self.ended()  # the same counts in another spell
+        self.ended()  # the same counts in a later interval
         self.now += SPAN // 4 - 1
-        self.assertEqual((first, self.told(), self.told()), ((['c3'], []), ['c3'], []))
+        self.assertEqual((first, self.next_report(), self.next_report()), ((['c3'], []), ['c3'], []))
 
-    def test_a_report_that_was_not_answered_or_is_another_planner_s_counts_for_nothing(self):
+    def test_unanswered_report_is_repeated_for_each_planner(self):
         self.ended()
         self.assertEqual(
-            [self.told(answer=False), self.told(), self.told('p1'), self.told()], [['c3'], ['c3'], ['c3'], []]
+            [self.next_report(answer=False), self.next_report(), self.next_report('p1'), self.next_report()],
+            [['c3'], ['c3'], ['c3'], []],
         )
 
-    def test_a_planner_that_was_restarted_is_told_all(self):
+    def test_restarted_planner_gets_full_report(self):
         self.ended()
         self.assertEqual(
-            [self.told(), self.told(), self.told(life='two'), self.told(life='two')], [['c3'], [], ['c3'], []]
+            [
+                self.next_report(),
+                self.next_report(),
+                self.next_report(life='two'),
+                self.next_report(life='two'),
+            ],
+            [['c3'], [], ['c3'], []],
         )
 
-    def test_a_verdict_is_a_word_until_its_end_or_own_newer_evidence(self):
-        self.told(verdicts=[self.silent()])
+    def test_verdict_applies_until_newer_own_evidence(self):
+        self.next_report(verdicts=[self.silent_verdict()])
         word = self.server.word
         self.assertEqual((word[1:], word[0] > self.now), ((0, 1 / 32, 0), True))
         self.assertTrue(self.view.out(self.now, self.server))
         self.now += 10
         self.ended('lost')
-        self.assertEqual(self.server.word, word)  # it says the same
+        self.assertEqual(self.server.word, word)  # the own evidence agrees with the verdict
         self.ended('committed', GOAL)
-        self.assertEqual(self.server.word, word)  # slow is not well
+        self.assertEqual(self.server.word, word)  # a slow answer is no success
         self.ended()
         self.assertIs(self.server.word, NO_WORD)
-        self.told(verdicts=[self.silent(age=20)])
+        self.next_report(verdicts=[self.silent_verdict(age=20)])
         self.assertIs(self.server.word, NO_WORD)
 
-    def test_a_word_ends_with_nothing_heard(self):
-        self.told(verdicts=[self.silent()])
+    def test_word_expires_without_plans(self):
+        self.next_report(verdicts=[self.silent_verdict()])
         self.now += SPAN
-        self.view.fade(0)
+        self.view.refresh_words(0)
         self.assertEqual((self.server.word, self.view.words), (NO_WORD, {}))
 
-    def test_one_known_here_to_be_another_process_is_neither_told_of_nor_believed(self):
+    def test_restarted_server_is_neither_reported_nor_constrained(self):
         self.server.started = self.now
         self.ended()
-        self.assertEqual(self.told(verdicts=[self.silent()]), [])
+        self.assertEqual(self.next_report(verdicts=[self.silent_verdict()]), [])
         self.assertIs(self.server.word, NO_WORD)
 
-    def test_one_that_is_out_of_the_list_has_no_word(self):
-        self.told(verdicts=[self.silent()])
+    def test_server_removed_from_the_list_has_no_word(self):
+        self.next_report(verdicts=[self.silent_verdict()])
         self.node.router.caches.remove(self.server)
         self.view.look(self.now)
         self.assertIs(self.server.word, NO_WORD)
 
-    def test_what_says_nothing_of_a_server_is_no_evidence(self):
+    def test_outcomes_unrelated_to_the_server_are_no_evidence(self):
         for how in ('unsent', 'cancelled', 'rejected', 'expired'):
             self.ended(how)
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.next_report(), [])
 
 
 if __name__ == '__main__':
