--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -1,7 +1,7 @@
-"""`lilacdyke fleet`: what staff ask of planners.
+"""The command `lilacdyke fleet`: operators' queries to planners.
 
-Owns the words on its command line, what it prints and its exit codes: 0 told, 1 no planner answered, 2 wrong
-words. Must never change anything at a planner, nor wait for longer than it says.
+Owns its command line, its output and its exit codes: 0 answered, 1 no planner answered, 2 invalid arguments.
+Must never change anything at a planner, or wait for longer than its timeout.
 """
 
 import socket
@@ -15,46 +15,46 @@
 from .belief import BACK, LEFT, SLOW, WELL
 from .frames import ASK, STATUS, BadFrameError, Frames, pack
 
-PATIENCE = 2.0  # seconds for one planner's answer
+TIMEOUT = 2.0  # seconds to wait for the answer of a planner
 
 
 def fleet_file(path, *tables):
-    """What the fleet file at this path says; if it cannot be read, or lacks one of these tables, that is one
-    line and exit 2."""
+    """Read the fleet file at this path. If it is invalid, or lacks one of these tables, print one line and
+    exit with 2."""
     try:
-        told = limits.read(path)
+        settings = limits.read(path)
         for name in tables:
-            if getattr(told, name) is None:
-                raise BadLine('%s: there is no such table' % name)
-        return told
+            if getattr(settings, name) is None:
+                raise BadLine('%s: no such table' % name)
+        return settings
     except BadLine as err:
         wrong(path, err)
 
 
 def wrong(path, why):
-    """One line, and exit 2."""
+    """Print one line to stderr, and exit with 2."""
     click.echo('lilacdyke: %s: %s' % (path, why), err=True)
     sys.exit(2)
 
 
-def ask(address, patience=PATIENCE):
-    """What a planner holds: the fields of its answer. OSError or BadFrame if it gives none in time."""
-    until, frames = time.monotonic() + patience, Frames()
-    with socket.create_connection(address, patience) as link:
+def ask(address, timeout=TIMEOUT):
+    """Return the fields of a planner's answer. Raise OSError or BadFrameError if there is none in time."""
+    deadline, frames = time.monotonic() + timeout, Frames()
+    with socket.create_connection(address, timeout) as link:
         link.sendall(pack(ASK, {}))
-        while (left := until - time.monotonic()) > 0:
-            link.settimeout(left)
+        while (remaining := deadline - time.monotonic()) > 0:
+            link.settimeout(remaining)
             data = link.recv(65_536)
             if not data:
-                raise OSError('it closed the link')
+                raise OSError('connection closed by the planner')
             for kind, fields in frames.feed(data):
                 if kind == STATUS:
                     return fields
-    raise OSError('no answer in %g s' % patience)
+    raise OSError('no answer in %g s' % timeout)
 
 
 def asked_of(row):
-    """The same by a row of the fleet file; None, and one line, if it gives no answer."""
+    """Query a planner of the fleet file. Return its answer, or print one line and return None."""
     try:
         return ask(limits.address(row.address))
     except (OSError, BadFrameError) as err:
@@ -62,37 +62,37 @@
         return None
 
 
-def changes(kind, factor, weight):
-    """What a verdict changes at a forwarder that acts on it, in words."""
+def effect_text(kind, factor, weight):
+    """Describe the effect of a verdict at a forwarder that applies it."""
     if kind == WELL:
         return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * BACK * weight)
-    left = 1 / factor if kind == SLOW else LEFT[kind]
+    share = 1 / factor if kind == SLOW else LEFT[kind]
     return 'keeps %.0f%% of its turns%s' % (
-        100 * left**weight,
+        100 * share**weight,
         ', its wait is expected' if kind == SLOW else '',
     )
 
 
-def table(name, told):
-    """What one planner holds, as lines."""
-    seats = len(told['witnesses'])
-    lines = ['%s: %d forwarders have told it of servers' % (name, seats)]
-    form = '%-20s %-8s %-10s %-22s %8s %7s  %s'
-    lines.append(form % ('server', 'held', 'for', 'by', 'age', 'weight', 'what it changes'))
-    for server, _, kind, factor, took, witnesses, sites, age, weight, site in sorted(
-        told['verdicts'], key=lambda row: (row[2] == WELL, row[0])
+def format_status(name, status):
+    """Return the status of one planner as lines of a table."""
+    reporters = len(status['witnesses'])
+    lines = ['%s: %d forwarders have reported on servers' % (name, reporters)]
+    row_format = '%-20s %-8s %-10s %-22s %8s %7s  %s'
+    lines.append(row_format % ('server', 'held', 'for', 'by', 'age', 'weight', 'what it changes'))
+    for server, _, kind, factor, response_time, witnesses, sites, age, weight, site in sorted(
+        status['verdicts'], key=lambda row: (row[2] == WELL, row[0])
     ):
-        held = kind if kind != SLOW else 'slow x%g' % factor
+        verdict_text = kind if kind != SLOW else 'slow x%g' % factor
         lines.append(
-            form
+            row_format
             % (
                 server,
-                held,
+                verdict_text,
                 site or 'all',
                 '%d forwarders, %d sites' % (witnesses, sites),
                 '%.1f s' % (age / SECOND),
                 '%.2f' % weight,
-                changes(kind, factor, weight),
+                effect_text(kind, factor, weight),
             )
         )
     return lines
@@ -109,12 +109,12 @@
 @click.option('--watch', is_flag=True, help='Ask again each second, until Ctrl-C.')
 @click.option('--json', 'as_json', is_flag=True, help='One line of JSON.')
 def servers(path, name, watch, as_json):
-    """What is held on each server, by whose evidence, how old, how sure, and what it changes."""
+    """Show the verdict on each server, its evidence, age, weight and effect."""
     rows = [row for row in fleet_file(path).planner if name in (None, row.name)]
     if not rows:
         wrong(path, 'planner: no %s' % name)
     while True:
-        code = once(rows, as_json, watch)
+        code = query_once(rows, as_json, watch)
         if not watch:
             sys.exit(code)
         try:
@@ -123,19 +123,19 @@
             sys.exit(0)
 
 
-def once(rows, as_json, clear):
-    """Ask until one answers, and print it; the exit code."""
+def query_once(rows, as_json, clear):
+    """Query planners until one answers, print its status, and return the exit code."""
     for row in rows:
-        found = asked_of(row)
-        if found is None:
+        status = asked_of(row)
+        if status is None:
             continue
         if as_json:
             import json
 
-            click.echo(json.dumps(dict(found, planner=row.name)))
+            click.echo(json.dumps(dict(status, planner=row.name)))
             return 0
         if clear:
             click.clear()
-        click.echo('\n'.join(table(row.name, found)))
+        click.echo('\n'.join(format_status(row.name, status)))
         return 0
     return 1
--- a/tests/plan/test_staff.py
+++ b/tests/plan/test_staff.py
@@ -1,4 +1,4 @@
-"""Verdicts in whole processes: forwarders that see, a planner that is asked by staff, and one that stays silent."""
+"""`lilacdyke fleet servers` against a planner process, which forwarders send evidence to."""
 
 import json
 import os
@@ -29,11 +29,11 @@
 """
 
 
-def said(seat, seq, plan, **hows):
-    """A forwarder's digest, in answer to a plan: what it saw of five servers."""
+def packed_digest(seat, seq, plan, **outcomes):
+    """Return a forwarder's digest in answer to a plan, with evidence on five servers."""
     rows = []
     for server in ('c0', 'c1', 'c2', 'c3', 'c4'):
-        silent = 4 if hows.get(server) == 'silent' else 0
+        silent = 4 if outcomes.get(server) == 'silent' else 0
         rows.append(
             [
                 server,
@@ -72,7 +72,7 @@
     )
 
 
-class Asked(unittest.TestCase):
+class StatusCommand(unittest.TestCase):
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
@@ -94,48 +94,48 @@
                 time.sleep(0.05)
         self.fail('the planner does not listen')
 
-    def talk(self, seat, **hows):
-        """Two digests of a forwarder; the second plan."""
+    def exchange_digests(self, seat, **outcomes):
+        """Send two digests of a forwarder. Return the second plan."""
         plan = None
         with socket.create_connection(('127.0.0.1', self.port), 2) as link:
             for seq in (1, 2):
-                link.sendall(said(seat, seq, plan, **hows))
+                link.sendall(packed_digest(seat, seq, plan, **outcomes))
                 frames, found = Frames(), []
                 while not found:
                     found = frames.feed(link.recv(65_536))
                 plan = found[0][1]
         return plan
 
-    def ask(self, *words):
-        return CliRunner().invoke(main, ['fleet', 'servers', '--file', self.path, *words])
+    def run_servers_command(self, *arguments):
+        return CliRunner().invoke(main, ['fleet', 'servers', '--file', self.path, *arguments])
 
-    def test_staff_see_what_is_held_by_whose_evidence_and_what_it_changes(self):
+    def test_status_shows_verdict_evidence_and_effect(self):
         self.start()
         for seat in range(3):
-            self.talk(seat, c3='silent')
+            self.exchange_digests(seat, c3='silent')
         time.sleep(0.3)
-        plan = self.talk(3, c3='silent')
+        plan = self.exchange_digests(3, c3='silent')
         self.assertEqual(
             [(row[0], row[2], row[9]) for row in plan['verdicts']],
             [('c3', 'silent', False), ('c1', 'well', False)],
         )
-        done = self.ask()
+        done = self.run_servers_command()
         line = next(row for row in done.output.splitlines() if row.startswith('c3'))
         self.assertEqual(done.exit_code, 0)
         for word in ('silent', 'all', 'forwarders, 2 sites', 'keeps 3% of its turns'):
             self.assertIn(word, line)
-        told = json.loads(self.ask('--json', '--planner', 'p0').output)
-        self.assertEqual((told['planner'], len(told['witnesses'])), ('p0', 4))
+        status = json.loads(self.run_servers_command('--json', '--planner', 'p0').output)
+        self.assertEqual((status['planner'], len(status['witnesses'])), ('p0', 4))
 
-    def test_one_forwarder_alone_is_seen_by_staff_and_binds_nobody(self):
+    def test_single_forwarder_is_listed_but_makes_no_verdict(self):
         self.start()
-        self.assertEqual(self.talk(0, c3='silent')['verdicts'], [])
-        self.assertIn('1 forwarders', self.ask().output)
+        self.assertEqual(self.exchange_digests(0, c3='silent')['verdicts'], [])
+        self.assertIn('1 forwarders', self.run_servers_command().output)
 
-    def test_no_planner_and_no_such_planner(self):
-        done = self.ask()
+    def test_exit_codes_without_planner_and_for_unknown_planner(self):
+        done = self.run_servers_command()
         self.assertEqual((done.exit_code, len(done.output.splitlines())), (1, 1))
-        done = self.ask('--planner', 'p9')
+        done = self.run_servers_command('--planner', 'p9')
         self.assertEqual(
             (done.exit_code, done.output.splitlines()[0].split(': ', 2)[2]), (2, 'planner: no p9')
         )
