--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -56,7 +56,7 @@
         return limits.read(file.name)
 
 
-def changed(fleet, **most):
+def with_limits(fleet, **most):
     rows = [
         msgspec.structs.replace(
             limit, most=most.get(limit.name, limit.most), floor=limit.in_grains()[1] / GRAIN
@@ -66,8 +66,8 @@
     return msgspec.structs.replace(fleet, limit=rows, edition=fleet.edition + 1)
 
 
-class File(unittest.TestCase):
-    def test_what_is_wrong_is_named_in_one_line(self):
+class FleetFile(unittest.TestCase):
+    def test_invalid_file_raises_one_line_that_names_the_key(self):
         for old, new, key in (
             ('seats = 3', 'seats = 0', 'seats'),
             ('what = "open"', 'what = "opened"', 'what'),
@@ -84,13 +84,13 @@
                 read(TEXT.replace(old, new))
             self.assertNotIn('\n', str(found.exception))
 
-    def test_it_is_off_unless_it_says_so_and_names_the_installation(self):
+    def test_fleet_must_be_enabled_for_this_installation(self):
         limits.enabled(read(), 'here')
         for text, place in ((TEXT, None), (TEXT, 'there'), (TEXT.replace('true', 'false'), 'here')):
             with self.subTest(place=place), self.assertRaises(BadLine):
                 limits.enabled(read(text), place)
 
-    def test_all_parts_together_are_the_limit_and_never_more(self):
+    def test_parts_add_up_to_at_most_the_limit(self):
         for seats in (1, 3, 7, 40):
             fleet = msgspec.structs.replace(read(), seats=seats)
             for limit in fleet.limit:
@@ -100,12 +100,12 @@
                 self.assertTrue(most - seats - 3 <= sum(parts) <= most)
                 self.assertTrue(not limit.concurrent or all(part % GRAIN == 0 for part in parts))
 
-    def test_who_has_no_seat_owns_nothing(self):
+    def test_invalid_seat_owns_nothing(self):
         self.assertEqual([dict(read().seat_parts(seat)) for seat in (None, 3, -1)], [{}, {}, {}])
 
 
-class Spending(unittest.TestCase):
-    """A forwarder on a seat that has had it for long."""
+class Enforcement(unittest.TestCase):
+    """A forwarder whose seat has been its own for longer than any deposit lasts."""
 
     def setUp(self):
         self.fleet, self.terms = read(), terms()
@@ -122,16 +122,16 @@
         self.shares = Shares(0, self.fleet, self.purse, self.terms.profiles)
         self.read, _, self.once = self.terms.profiles
 
-    def test_a_rate_lets_through_its_part_and_a_tenth_of_a_second_at_once(self):
-        own = self.purse.own['reads'] / GRAIN  # 16.7 a second
-        let = 0
+    def test_rate_limit_admits_its_part_and_a_burst(self):
+        own = self.purse.own['reads'] / GRAIN  # 16.7 per second
+        admitted = 0
         for now in range(0, 100_000, 10):
             if self.shares.admits(now, self.read) is None:
-                let += 1
+                admitted += 1
                 self.shares.spent['open'].open = 0
-        self.assertTrue(0.93 * 10 * own <= let <= 10 * own + 2, let)
+        self.assertTrue(0.93 * 10 * own <= admitted <= 10 * own + 2, admitted)
 
-    def test_only_a_canary_tries_a_server_that_the_fleet_holds_to_be_out(self):
+    def test_only_canary_probes_server_that_is_down(self):
         server, other, held = Server('c1', False), Server('c2', False), []
         self.shares.out = lambda now, server: server.name == 'c1'
         before = self.shares.allows(0, server, False)
@@ -140,7 +140,7 @@
         held.append(True)
         self.assertEqual((before, without, self.shares.allows(0, server, False)), (True, (False, True), True))
 
-    def test_tries_are_counted_for_each_server_that_is_out_and_for_no_other(self):
+    def test_probes_are_limited_for_each_server_that_is_down(self):
         fleet = limits.check(
             msgspec.structs.replace(
                 self.fleet,
@@ -163,19 +163,21 @@
                 shares.sent(now, server, False)
                 sent += 1
             self.assertTrue(shares.allows(now, other, False))
-        self.assertIn(sent, (4, 5))  # one a second, its bucket empty at first
+        self.assertIn(sent, (4, 5))  # one per second, from an empty bucket
 
-    def test_an_idle_second_is_not_saved_up(self):
+    def test_idle_time_does_not_accumulate_tokens(self):
         self.shares.admits(0, self.read)
-        let = sum(self.shares.admits(50_000, self.read) is None for _ in range(20))
-        self.assertLessEqual(let, 2)
+        admitted = sum(self.shares.admits(50_000, self.read) is None for _ in range(20))
+        self.assertLessEqual(admitted, 2)
 
-    def test_what_is_open_is_refused_beyond_the_part_and_free_when_it_is_over(self):
-        said = [self.shares.admits(0, self.once) for _ in range(3)]  # 5 of 10 over 3 seats: two here
+    def test_concurrency_limit_refuses_until_a_request_ends(self):
+        statuses = [
+            self.shares.admits(0, self.once) for _ in range(3)
+        ]  # 5 of 10 are divided among 3 seats: two here
         self.shares.done(self.once)
-        self.assertEqual((said, self.shares.admits(0, self.once)), ([None, None, 429], None))
+        self.assertEqual((statuses, self.shares.admits(0, self.once)), ([None, None, 429], None))
 
-    def test_all_limits_of_a_class_have_to_have_room_and_none_is_spent_otherwise(self):
+    def test_refused_request_uses_none_of_its_limits(self):
         for _ in range(2):
             self.shares.admits(0, self.once)
         self.shares.admits(50_000, self.read)
@@ -184,12 +186,12 @@
             (2, True),
         )
 
-    def test_a_limit_it_does_not_fall_under_is_not_asked(self):
+    def test_limit_of_another_class_does_not_apply(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[self.fleet.limit[0]])
         shares = Shares(0, fleet, self.purse, self.terms.profiles)
         self.assertEqual([shares.admits(0, self.once) for _ in range(50)], [None] * 50)
 
-    def test_what_was_spent_at_each_of_1024_servers_is_kept_count_of(self):
+    def test_usage_is_tracked_for_1024_servers(self):
         fleet = msgspec.structs.replace(
             self.fleet,
             limit=[
@@ -213,7 +215,7 @@
                 shares.sent(5_000, server, True)
         self.assertEqual([shares.allows(5_000, server, True) for server in servers].count(True), 0)
 
-    def test_what_a_cold_server_may_be_sent_is_a_limit_of_its_own_for_each(self):
+    def test_cold_limit_applies_to_each_server_separately(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[limits.Limit(name='cold', what='cold', most=30.0)])
         purse = Purse(-1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift)
         shares, one, other = (
@@ -233,7 +235,7 @@
         ]
         self.assertEqual(found, [True, False, True, True])
 
-    def test_what_is_not_needed_is_spared_and_what_was_refused_is_wanted(self):
+    def test_unused_budget_is_spared_and_refused_demand_is_wanted(self):
         spare, wants = self.shares.needs(10_000, [])
         for _ in range(400):
             self.shares.admits(15_000, self.read)
@@ -242,25 +244,25 @@
         self.assertGreater(after['reads'], 2 * self.purse.own['reads'])
 
 
-class Deciding(unittest.TestCase):
-    """A forwarder's links."""
+class ForwarderLinks(unittest.TestCase):
+    """Decisions of a forwarder about its links."""
 
     def setUp(self):
         self.fleet = read()
         self.purse = Purse(
             -1_000_000, 'f', ['p0', 'p1', 'p2'], self.fleet.seat_parts(0), LEASE, self.fleet.gift
         )
-        self.made = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(1).random)
+        self.forwarder = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(1).random)
 
     def until(self, end, begin=0):
-        """All that it decides up to then, a millisecond at a time."""
+        """Return all decisions up to then, polled every millisecond."""
         found = []
         for now in range(begin, end, 10):
-            while decision := self.made.decide(now):
+            while decision := self.forwarder.decide(now):
                 found.append((now, *decision))
         return found
 
-    def test_it_dials_all_and_waits_longer_each_time_that_none_answers(self):
+    def test_dials_all_planners_with_growing_backoff(self):
         dials = [(now, name) for now, what, name, *_ in self.until(400_000) if what == 'dial']
         times = [now for now, name in dials if name == 'p0']
         gaps = [later - now for now, later in zip(times, times[1:])]
@@ -268,18 +270,18 @@
             len({name for _, name in dials}) == 3 and 5 <= len(times) < 25 and max(gaps) > 3 * LEASE, gaps
         )
 
-    def test_a_fleet_does_not_dial_a_planner_that_comes_back_at_once(self):
+    def test_redials_of_a_fleet_are_spread(self):
         seconds = []
         for seed in range(300):
-            made = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(seed).random)
-            made.planners['p0'].failures = 8
-            made.down(0, 'p0')
-            seconds.append(made.planners['p0'].next_action // 10_000)
+            forwarder = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(seed).random)
+            forwarder.planners['p0'].failures = 8
+            forwarder.down(0, 'p0')
+            seconds.append(forwarder.planners['p0'].next_action // 10_000)
         self.assertLess(max(seconds.count(second) for second in set(seconds)), 110)
 
-    def test_a_link_without_plans_is_given_up(self):
+    def test_silent_link_is_closed(self):
         self.until(LEASE)
-        self.made.up(LEASE, 'p0')
+        self.forwarder.up(LEASE, 'p0')
         ends = [
             (now, name, why)
             for now, what, name, *more in self.until(5 * LEASE, LEASE)
@@ -290,25 +292,27 @@
         self.assertEqual([row[1:] for row in ends][:1], [('p0', 'silent')])
         self.assertLessEqual(ends[0][0], LEASE + 2 * longer(LEASE) + 10)
 
-    def test_a_peer_that_does_not_read_is_told_nothing(self):
-        self.made.up(0, 'p0')
-        self.made.written('p0', False)
-        said = [what for _, what, *_ in self.until(LEASE) if what == 'say']
-        self.assertEqual(said, [])
+    def test_no_digest_for_a_peer_that_does_not_read(self):
+        self.forwarder.up(0, 'p0')
+        self.forwarder.written('p0', False)
+        sent = [what for _, what, *_ in self.until(LEASE) if what == 'say']
+        self.assertEqual(sent, [])
 
-    def test_a_newer_edition_is_passed_on_and_one_that_does_not_fit_is_not(self):
+    def test_newer_edition_is_adopted_only_if_it_fits(self):
         lower = {'reads': 60 * GRAIN, 'open': 10 * GRAIN}
         heard = [
-            self.made.hear(2, lower),
-            self.made.hear(3, {'reads': 1}),
-            self.made.hear(1, self.fleet.mosts()),
+            self.forwarder.hear(2, lower),
+            self.forwarder.hear(3, {'reads': 1}),
+            self.forwarder.hear(1, self.fleet.mosts()),
         ]
-        self.assertEqual((heard, self.made.edition, self.made.mosts), ([True, False, True], 2, lower))
+        self.assertEqual(
+            (heard, self.forwarder.edition, self.forwarder.mosts), ([True, False, True], 2, lower)
+        )
 
-    def test_what_one_planner_lends_is_not_wanted_of_the_next(self):
-        self.made.needs = lambda now: ({}, {'reads': 9_000})
+    def test_lease_from_one_planner_is_not_wanted_from_others(self):
+        self.forwarder.needs = lambda now: ({}, {'reads': 9_000})
         for planner, lent in (('p0', 5_000), ('p1', 1_000)):
-            digest = self.made.digest(0, planner)
+            digest = self.forwarder.digest(0, planner)
             self.purse.planned(
                 0,
                 planner,
@@ -323,15 +327,15 @@
                 },
             )
         self.assertEqual(
-            [self.made.digest(1, name)['wants']['reads'] for name in ('p0', 'p1', 'p2')],
+            [self.forwarder.digest(1, name)['wants']['reads'] for name in ('p0', 'p1', 'p2')],
             [8_000, 4_000, 3_000],
         )
 
 
-class Planning(unittest.TestCase):
+class PlannerDecisions(unittest.TestCase):
     def setUp(self):
         self.fleet = read()
-        self.made = Planner(0, 'b', self.fleet, 0)
+        self.planner = Planner(0, 'b', self.fleet, 0)
         self.now = 100_000
         self.purse = Purse(
             -1_000_000,
@@ -344,8 +348,8 @@
             self.fleet.units(),
         )
 
-    def meet(self, wants=(), heard=(), now=None, **more):
-        """A digest and its plan, at once."""
+    def exchange(self, wants=(), heard=(), now=None, **more):
+        """Exchange a digest and its plan without delay. Return the plan."""
         now = self.now if now is None else now
         digest = dict(
             self.purse.digest(now, 'p0', {}, dict(wants)),
@@ -353,66 +357,68 @@
             mosts=self.fleet.mosts(),
             heard=dict(heard),
         )
-        plan = self.made.told(now, dict(digest, **more))
+        plan = self.planner.told(now, dict(digest, **more))
         self.purse.planned(now, 'p0', plan)
         return plan
 
-    def test_without_news_of_most_planners_it_lends_nothing_of_its_own(self):
-        self.meet()
-        alone = self.meet({'reads': 9 * GRAIN})['leases']
-        backed = self.meet({'reads': 9 * GRAIN}, {'p1': 50})['leases']
+    def test_planner_without_quorum_lends_nothing_of_its_own(self):
+        self.exchange()
+        alone = self.exchange({'reads': 9 * GRAIN})['leases']
+        backed = self.exchange({'reads': 9 * GRAIN}, {'p1': 50})['leases']
         self.assertEqual((alone, backed), ({}, {'reads': 9 * GRAIN}))
 
-    def test_news_from_before_this_life_or_from_long_ago_does_not_count(self):
-        first = self.meet({'reads': 9 * GRAIN}, {'p1': 50})  # its first digest echoes no plan of this life
-        self.meet()
-        old = self.meet({'reads': 9 * GRAIN}, {'p1': 3 * LEASE})
-        stranger = self.meet({'reads': 9 * GRAIN}, {'p9': 1})
+    def test_stale_or_unknown_answers_do_not_count_for_quorum(self):
+        first = self.exchange(
+            {'reads': 9 * GRAIN}, {'p1': 50}
+        )  # the first digest echoes no plan of this life
+        self.exchange()
+        old = self.exchange({'reads': 9 * GRAIN}, {'p1': 3 * LEASE})
+        stranger = self.exchange({'reads': 9 * GRAIN}, {'p9': 1})
         self.assertEqual((first['leases'], old['leases'], stranger['leases']), ({}, {}, {}))
 
-    def test_news_ages_while_nobody_brings_more(self):
-        self.meet()
-        self.meet({}, {'p1': 0})
-        end = self.now + self.made.window
-        self.assertEqual((self.made.has_quorum(end - 1), self.made.has_quorum(end + 1)), (True, False))
+    def test_quorum_expires_without_answers(self):
+        self.exchange()
+        self.exchange({}, {'p1': 0})
+        end = self.now + self.planner.window
+        self.assertEqual((self.planner.has_quorum(end - 1), self.planner.has_quorum(end + 1)), (True, False))
 
-    def test_a_lowered_limit_is_lent_by_at_once_and_reaches_planners_by_forwarders(self):
-        self.meet(), self.meet({}, {'p1': 0})
-        before = self.meet({'reads': 90 * GRAIN}, {'p1': 0})['leases']['reads']
+    def test_lowered_limit_spreads_through_forwarders_and_applies_at_once(self):
+        self.exchange(), self.exchange({}, {'p1': 0})
+        before = self.exchange({'reads': 90 * GRAIN}, {'p1': 0})['leases']['reads']
         lower = dict(self.fleet.mosts(), reads=62 * GRAIN)
-        plan = self.meet({'reads': 90 * GRAIN}, {'p1': 0}, edition=2, mosts=lower)
+        plan = self.exchange({'reads': 90 * GRAIN}, {'p1': 0}, edition=2, mosts=lower)
         self.assertEqual(
             (before, plan['leases']['reads'], plan['edition'], plan['mosts']),
             (50_000 // 3, 4 * GRAIN, 2, lower),
         )
 
-    def test_one_edition_with_two_contents_counts_as_the_lower(self):
-        self.made.hear(1, dict(self.fleet.mosts(), reads=70 * GRAIN))
-        self.made.hear(1, dict(self.fleet.mosts(), open=8 * GRAIN))
-        self.assertEqual(self.made.mosts, {'reads': 70 * GRAIN, 'open': 8 * GRAIN})
+    def test_lower_values_apply_for_two_contents_of_one_edition(self):
+        self.planner.hear(1, dict(self.fleet.mosts(), reads=70 * GRAIN))
+        self.planner.hear(1, dict(self.fleet.mosts(), open=8 * GRAIN))
+        self.assertEqual(self.planner.mosts, {'reads': 70 * GRAIN, 'open': 8 * GRAIN})
 
-    def test_a_file_is_taken_only_with_a_higher_edition_and_the_same_floors(self):
-        good = changed(self.fleet, reads=80.0)
+    def test_reload_requires_higher_edition_and_same_floors(self):
+        good = with_limits(self.fleet, reads=80.0)
         floors = msgspec.structs.replace(
             good, limit=[msgspec.structs.replace(limit, floor=1.0) for limit in good.limit]
         )
-        said = [self.made.reread(fleet) for fleet in (floors, good, good)]
-        self.assertEqual((said[1], self.made.mosts['reads']), (None, 80 * GRAIN))
-        self.assertTrue('floor' in said[0] and 'edition' in said[2])
+        reasons = [self.planner.reread(fleet) for fleet in (floors, good, good)]
+        self.assertEqual((reasons[1], self.planner.mosts['reads']), (None, 80 * GRAIN))
+        self.assertTrue('floor' in reasons[0] and 'edition' in reasons[2])
 
 
-class Links(unittest.TestCase):
+class LinkProtocols(unittest.TestCase):
     def factory(self, most=2):
         from collections import Counter
 
         self.counts = Counter()
         return PlannerFactory(self.counts, most, lambda digest: None)
 
-    def test_bad_bytes_end_that_link_only_and_are_counted(self):
+    def test_malformed_bytes_close_only_that_link(self):
         factory = self.factory()
         links = []
         for _ in range(2):
-            link, wire = factory.buildProtocol(None), Wire()
+            link, wire = factory.buildProtocol(None), RecordingTransport()
             link.makeConnection(wire)
             links.append((link, wire))
         with self.assertLogs('lilacdyke', 'WARNING'):
@@ -422,21 +428,21 @@
             ([True, False], 1),
         )
 
-    def test_of_too_many_links_the_one_that_was_there_longest_makes_way(self):
+    def test_oldest_link_is_dropped_beyond_the_maximum(self):
         factory, wires = self.factory(), []
         for _ in range(3):
-            link, wire = factory.buildProtocol(None), Wire()
+            link, wire = factory.buildProtocol(None), RecordingTransport()
             link.makeConnection(wire)
             wires.append(wire)
         self.assertEqual([wire.aborted for wire in wires], [True, False, False])
 
-    def test_a_frame_is_not_queued_behind_one_that_has_not_left(self):
-        link, wire = ToPlanner(None, 'p0'), Wire()
+    def test_no_frame_is_queued_behind_an_unsent_one(self):
+        link, wire = ToPlanner(None, 'p0'), RecordingTransport()
         link.transport = wire
         wire.dataBuffer = b'left'
         self.assertEqual((link.say(PLAN, {}), wire.value()), (False, b''))
 
-    def test_an_absurd_plan_lets_a_forwarder_spend_no_more_than_there_is(self):
+    def test_absurd_plan_is_capped_at_the_total(self):
         purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE, whole=Parts(k=20))
         digest = purse.digest(0, 'p0', {}, {'k': 3})
         plan = {
@@ -452,7 +458,7 @@
             (purse.planned(0, 'p0', plan), purse.may(0, 'k'), purse.may(LEASE, 'k')), (True, 20, 5)
         )
 
-    def test_a_plan_of_an_unknown_forwarder_or_seq_changes_nothing(self):
+    def test_plan_with_unknown_forwarder_or_seq_is_ignored(self):
         purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE)
         plan = {
             'forwarder': 'g',
@@ -463,12 +469,12 @@
             'leases': {'k': 1 << 39},
             'forwarders': 1,
         }
-        pack(PLAN, plan)  # as large as a frame may say
+        pack(PLAN, plan)  # the largest amount that a frame may carry
         self.assertEqual((purse.planned(0, 'p0', plan), purse.may(0, 'k')), (False, 5))
 
 
-class Wire(StringTransport):
-    """A transport that keeps what was done to it."""
+class RecordingTransport(StringTransport):
+    """A transport that records how it was closed."""
 
     dataBuffer, offset, _tempDataBuffer, aborted = b'', 0, [], False
 
