--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -6,8 +6,8 @@
 """
 
 from . import http
-from .flow import STALLED, Flow
-from .phases import ASKED, BODY_PAUSE, LOOK, STREAMING
+from .flow import STALL_TIMEOUT, Flow
+from .phases import ASKED, LOOK, MAX_BODY_PAUSE, STREAMING
 from .sockets import quiet, unread_for
 
 
@@ -17,9 +17,9 @@
     def __init__(self, client, message):
         self.client, self.message = client, message
         self.link = None  # the connection to a server that the body goes to, once there is one
-        self.held = False  # whether this side keeps the body unread
-        self.held_since = 0  # when this side last stopped reading it
-        self.timed = False  # whether a deadline is set for a held body
+        self.reading_paused = False  # whether this side keeps the body unread
+        self.paused_since = 0  # when this side last stopped reading it
+        self.deadline_set = False  # whether a deadline is set for a held body
 
     def body_came(self):
         """More of the body is here: on to the server, or held and not read on until a connection carries it.
@@ -39,39 +39,39 @@
         if whole and client.active:
             client.listener.node.body_came(client.active, client.came)
 
-    def carried(self, link):
+    def attach(self, link):
         """A connection carries the request: its body goes there from here on, and nowhere else."""
         self.link = link
         self.client.listener.node.body_spent(self.client.active)
-        self.moved()
-        self.go_on()
+        self.progressed()
+        self.resume()
         self.client.listener.again(self.client)
 
-    def put_down(self, link):
+    def detach(self, link):
         """The attempt that carried it has ended."""
         if self.link is link:
             self.link = None
 
-    def moved(self):
+    def progressed(self):
         """The server takes more again: it was not the client that was slow."""
         client = self.client
-        client.since = max(client.since, client.listener.clock() - BODY_PAUSE // 2)
+        client.since = max(client.since, client.listener.clock() - MAX_BODY_PAUSE // 2)
 
     def pause(self):
         """Nothing more is read for now. Its last byte may lie unread all the same, so its time runs."""
         self.client.transport.pauseProducing()
-        self.held, self.held_since = True, self.client.listener.clock()
-        if not self.timed:
+        self.reading_paused, self.paused_since = True, self.client.listener.clock()
+        if not self.deadline_set:
             self.set_deadline(self.time_up())
 
-    def go_on(self):
+    def resume(self):
         """Read on."""
-        self.held = False
+        self.reading_paused = False
         self.client.transport.resumeProducing()
 
     def set_deadline(self, when):
         """Look at a held body at that time."""
-        self.timed = True
+        self.deadline_set = True
         self.client.listener.deadlines.at(when, self.client.listener.upload_due, self.client.number)
 
     def time_up(self):
@@ -79,15 +79,15 @@
         client = self.client
         wait = client.active.wait if client.active else 0
         # What comes while nothing is read had been written before: a full window lets it in late.
-        came = min(self.held_since, client.listener.clock() - unread_for(client.transport))
+        came = min(self.paused_since, client.listener.clock() - unread_for(client.transport))
         return came + wait
 
     def due(self):
         """Guards against a request whose last byte came while a server, or a connection to one, kept its body
         waiting: its client has a limit like any other."""
-        self.timed = False
+        self.deadline_set = False
         client = self.client
-        if not self.held or not client.active:
+        if not self.reading_paused or not client.active:
             return
         now = client.listener.clock()
         when = self.time_up()
@@ -103,7 +103,7 @@
     def __init__(self, client, answer, in_chunks, until):
         self.client, self.source = client, answer.source
         self.until = until  # the limit of its request; None: it has none yet
-        self.flow = Flow(self.source, client.transport, in_chunks, self.moved)
+        self.flow = Flow(self.source, client.transport, in_chunks, self.progressed)
         self.source.sink = self
 
     def begin(self):
@@ -116,21 +116,21 @@
         """Look at whether it still comes at that time."""
         self.client.listener.deadlines.at(when, self.client.listener.download_due, self.client.number)
 
-    def moved(self):
+    def progressed(self):
         """The client takes more again."""
         self.client.since = self.client.listener.clock()
 
-    def more(self, data):
+    def write_body(self, data):
         """A piece of it."""
-        self.moved()
+        self.progressed()
         self.flow.pass_on(data)
 
-    def whole(self):
+    def finish_body(self):
         """That was all."""
         self.client.download = None
-        self.client.replied(self.flow.end())
+        self.client.finish_reply(self.flow.end())
 
-    def broken_off(self):
+    def abort(self):
         """It will not be whole, and the client must not take it for that."""
         self.client.download = None
         self.flow.stop()
@@ -141,7 +141,7 @@
     def cut_off(self):
         """Nothing more is waited for: its server is told so, and its client."""
         self.source.drop()
-        self.broken_off()
+        self.abort()
 
     def due(self):
         """Its time is up, and its first bytes came in time. Guards against one of which no more comes: its
@@ -150,11 +150,11 @@
         now, since = self.client.listener.clock(), self.client.since
         if self.until is None or now < self.until:
             return
-        silent = not self.flow.paused and now >= since + STALLED
+        silent = not self.flow.paused and now >= since + STALL_TIMEOUT
         if silent and quiet(self.source.transport):
             self.cut_off()
         else:
-            self.set_deadline(max(now + LOOK, since + STALLED))
+            self.set_deadline(max(now + LOOK, since + STALL_TIMEOUT))
 
 
 def begin_download(client, answer, minor, until):
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -11,19 +11,19 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone
 
-from .flow import PIECE, STALLED, Flow
+from .flow import PIECE, STALL_TIMEOUT, Flow
 from .http import ANSWER, BadMessage, Reader, request
 from .local_errors import NO_DESCRIPTOR, connecting_errno, local_errno
-from .sockets import Outgoing, connect, held_bytes, no_delay, push, quiet
+from .sockets import Outgoing, buffered_bytes, connect, no_delay, push, quiet
 from .tables import Table
 
 KEPT = 0.6  # of the server's idle time, until an idle connection is closed
-SETTLED = 100  # after an answer, until its connection is trusted with the next hop
+SETTLE_TIME = 100  # after an answer, until its connection is trusted with the next hop
 # Ticks until the first and the longest wait for the next try after a connection that this machine could not
 # make; a hop waits for that for so small a part of its time, and no longer than so many, as what gathers
 # meanwhile comes to the server at once.
-REDIAL_LEAST, REDIAL_MOST, HELD_PART, HELD_MOST = 50, 500, 8, 2_500
-CROWDED = 3 * SETTLED  # how long a connection rests where a server has no place for more
+MIN_REDIAL_DELAY, MAX_REDIAL_DELAY, HOLD_DIVISOR, MAX_HOLD = 50, 500, 8, 2_500
+CROWDED = 3 * SETTLE_TIME  # how long a connection rests where a server has no place for more
 NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
@@ -52,7 +52,7 @@
         'message',
         'until',
         'wanted',
-        'by',
+        'leave_by',
         'link',
         'done',
         'in_part',
@@ -60,12 +60,12 @@
         'leaves',
     )
 
-    def __init__(self, pool, message, until, wanted, by, leaves):
+    def __init__(self, pool, message, until, wanted, leave_by, leaves):
         self.pool, self.message, self.until = pool, message, until
         self.in_part = None  # called with each piece of an answer whose length is not told, while it is held
-        self.wanted, self.by = (
+        self.wanted, self.leave_by = (
             wanted,
-            by,
+            leave_by,
         )  # whether it may still leave; when it has to have left, None: at any time
         self.leaves = leaves  # called as its first byte is to leave
         self.link = None  # the connection, once there is one
@@ -83,7 +83,7 @@
             self.pool.waiting.remove(self)
             if self.held_until is not None:
                 how = 'unsent'  # no server was asked: this machine could not
-        self.over(how)
+        self.complete(how)
 
     @property
     def whole(self):
@@ -95,7 +95,7 @@
         """Whether something that its server said, or its end, lies unread."""
         return self.link is not None and not quiet(self.link.transport)
 
-    def over(self, how, answer=None):
+    def complete(self, how, answer=None):
         """The one ending."""
         self.link = None
         self.done.callback((how, answer))
@@ -110,10 +110,10 @@
         self.flow = None  # a large request on its way
         self.exchange, self.unsent = None, b''  # unsent: what of the hop has not gone to the system
         self.left = True  # whether the hop's last byte has gone there
-        self.number, self.idle_until, self.timed = None, None, 0  # timed: when its deadline is; 0: none
-        self.settled = 0  # when it may carry the next hop
+        self.number, self.idle_until, self.deadline_at = None, None, 0  # timed: when its deadline is; 0: none
+        self.ready_at = 0  # when it may carry the next hop
         self.used = False  # whether it has carried one
-        self.handed = 0  # bytes of the hop given to the transport before the system took any
+        self.buffered_at_send = 0  # bytes of the hop given to the transport before the system took any
         self.closed_for = None  # why this side closed it; None: it did not
         self.first_piece, self.last_piece = None, 0  # of a held answer of no told length: when they came
 
@@ -129,21 +129,21 @@
         source = exchange.message.source
         data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
-            self.left, self.handed = False, len(data)
+            self.left, self.buffered_at_send = False, len(data)
             self.transport.write(data)
-            self.flow = Flow(source, self.transport, exchange.message.length is None, source.moved)
-            source.carried(self)
+            self.flow = Flow(source, self.transport, exchange.message.length is None, source.progressed)
+            source.attach(self)
             return
         self.unsent = data[push(self.transport, data) :]
         self.left = not self.unsent
-        self.handed = len(data) if len(self.unsent) == len(data) else 0
+        self.buffered_at_send = len(data) if len(self.unsent) == len(data) else 0
         if self.unsent:
             self.transport.registerProducer(self, False)
 
     @property
     def begun(self):
         """Whether any byte of the hop that it carries has left."""
-        return not self.handed or held_bytes(self.transport) < self.handed
+        return not self.buffered_at_send or buffered_bytes(self.transport) < self.buffered_at_send
 
     def body(self, data, whole):
         """More of a large request, and whether that was all. Its last byte has left once the system has
@@ -218,7 +218,7 @@
         so long, and its server has gone silent only lately, or what it gave lies unread."""
         if not self.holds_part or self.last_piece - self.first_piece < spread:
             return False
-        return now < self.last_piece + STALLED or not quiet(self.transport)
+        return now < self.last_piece + STALL_TIMEOUT or not quiet(self.transport)
 
     def pass_on_part(self):
         """Treat the answer that is held in part as a large one: it goes on as it comes."""
@@ -226,12 +226,12 @@
 
     def answered(self, answer):
         """All of an answer is here."""
-        kept, how = self.left and answer.lasting and not self.reader.begun, ending(answer)
+        kept, how = self.left and answer.lasting and not self.reader.has_input, ending(answer)
         if how == 'refused' and not answer.lasting and not self.used:
             self.pool.declined()
         self.used = True
         if kept:
-            self.pool.rest(self)
+            self.pool.release(self)
         self.finish(how, answer)
         if not kept:
             self.close('the answer was its last')
@@ -253,25 +253,25 @@
         if whole:
             self.sink = None
             self.reader.reset()
-        sink.more(data)
+        sink.write_body(data)
         if whole:
-            sink.whole()
-            if self.left and lasting and not self.reader.begun:
+            sink.finish_body()
+            if self.left and lasting and not self.reader.has_input:
                 self.transport.resumeProducing()
-                self.pool.rest(self)
+                self.pool.release(self)
             else:
                 self.close('the answer was its last')
 
     def cut_off(self):
         """A large answer will not be whole: its client is shown that."""
         sink, self.sink = self.sink, None
-        sink.broken_off()
+        sink.abort()
 
     def pause(self):
         """The client takes no more for now."""
         self.transport.pauseProducing()
 
-    def go_on(self):
+    def resume(self):
         """It does again."""
         self.transport.resumeProducing()
 
@@ -280,32 +280,32 @@
         self.sink = None
         self.close('nobody reads the large answer')
 
-    def put_down(self):
+    def detach(self):
         """Nothing is carried any more; the hop that was."""
         if self.flow:
             self.flow.stop()
             self.flow = None
         exchange, self.exchange = self.exchange, None
         if exchange and exchange.message.source:
-            exchange.message.source.put_down(self)
+            exchange.message.source.detach(self)
         return exchange
 
     def finish(self, how, answer=None):
         """End the hop that is on it."""
-        self.put_down().over(how, answer)
+        self.detach().complete(how, answer)
 
     def ended(self):
         """An orderly end: an answer that lasted until then is whole."""
         answer = self.reader.end() if self.left else None
         if answer and self.sink:
             sink, self.sink = self.sink, None
-            sink.whole()
+            sink.finish_body()
         elif answer and self.exchange:
             self.finish(ending(answer), answer)
 
     def give_up(self):
         """The hop is not waited for."""
-        self.put_down()
+        self.detach()
         self.close('attempt not waited for')
 
     def close(self, why):
@@ -358,14 +358,14 @@
         """Carry a hop on an idle connection, or open one for it."""
         now = self.caches.clock()
         if not exchange.wanted():
-            exchange.over('unsent')
+            exchange.complete('unsent')
             return
         for link in self.resting[::-1]:
-            if link.settled <= now and self.wake(link):
+            if link.ready_at <= now and self.claim(link):
                 link.carry(exchange)
                 return
         if not self.caches.room() or not self.may_dial() and not self.links:
-            exchange.over('unsent')
+            exchange.complete('unsent')
             return
         self.waiting.append(exchange)
         if self.redial_at is not None:
@@ -406,7 +406,7 @@
         """A connection is up: it is the first waiting hop's."""
         self.dials -= 1
         self.caches.dialling.remove(number)
-        self.can_connect()
+        self.connect_recovered()
         if self.refused:
             # Guards against pushing over a fresh process, cold, of which the list tells only seconds later.
             self.refused = False
@@ -415,7 +415,7 @@
             link.close(
                 'server moved'
             )  # the server moved while it came up: this is not the way there any more
-            self.without('unsent')
+            self.drop_waiter('unsent')
         else:
             self.offer(link)
 
@@ -424,18 +424,18 @@
         what happened while hops waited: the server began to drain, the client left, a repeat's time is up."""
         while self.waiting:
             exchange = self.waiting.popleft()
-            late = exchange.by is not None and self.caches.clock() > exchange.by
+            late = exchange.leave_by is not None and self.caches.clock() > exchange.leave_by
             if self.server.state == 'ready' and not late and exchange.wanted():
                 link.carry(exchange)
                 return
-            exchange.over('unsent')
-        self.rest(link)
+            exchange.complete('unsent')
+        self.release(link)
 
-    def without(self, how):
+    def drop_waiter(self, how):
         """A connection that was to come will not: unless others come, the hop that has waited longest has
         none to wait for."""
         if len(self.waiting) > self.dials:
-            self.waiting.popleft().over(how)
+            self.waiting.popleft().complete(how)
 
     def failed(self, failure, number, link):
         """No connection: a hop has none to wait for, unless it was served meanwhile."""
@@ -449,14 +449,14 @@
         if error in NO_DESCRIPTOR:
             # Clients at the door need one as well: what waited here would keep them out.
             self.caches.call_failed('connect', error)
-            self.without('unsent')
+            self.drop_waiter('unsent')
             return
         if local_errno(failure) is not None:
             self.cannot_connect(error)
             return
-        self.can_connect()
+        self.connect_recovered()
         self.refused = self.refused or error == ECONNREFUSED
-        self.without('unreachable')
+        self.drop_waiter('unreachable')
 
     # --- a machine that cannot connect --------------------------------------------------------------------
 
@@ -472,7 +472,7 @@
 
     def redial_later(self):
         """Set the time of the next try."""
-        self.backoff = min(REDIAL_MOST, 2 * self.backoff or REDIAL_LEAST)
+        self.backoff = min(MAX_REDIAL_DELAY, 2 * self.backoff or MIN_REDIAL_DELAY)
         self.redial_at = self.caches.clock() + self.backoff
         self.caches.deadlines.at(self.redial_at, self.caches.redial_due, self.caches.redials.add(self))
 
@@ -481,7 +481,7 @@
         and for an answer in time."""
         if exchange.held_until is None:
             now = self.caches.clock()
-            exchange.held_until = now + min(HELD_MOST, max(0, exchange.until - now) // HELD_PART)
+            exchange.held_until = now + min(MAX_HOLD, max(0, exchange.until - now) // HOLD_DIVISOR)
 
     def redial(self):
         """Try again for the hops that still wait, with one connection until it is known that others can be
@@ -498,7 +498,7 @@
         else:
             self.redial_later()
 
-    def can_connect(self):
+    def connect_recovered(self):
         """A try to connect got as far as the other machine: the hops that waited for that have theirs now,
         but the first, which is served, or failed, by the one that this is about."""
         if not self.backoff:
@@ -508,32 +508,32 @@
             if self.may_dial() and self.caches.room():
                 self.dial()
 
-    def rest(self, link):
+    def release(self, link):
         """A connection is free. Guards against servers that close one right after an answer, or send more
         than the answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
         if self.server.state != 'ready' or link.address != self.address:
             link.close('server takes nothing new')
             return
-        link.settled = self.caches.clock() + SETTLED
+        link.ready_at = self.caches.clock() + SETTLE_TIME
         self.resting.append(link)
-        self.caches.rest(link)
+        self.caches.keep_idle(link)
         if self.waiting:
-            self.caches.deadlines.at(link.settled, self.caches.settled_due, link.number)
+            self.caches.deadlines.at(link.ready_at, self.caches.settled_due, link.number)
 
     def serve_waiting(self, link):
         """A connection that came free may carry the hop that has waited longest for one."""
-        if self.waiting and self.wake(link):
+        if self.waiting and self.claim(link):
             self.offer(link)
 
-    def wake(self, link):
+    def claim(self, link):
         """Take a connection out of those that are idle; whether it is of use still."""
-        self.leave(link)
+        self.remove_idle(link)
         if quiet(link.transport):
             return True
         link.close('ended while idle')
         return False
 
-    def leave(self, link):
+    def remove_idle(self, link):
         """It is not idle any more."""
         self.resting.remove(link)
         self.caches.resting.pop(link.number)
@@ -541,7 +541,7 @@
     def forget(self, link):
         """A connection ends or never came up: nothing more is sent on it, and its place is free."""
         if link.number in self.caches.resting:
-            self.leave(link)
+            self.remove_idle(link)
         if self.caches.table.get(link.number) is link:
             self.count(-1)
         self.caches.table.remove(link.number)
@@ -617,7 +617,7 @@
     def room(self):
         """Whether one more connection may be opened; the longest idle one makes way."""
         if self.open >= self.budget:
-            self.make_way()
+            self.evict_idle()
         return self.open < self.budget
 
     def shrink(self, spare):
@@ -632,12 +632,12 @@
             for link in pool.resting[: max(0, over(pool.server))]:
                 link.close('too many idle')
 
-    def make_way(self):
+    def evict_idle(self):
         """The longest idle connection goes, if there is one."""
         if self.resting:
             next(iter(self.resting.values())).close('made way')
 
-    def rest(self, link):
+    def keep_idle(self, link):
         """Note an idle connection and until when it is kept: well before the server ends it, and hardly at
         all where others find no place."""
         self.resting[link.number] = link
@@ -648,8 +648,8 @@
     def time(self, link):
         """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is
         to go sooner."""
-        if not link.timed or link.idle_until < link.timed:
-            link.timed = link.idle_until
+        if not link.deadline_at or link.idle_until < link.deadline_at:
+            link.deadline_at = link.idle_until
             self.deadlines.at(link.idle_until, self.idle_due, link.number)
 
     def idle_due(self, number):
@@ -657,8 +657,8 @@
         link = self.table.get(number)
         if link is None:
             return
-        if link.timed <= self.clock():
-            link.timed = 0
+        if link.deadline_at <= self.clock():
+            link.deadline_at = 0
         if number in self.resting:
             if self.clock() >= link.idle_until:
                 link.close('idle')
--- a/lilacdyke/net/client.py
+++ b/lilacdyke/net/client.py
@@ -11,11 +11,11 @@
 from .bodies import Upload, begin_download
 from .http import BadMessage, Reader
 from .logs import LOG
-from .phases import ASKED, FRESH, HALF, PARTING, RESTING, STREAMING
+from .phases import ASKED, CLOSING, FRESH, IDLE, RECEIVING, STREAMING
 from .sockets import left, no_delay, push, unread_for, waiting
 
-SLOW = 16_384  # bytes of a body that give a client a second more for the rest of it
-HELD = 2 * http.MAX_BODY  # bytes read ahead of the answer that is owed; then the client is paused
+MIN_BODY_RATE = 16_384  # bytes of a body that give a client a second more for the rest of it
+MAX_READ_AHEAD = 2 * http.MAX_BODY  # bytes read ahead of the answer that is owed; then the client is paused
 
 
 class ClientConnection(Protocol):
@@ -30,7 +30,7 @@
         self.came = 0  # when the last bytes read came to this machine
         self.lasting = True  # whether it carries another request
         self.answered = False  # whether it has had an answer
-        self.wrong = 0  # requests for what does not exist
+        self.bad_requests = 0  # requests for what does not exist
         self.upload = None  # a large request whose body still comes
         self.download = None  # a large answer on its way
         self.discards_body = False  # the rest of a large body is read and forgotten
@@ -45,20 +45,20 @@
         self.listener.opened(self)
 
     def dataReceived(self, data):
-        if self.phase == PARTING:
+        if self.phase == CLOSING:
             self.discard(data)
             return
-        if self.phase == HALF:
-            self.give_time(len(data))
+        if self.phase == RECEIVING:
+            self.extend_deadline(len(data))
         self.came = self.listener.clock() - unread_for(self.transport)
-        if self.phase in (FRESH, RESTING):
+        if self.phase in (FRESH, IDLE):
             if self.listener.too_late(self.came, data):
                 self.reply(self.listener.refusal(True))
                 return
             self.begin()
         self.reader.feed(data)
         self.read_on()
-        if (self.active or self.download) and not self.upload and len(self.reader.buffer) > HELD:
+        if (self.active or self.download) and not self.upload and len(self.reader.buffer) > MAX_READ_AHEAD:
             self.transport.pauseProducing()
 
     def connectionLost(self, reason=None):
@@ -78,19 +78,19 @@
                 self.listener.node.guard.closes(active, self.closed_for)
             self.listener.node.client_gone(active)
 
-    def give_time(self, count):
+    def extend_deadline(self, count):
         """Bytes of a request have come. Those of a body give the rest of it time. Guards against one that
         sends as little as keeps it here."""
         if self.reader.message:
-            self.since = min(self.listener.clock(), self.since + count * SECOND // SLOW)
+            self.since = min(self.listener.clock(), self.since + count * SECOND // MIN_BODY_RATE)
 
     def discard(self, data):
         """Nothing more is read. Guards against one that goes on sending: the system holds the rest, unread,
         at no cost, and the answer that was written still reaches it."""
         self.discarded += len(data)
-        if self.discards_body and self.discarded <= http.MAX_FLOW:
-            self.give_time(len(data))  # it may read its answer only once all is sent
-        elif self.discarded > HELD:
+        if self.discards_body and self.discarded <= http.MAX_STREAMED_BODY:
+            self.extend_deadline(len(data))  # it may read its answer only once all is sent
+        elif self.discarded > MAX_READ_AHEAD:
             self.transport.pauseProducing()
 
     # --- requests ---------------------------------------------------------------------------------------
@@ -109,12 +109,12 @@
                 self.advance()
         except BadMessage as err:
             self.listener.node.count('malformed')
-            self.give_up_request()
+            self.cancel_request()
             self.refuse(err.status, str(err))
 
     def advance(self):
         """Handle whole requests and the head of a large one. Raises BadMessage."""
-        while not self.active and not self.download and self.phase not in (PARTING, None):
+        while not self.active and not self.download and self.phase not in (CLOSING, None):
             message = self.reader.take()
             if message is None:
                 self.hint()
@@ -131,15 +131,15 @@
 
     def wait_for_more(self):
         """Nothing whole is here."""
-        if self.answered and not self.reader.begun:
-            self.listener.put(self, RESTING)
+        if self.answered and not self.reader.has_input:
+            self.listener.put(self, IDLE)
         else:
-            self.listener.put(self, HALF, self.since)
+            self.listener.put(self, RECEIVING, self.since)
 
     def begin_upload(self):
         """The node has taken a large request, whose body is passed on as it comes."""
         if self.active:
-            self.listener.put(self, HALF, self.since)
+            self.listener.put(self, RECEIVING, self.since)
             self.upload.body_came()
 
     def handle(self, message):
@@ -152,7 +152,7 @@
             if self.active:
                 self.listener.node.forget(self.active)
             if self.phase == STREAMING:
-                self.download.broken_off()
+                self.download.abort()
             else:
                 self.refuse(500, 'a fault in the node')
 
@@ -161,7 +161,7 @@
         if self.reader.hint():
             self.transport.write(http.CONTINUE)
 
-    def give_up_request(self):
+    def cancel_request(self):
         """The present request will not come whole: nothing that was sent of it ran."""
         active, self.active = self.active, None
         if active:
@@ -180,14 +180,14 @@
         data = b''.join(pieces)
         if not waiting(self.transport):
             data = data[push(self.transport, data) :]
-        self.replied(data)
+        self.finish_reply(data)
 
     def stream(self, answer, minor, until):
         """The same, of which only the beginning is here. until: the limit of its request, in ticks."""
         self.active, self.answered = None, True
         begin_download(self, answer, minor, until)
 
-    def replied(self, data):
+    def finish_reply(self, data):
         """The rest of the answer, and what follows it."""
         if data:
             self.transport.write(data)
@@ -195,13 +195,13 @@
             # Its body still comes: closing on it would take the answer back.
             self.upload, self.discards_body, self.lasting = None, True, False
         if not self.lasting:
-            self.end()
-        elif self.reader.begun:
+            self.close_after_reply()
+        elif self.reader.has_input:
             self.came = self.listener.clock()
             self.begin()
             self.listener.again(self)  # in a turn of its own: many small requests may stand here
         else:
-            self.listener.put(self, RESTING)
+            self.listener.put(self, IDLE)
         self.transport.resumeProducing()
 
     # --- its end ----------------------------------------------------------------------------------------
@@ -213,24 +213,24 @@
     def see_off(self):
         """The client was found to have gone: its request is not sent on."""
         self.closed_for = 'client had gone'
-        self.give_up_request()
+        self.cancel_request()
         self.transport.abortConnection()
 
-    def end(self):
+    def close_after_reply(self):
         """Close once the last answer is written. The client is let close first, for a while: ending with
         bytes unread would reset the connection, and with it the answer."""
         self.closed_for = self.closed_for or 'the answer was its last'
-        self.listener.put(self, PARTING)
+        self.listener.put(self, CLOSING)
         self.transport.loseWriteConnection()
 
-    def part(self):
+    def close_unused(self):
         """Close between requests. One that crosses this is reset unread, and the client sends it anew."""
         self.closed_for = 'idle'
-        self.listener.put(self, PARTING)
-        self.listener.parted = self.listener.clock()
+        self.listener.put(self, CLOSING)
+        self.listener.idle_closed_at = self.listener.clock()
         self.transport.loseConnection()
 
-    def leave(self):
+    def finish_close(self):
         """Close behind its last answer, of which the system sends on what it still holds. A reset would take
         that back."""
         if waiting(self.transport):
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -17,21 +17,25 @@
 
 # What is told late adds up: a watch that hangs, one wait, one call that is answered at once. The sum stays
 # under the 6 s after which a change counts as told (docs/architecture.md).
-SILENCE = 30_000  # a watch has a line every 2 s; with no byte for so long it is dead
-PARTIAL = 35_000  # nor may bytes go on coming for longer with no whole line among them
-ANSWERED = 10_000  # for its head, where lists are pushed: the agent is on this machine and answers at once
-QUEUED = 30_000  # where they are asked for: calls wait their turn, and one given up was all for nothing
+SILENCE_TIMEOUT = 30_000  # a watch has a line every 2 s; with no byte for so long it is dead
+PARTIAL_LINE_TIMEOUT = 35_000  # nor may bytes go on coming for longer with no whole line among them
+HEAD_TIMEOUT = (
+    10_000  # for its head, where lists are pushed: the agent is on this machine and answers at once
+)
+QUEUED_HEAD_TIMEOUT = (
+    30_000  # where they are asked for: calls wait their turn, and one given up was all for nothing
+)
 # Backoff between tries: the first and the longest, as parts of the time in which sends to a server that
 # drains have to cease. Guards against such sends as discovery comes back: what the agent has counts as told
 # from then on, watch or none. Doubles.
 BACKOFF = 0.25, 0.625
-BACKOFF_LEAST = (
+MIN_BACKOFF = (
     100  # and the shortest, however soon sends have to cease; none is longer than a call may take to answer
 )
 # Where it turned the call away it has too many: backoff doubles from a quarter of this on. Guards against a
 # retry storm, in which a whole fleet that asks again at once keeps it shut for all.
-BACKOFF_TURNED_AWAY, TURNED_AWAY = 30_000, (b'503', b'429')
-REDIAL_LEAST, REDIAL_MOST = 50, 1_000  # ticks until the next try where a call of this machine failed
+THROTTLED_BACKOFF, THROTTLED_STATUSES = 30_000, (b'503', b'429')
+MIN_REDIAL_DELAY, MAX_REDIAL_DELAY = 50, 1_000  # ticks until the next try where a call of this machine failed
 WORDS = {state: word for word, state in STATES.items()}
 MAX_LIST = 4 << 20  # one list on the watch, in bytes
 TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a string in a list, which hides what is in it
@@ -75,7 +79,7 @@
     return find(tree, 'generation', int), find(tree, 'reset', bool), [Entry(row) for row in rows]
 
 
-def nests(line):
+def nesting_change(line):
     """How many braces and brackets a line opens and does not close."""
     return line.count(b'{') + line.count(b'[') - line.count(b'}') - line.count(b']')
 
@@ -87,7 +91,7 @@
         self.discovery, self.reader = discovery, Reader(ANSWER)
         self.number, self.chunks, self.line = None, None, bytearray()
         self.open, self.depth = bytearray(), 0  # what is here of an indented list; how deep it stands
-        self.turned_away = False  # whether discovery has too many callers
+        self.throttled = False  # whether discovery has too many callers
 
     def connectionMade(self):
         no_delay(self.transport)
@@ -113,7 +117,7 @@
         message = self.reader.take_head()
         if message is None:
             return False
-        self.turned_away = message.parts[1] in TURNED_AWAY
+        self.throttled = message.parts[1] in THROTTLED_STATUSES
         if message.parts[1] != b'200' or not self.reader.chunks:
             raise BadMessage(400, 'no watch: %s' % message.parts[1].decode())
         self.chunks = Chunks(None)
@@ -128,8 +132,8 @@
                 raise BadLine(
                     'a list that is not whole'
                 )  # an empty line has its own sense: nothing has changed
-            if line and (whole := self.joined(line)):
-                self.discovery.told(read_list(json.loads(whole)))
+            if line and (whole := self.assemble_list(line)):
+                self.discovery.apply_list(read_list(json.loads(whole)))
             if not self.open:
                 self.discovery.whole = self.discovery.last_word = self.discovery.heard
         if len(self.line) + len(self.open) > MAX_LIST:
@@ -137,11 +141,11 @@
         if self.chunks.ended:
             self.discovery.lost(self, 'ended')
 
-    def joined(self, line):
+    def assemble_list(self, line):
         """The list that ends with this line, which may be one of many if it comes indented; None while it is
         not all here."""
-        if self.open or nests(line):
-            self.depth += nests(TEXT.sub(b'', line))
+        if self.open or nesting_change(line):
+            self.depth += nesting_change(TEXT.sub(b'', line))
         self.open += line + b' '
         if self.depth > 0:
             return None
@@ -160,11 +164,11 @@
         self.where, self.chance, self.table = place.discovery, chance, Table()
         self.node = node
         self.pushed = not place.terms.watched  # else the module says when to ask; again it is asked here
-        self.backoff, self.backoff_most = (
-            max(BACKOFF_LEAST, min(ANSWERED, int(place.stop_within * part))) for part in BACKOFF
+        self.backoff, self.max_backoff = (
+            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
         )
-        self.within = ANSWERED if self.pushed else QUEUED
-        self.version, self.failures, self.turned_away = (
+        self.within = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
+        self.version, self.failures, self.throttled = (
             None,
             0,
             0,
@@ -174,7 +178,7 @@
             0,
             0,
         )  # when the watch last said something; when its last whole line came, or it was opened
-        self.turn = 0  # one more with each watch: a retry that another overtook is void
+        self.attempt = 0  # one more with each watch: a retry that another overtook is void
         self.backing_off = False  # whether a retry is due
         self.last_word = None  # when a whole line last came; None: never
         self.redials = 0  # calls of this machine that failed in a row
@@ -195,8 +199,8 @@
         if where == self.where:
             return False
         self.close()
-        self.where, self.failures, self.turned_away = where, 0, 0
-        if self.turn:  # else the start opens it
+        self.where, self.failures, self.throttled = where, 0, 0
+        if self.attempt:  # else the start opens it
             self.open()
         return True
 
@@ -207,9 +211,9 @@
             'GET /v1/endpoints?stream=1%s HTTP/1.1\r\nHost: %s\r\n\r\n' % (index, '%s:%d' % self.where)
         ).encode()
 
-    def retry(self, turn):
+    def retry(self, attempt):
         """The wait after a watch is over."""
-        if turn == self.turn:
+        if attempt == self.attempt:
             self.open()
 
     def ask(self):
@@ -222,7 +226,7 @@
         """Start a watch unless there is one."""
         if self.watch:
             return
-        self.turn, self.backing_off = self.turn + 1, False
+        self.attempt, self.backing_off = self.attempt + 1, False
         self.watch = Watch(self)
         self.heard = self.whole = self.clock()
         self.watch.number = self.table.add(self.watch)
@@ -241,9 +245,9 @@
         self.node.call_failed('connect', number)
         self.close()
         self.redials += 1
-        wait = min(REDIAL_MOST, REDIAL_LEAST << min(self.redials, 8))
+        wait = min(MAX_REDIAL_DELAY, MIN_REDIAL_DELAY << min(self.redials, 8))
         self.backing_off = True
-        self.deadlines.at(self.clock() + wait, self.retry, self.turn)
+        self.deadlines.at(self.clock() + wait, self.retry, self.attempt)
 
     def silent(self, number):
         """Guards against a peer that vanished without a word, while connecting as later, and one that
@@ -251,17 +255,21 @@
         watch = self.table.get(number)
         if watch is None:
             return
-        due = min(self.heard + SILENCE, self.whole + PARTIAL) if watch.chunks else self.heard + self.within
+        due = (
+            min(self.heard + SILENCE_TIMEOUT, self.whole + PARTIAL_LINE_TIMEOUT)
+            if watch.chunks
+            else self.heard + self.within
+        )
         if self.clock() >= due:
             self.lost(watch, 'silent')
         else:
             self.deadlines.at(due, self.silent, number)
 
-    def told(self, lines):
+    def apply_list(self, lines):
         """A line was read: the node learns it at once."""
         self.redials = 0
         self.node.listed(*lines[1:])
-        self.version, self.failures, self.turned_away = lines[0], 0, 0
+        self.version, self.failures, self.throttled = lines[0], 0, 0
 
     def lost(self, watch, why):
         """The watch has ended; try again, ever later, with the list kept."""
@@ -271,12 +279,12 @@
         self.failures += 1
         warn('watch lost', why=why, failures=self.failures, version=self.version)
         self.node.list_lost()
-        self.turned_away += watch.turned_away
-        wait = min(self.backoff_most, self.backoff << min(self.failures - 1, 8))
-        if watch.turned_away:
-            wait = min(BACKOFF_TURNED_AWAY, BACKOFF_TURNED_AWAY // 8 << min(self.turned_away, 8))
+        self.throttled += watch.throttled
+        wait = min(self.max_backoff, self.backoff << min(self.failures - 1, 8))
+        if watch.throttled:
+            wait = min(THROTTLED_BACKOFF, THROTTLED_BACKOFF // 8 << min(self.throttled, 8))
         self.backing_off = True
-        self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance() / 2)), self.retry, self.turn)
+        self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance() / 2)), self.retry, self.attempt)
 
 
 def started(entry, offset):
--- a/lilacdyke/net/flow.py
+++ b/lilacdyke/net/flow.py
@@ -6,18 +6,18 @@
 """
 
 PIECE = 32_768  # bytes read at a time, and held in a transport before the source pauses
-STALLED = 20_000  # ticks of silence after which a source is taken to give no more
+STALL_TIMEOUT = 20_000  # ticks of silence after which a source is taken to give no more
 
 
 class Flow:
     """One body under way. Its sink has a transport; its source is told pause() and go_on()."""
 
-    __slots__ = ('source', 'transport', 'chunked', 'moved', 'paused', 'over')
+    __slots__ = ('source', 'transport', 'chunked', 'progressed', 'paused', 'finished')
 
-    def __init__(self, source, transport, chunked, moved):
+    def __init__(self, source, transport, chunked, progressed):
         self.source, self.transport, self.chunked = source, transport, chunked
-        self.moved = moved  # called when the sink takes more again
-        self.paused = self.over = False
+        self.progressed = progressed  # called when the sink takes more again
+        self.paused = self.finished = False
         transport.bufferSize = PIECE
         transport.registerProducer(self, True)
 
@@ -27,7 +27,7 @@
 
     def pass_on(self, data):
         """A piece has come."""
-        if data and not self.over:
+        if data and not self.finished:
             self.transport.write(self.framed(data))
 
     def end(self):
@@ -37,23 +37,23 @@
 
     def stop(self):
         """Nothing more is passed on."""
-        if not self.over:
-            self.over = True
+        if not self.finished:
+            self.finished = True
             self.transport.unregisterProducer()
 
     # --- as the sink's producer ---------------------------------------------------------------------------
 
     def pauseProducing(self):
-        if not self.over:
+        if not self.finished:
             self.paused = True
             self.source.pause()
 
     def resumeProducing(self):
-        if not self.over:
+        if not self.finished:
             self.paused = False
-            self.moved()
-            self.source.go_on()
+            self.progressed()
+            self.source.resume()
 
     def stopProducing(self):
         """The sink's connection has ended: its protocol is told by its own connectionLost."""
-        self.over = True
+        self.finished = True
--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -8,15 +8,15 @@
 import re
 
 MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # bodies up to that are held whole
-MAX_FLOW = 32 << 20  # others are passed on as they come, up to that
+MAX_STREAMED_BODY = 32 << 20  # others are passed on as they come, up to that
 REQUEST = re.compile(rb'([A-Za-z]+) ([!-~]+) HTTP/1\.([01])\r\n')
 ANSWER = re.compile(rb'HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n\0]*)?\r\n')
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):([^\r\n\0]*)\r\n")
 SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n\0]*)?\r\n')
-BARE = re.compile(rb'1|204|304')  # answers that have no body
+BODYLESS_STATUS = re.compile(rb'1|204|304')  # answers that have no body
 DIGITS = re.compile(rb'[0-9]{1,12}\Z')
 # Lines that concern one connection only, or that every sender writes anew.
-OWN = frozenset(
+HOP_BY_HOP = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -30,9 +30,11 @@
         b'req-deadline',
     )
 )
-SINGLE = frozenset((b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined'))
-BODIED = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # a body may follow the head
-ABSOLUTE = re.compile(rb'(?i:https?)://[^/?#]*')
+SINGLE_VALUED = frozenset(
+    (b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined')
+)
+BODY_HEADER = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # a body may follow the head
+ORIGIN_PREFIX = re.compile(rb'(?i:https?)://[^/?#]*')
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 REASONS = {
@@ -63,12 +65,12 @@
 class Message:
     """One request or answer: the first line's parts, the header lines as spans of the head, the body."""
 
-    __slots__ = ('head', 'begun', 'parts', 'lines', 'fields', 'body', 'length', 'source')
+    __slots__ = ('head', 'target_end', 'parts', 'lines', 'fields', 'body', 'length', 'source')
 
     def __init__(self, head, first):
         self.head = head
         self.parts = first.groups()
-        self.begun = first.end(2)  # where the second part ends
+        self.target_end = first.end(2)  # where the second part ends
         self.lines, self.fields = [], {}
         self.body = b''
         self.length = 0  # of the body; None: it is not told
@@ -88,7 +90,7 @@
         """What the request is about, without scheme, host and query."""
         target = self.parts[1]
         if not target.startswith(b'/'):
-            target = ABSOLUTE.sub(b'', target, 1) or b'/'
+            target = ORIGIN_PREFIX.sub(b'', target, 1) or b'/'
         return target.partition(b'?')[0]
 
     @property
@@ -98,11 +100,11 @@
         minor = self.parts[2] if len(self.parts) == 3 else self.parts[0]
         return b'close' not in words and (minor == b'1' or b'keep-alive' in words)
 
-    def passed(self):
+    def forwarded_lines(self):
         """The header lines that go on to the next hop, as few slices of the head as they make."""
         listed, runs = self.tokens(b'connection'), []
         for name, begin, end in self.lines:
-            if name in OWN or name in listed:
+            if name in HOP_BY_HOP or name in listed:
                 continue
             if runs and runs[-1][1] == begin:
                 runs[-1][1] = end
@@ -128,7 +130,7 @@
         at = line.end()
         if name not in fields:
             fields[name] = value
-        elif name not in SINGLE:
+        elif name not in SINGLE_VALUED:
             fields[name] += b', ' + value
         elif fields[name] != value:
             raise BadMessage(400, 'header field twice')
@@ -137,16 +139,22 @@
 
 def one_read(data):
     """Whether these bytes are, by their look, one whole request for a read and nothing more."""
-    return data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODIED.search(data)
+    return (
+        data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODY_HEADER.search(data)
+    )
 
 
 class Chunks:
     """A chunked body being read."""
 
-    __slots__ = ('left', 'size', 'most', 'trailer', 'ended')
+    __slots__ = ('left', 'size', 'max_size', 'trailer', 'ended')
 
-    def __init__(self, most):
-        self.left, self.size, self.most = 0, 0, most  # left: of this chunk, with its line end; most: of all
+    def __init__(self, max_size):
+        self.left, self.size, self.max_size = (
+            0,
+            0,
+            max_size,
+        )  # left: of this chunk, with its line end; most: of all
         self.trailer, self.ended = 0, False
 
     def read(self, buffer):
@@ -189,7 +197,7 @@
                 raise BadMessage(400, 'chunk size out of form')
             size = int(line[1], 16)
             self.size += size
-            if self.most is not None and self.size > self.most:
+            if self.max_size is not None and self.size > self.max_size:
                 raise BadMessage(413, 'body too large')
             self.left, self.trailer = (size + 2, 0) if size else (0, 1)
         del buffer[:end]
@@ -199,31 +207,31 @@
 class Reader:
     """One side's stream of messages. feed() what came, then take() messages until it gives None."""
 
-    __slots__ = ('first', 'most', 'buffer', 'scanned', 'message', 'need', 'chunks', 'lasts')
+    __slots__ = ('first', 'max_size', 'buffer', 'scanned', 'message', 'remaining', 'chunks', 'until_close')
 
-    def __init__(self, first, most=MAX_FLOW):
-        self.first, self.most = first, most  # REQUEST or ANSWER; the largest body
+    def __init__(self, first, max_size=MAX_STREAMED_BODY):
+        self.first, self.max_size = first, max_size  # REQUEST or ANSWER; the largest body
         self.buffer = bytearray()
         self.reset()
 
     def reset(self):
-        self.scanned, self.message, self.need, self.chunks = 0, None, 0, None
-        self.lasts = False  # whether the body lasts until the connection ends
+        self.scanned, self.message, self.remaining, self.chunks = 0, None, 0, None
+        self.until_close = False  # whether the body lasts until the connection ends
 
     @property
-    def begun(self):
+    def has_input(self):
         """Whether part of a message is here."""
         return self.message is not None or bool(self.buffer)
 
     @property
     def large(self):
         """Whether the present message's body is too large to be held whole."""
-        return self.message is not None and max(self.need, len(self.message.body)) > MAX_BODY
+        return self.message is not None and max(self.remaining, len(self.message.body)) > MAX_BODY
 
     @property
     def whole(self):
         """Whether all of the present body has been taken."""
-        return self.chunks.ended if self.chunks else not self.need and not self.lasts
+        return self.chunks.ended if self.chunks else not self.remaining and not self.until_close
 
     def piece(self):
         """Take what is here of a body that flows."""
@@ -231,25 +239,25 @@
         data, message.body = bytes(message.body), b''
         if self.chunks:
             data += self.chunks.read(self.buffer)
-        elif self.lasts:
+        elif self.until_close:
             data += self.buffer
             self.count(len(self.buffer))
             self.buffer.clear()
-        elif self.need:
-            data += bytes(memoryview(self.buffer)[: self.need])
-            del self.buffer[: self.need]
-            self.need -= len(data)
+        elif self.remaining:
+            data += bytes(memoryview(self.buffer)[: self.remaining])
+            del self.buffer[: self.remaining]
+            self.remaining -= len(data)
         return data
 
     def count(self, more):
         """So much more of a body whose length is not told. Guards against one without end."""
-        self.need -= more
-        if -self.need > self.most:
+        self.remaining -= more
+        if -self.remaining > self.max_size:
             raise BadMessage(413, 'body too large')
 
     def end(self):
         """The connection has ended in order: the message whose body lasted until then, or None."""
-        if not self.lasts:
+        if not self.until_close:
             return None
         message = self.message
         self.reset()
@@ -272,16 +280,16 @@
             message.body += self.chunks.read(self.buffer)
             if not self.chunks.ended:
                 return None
-        elif self.lasts:
+        elif self.until_close:
             message.body += self.buffer
             self.count(len(self.buffer))
             self.buffer.clear()
             return None
         else:
-            if len(self.buffer) < self.need:
+            if len(self.buffer) < self.remaining:
                 return None
-            message.body = bytes(memoryview(self.buffer)[: self.need])
-            del self.buffer[: self.need]
+            message.body = bytes(memoryview(self.buffer)[: self.remaining])
+            del self.buffer[: self.remaining]
         self.reset()
         return message
 
@@ -308,21 +316,21 @@
         if coding is not None:
             if coding.lower() != b'chunked':
                 raise BadMessage(400, 'unknown transfer coding')
-            self.chunks = Chunks(self.most)
+            self.chunks = Chunks(self.max_size)
             message.body, message.length = bytearray(), None
             return
-        if self.first is ANSWER and BARE.match(message.parts[1]):
+        if self.first is ANSWER and BODYLESS_STATUS.match(message.parts[1]):
             return
         if length is None:
             if self.first is ANSWER:
-                self.lasts, message.body, message.length = True, bytearray(), None
+                self.until_close, message.body, message.length = True, bytearray(), None
             return
         lengths = {part.strip() for part in length.split(b',')}
         if len(lengths) != 1 or not DIGITS.match(length := lengths.pop()):
             raise BadMessage(400, 'length out of form')
-        if int(length) > self.most:
+        if int(length) > self.max_size:
             raise BadMessage(413, 'body too large')
-        self.need = message.length = int(length)
+        self.remaining = message.length = int(length)
 
 
 def request(message, wait):
@@ -330,13 +338,18 @@
     tail = b'Req-Deadline: %d.%04d\r\n' % divmod(wait, 10_000)
     if message.source:
         tail += framing(message)
-        return [message.head[: message.begun], b' HTTP/1.1\r\n', *message.passed(), tail + b'\r\n']
+        return [
+            message.head[: message.target_end],
+            b' HTTP/1.1\r\n',
+            *message.forwarded_lines(),
+            tail + b'\r\n',
+        ]
     if message.body or message.parts[0] != b'GET':
         tail += b'Content-Length: %d\r\n' % len(message.body)
     return [
-        message.head[: message.begun],
+        message.head[: message.target_end],
         b' HTTP/1.1\r\n',
-        *message.passed(),
+        *message.forwarded_lines(),
         tail + b'\r\n',
         bytes(message.body),
     ]
@@ -347,7 +360,7 @@
     tail = b'Content-Length: %d\r\n' % len(message.body)
     if not lasting:
         tail += b'Connection: close\r\n'
-    return [b'HTTP/1.1 200 OK\r\n', *message.passed(), tail + b'\r\n', bytes(message.body)]
+    return [b'HTTP/1.1 200 OK\r\n', *message.forwarded_lines(), tail + b'\r\n', bytes(message.body)]
 
 
 def framing(message):
@@ -360,7 +373,7 @@
     tail = framing(message) if chunks or message.length is not None else b''
     if not lasting:
         tail += b'Connection: close\r\n'
-    return b''.join([b'HTTP/1.1 200 OK\r\n', *message.passed(), tail + b'\r\n'])
+    return b''.join([b'HTTP/1.1 200 OK\r\n', *message.forwarded_lines(), tail + b'\r\n'])
 
 
 def answer(status, lasting, text='', more=''):
--- a/lilacdyke/net/listener.py
+++ b/lilacdyke/net/listener.py
@@ -12,14 +12,14 @@
 from ..values import BadLine, down, number
 from . import http
 from .client import ClientConnection
-from .phases import ASKED, BUSY, CALM, FRESH, FULL, LOOK, LOOK_FULL, STREAMING, Phases
+from .phases import ASKED, BUSY, CHECK_INTERVAL_FULL, FRESH, FULL, LOOK, NORMAL, STREAMING, Phases
 from .sockets import guard
 from .tables import Table
 
-AMPLE = 0.5  # part of the budget from which a new connection has an idle one make way
+EVICTION_SHARE = 0.5  # part of the budget from which a new connection has an idle one make way
 QUIET = 2_500  # ticks for which nobody has come, after which nobody is on the way
-NEARLY = 2  # places left when a connection is not kept after its answer
-WRONG = 4  # requests for what does not exist, until a client's connection ends
+RESERVED_SLOTS = 2  # places left when a connection is not kept after its answer
+MAX_BAD_REQUESTS = 4  # requests for what does not exist, until a client's connection ends
 
 
 class Listener(Factory):
@@ -38,7 +38,7 @@
         self.port, self.full, self.shut = None, False, False
         self.yielded = False  # another process of this node accepts
         self.came, self.met = 0, 0  # when the last client connected; how many have
-        self.parted = 0  # when one that rested was last asked to go
+        self.idle_closed_at = 0  # when one that rested was last asked to go
 
     def listen(self, reactor, host, port, given=None):
         """Accept clients from now on, at an address or at a listening socket that another process gave."""
@@ -51,7 +51,7 @@
             self.port, self.node.router.late, http.one_read, self.refusal, self.crowded, self.node.call_failed
         )
         self.see_to_door()
-        self.look()
+        self.evict_overdue()
 
     def buildProtocol(self, addr):
         self.port.numberAccepts = 0  # keeps it at one a turn: more at once could overrun the budget
@@ -80,20 +80,20 @@
         client.number = self.table.add(client)
         self.came, self.met = self.clock(), self.met + 1
         self.put(client, FRESH)
-        if len(self.table) > self.budget * AMPLE:
+        if len(self.table) > self.budget * EVICTION_SHARE:
             self.phases.make_room(1, BUSY)
         self.see_to_room()
 
-    def look(self, _=0):
+    def evict_overdue(self, _=0):
         """Who has stayed for too long goes."""
-        self.phases.make_room(self.budget, CALM)
-        self.deadlines.at(self.clock() + LOOK, self.look, 0)
+        self.phases.make_room(self.budget, NORMAL)
+        self.deadlines.at(self.clock() + LOOK, self.evict_overdue, 0)
 
-    def press(self, _=0):
+    def evict_while_full(self, _=0):
         """The same, sooner and some at a time, while nobody is accepted."""
         if self.full:
             self.phases.make_room(max(1, self.budget // 16), FULL)
-            self.deadlines.at(self.clock() + LOOK_FULL, self.press, 0)
+            self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
     def see_to_room(self):
         """Accept while there is room."""
@@ -102,7 +102,7 @@
             self.full = full
             self.see_to_door()
             if full:
-                self.deadlines.at(self.clock() + LOOK_FULL, self.press, 0)
+                self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
     def see_to_door(self):
         """Look at who waits at the door, or leave them there."""
@@ -117,12 +117,12 @@
         later."""
         if no_descriptor:
             self.node.count('no_descriptor')
-            self.node.caches.make_way()
+            self.node.caches.evict_idle()
             self.phases.make_room(1, FULL)
         self.port.stopReading()
-        self.deadlines.at(self.clock() + LOOK_FULL // 10, self.uncrowded, 0)
+        self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL // 10, self.retry_accepting, 0)
 
-    def uncrowded(self, _):
+    def retry_accepting(self, _):
         self.see_to_door()
 
     def show_all(self):
@@ -137,7 +137,7 @@
         """Whether the door may be shut: nobody has come for a while, counted from this time at the latest,
         and nobody waits there. Whose request crossed the end of a connection that rested comes again, and
         finds the door open."""
-        if self.clock() < max(min(self.came, until), self.parted) + QUIET:
+        if self.clock() < max(min(self.came, until), self.idle_closed_at) + QUIET:
             return False
         if not (self.full or self.shut or self.yielded):
             met, self.port.numberAccepts = self.met, 1
@@ -203,16 +203,16 @@
         row = self.profiles.get(parts[1]) if len(parts) > 1 and not parts[0] else None
         if row is None or method not in (b'GET', b'PUT'):
             # Guards against one that asks for the same again as soon as it is turned away.
-            client.wrong += 1
-            client.lasting = client.lasting and client.wrong < WRONG
+            client.bad_requests += 1
+            client.lasting = client.lasting and client.bad_requests < MAX_BAD_REQUESTS
         if row is None:
             client.reply(http.answer(404, self.stay(client), 'no such path\n'))
         elif method not in (b'GET', b'PUT'):
             client.reply(http.answer(405, self.stay(client), 'GET or PUT\n', 'Allow: GET, PUT\r\n'))
         else:
-            self.transact(client, message, row, parts[2:])
+            self.start_transaction(client, message, row, parts[2:])
 
-    def transact(self, client, message, row, parts):
+    def start_transaction(self, client, message, row, parts):
         """A request of a profile: the node takes it."""
         told = message.field(b'req-deadline')
         owner = message.field(b'req-owner')
@@ -242,6 +242,6 @@
 
     def stay(self, client):
         """Whether the connection is kept after this answer: others may wait for its place."""
-        crowded = self.phases.count(ASKED) >= self.budget - NEARLY
+        crowded = self.phases.count(ASKED) >= self.budget - RESERVED_SLOTS
         client.lasting = client.lasting and not crowded and not self.node.leaving() and not client.upload
         return client.lasting
--- a/lilacdyke/net/local_errors.py
+++ b/lilacdyke/net/local_errors.py
@@ -8,7 +8,7 @@
 
 # Of socket(2) and connect(2): memory, descriptors, ports, routes and rules of this machine. ECONNREFUSED,
 # ETIMEDOUT and EHOSTUNREACH are not among them: the other machine, or the way to it, answered so.
-CONNECTING = frozenset(
+LOCAL_CONNECT_ERRNOS = frozenset(
     (
         *(errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN),
         *(errno.EADDRINUSE, errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM, errno.EACCES, errno.EINTR),
@@ -18,12 +18,12 @@
 # Of send(2) and recv(2) on a connection, which is as it was before.
 MOVING = frozenset((errno.ENOBUFS, errno.ENOMEM, errno.EINTR))
 # Of epoll_ctl(2).
-POLLING = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
+RETRIED_EPOLL_ERRNOS = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
 # Of accept(2): no descriptor for the next connection; no memory for it. All others concern that one
 # connection alone, which is gone.
 NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE))
 NO_MEMORY = frozenset((errno.ENOBUFS, errno.ENOMEM))
-GONE = frozenset(
+ACCEPT_GONE = frozenset(
     (
         *(errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENETDOWN, errno.ENOPROTOOPT),
         *(errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH),
@@ -47,4 +47,4 @@
 def local_errno(failure):
     """The same, if it tells of this machine alone; else None."""
     told = connecting_errno(failure)
-    return told if told in CONNECTING else None
+    return told if told in LOCAL_CONNECT_ERRNOS else None
--- a/lilacdyke/net/phases.py
+++ b/lilacdyke/net/phases.py
@@ -8,25 +8,32 @@
 
 # Nothing has come on it yet; nothing is owed on it; part of a request is here; a request is being answered;
 # it has had its last answer and may close; a large answer is on its way.
-FRESH, RESTING, HALF, ASKED, PARTING, STREAMING = 'fresh', 'resting', 'half', 'asked', 'parting', 'streaming'
+FRESH, IDLE, RECEIVING, ASKED, CLOSING, STREAMING = (
+    'fresh',
+    'resting',
+    'half',
+    'asked',
+    'parting',
+    'streaming',
+)
 # How long (ticks) it may stay there; while over half of the places are taken; and while nobody is accepted
 # any more. In the order in which they make way.
 STAYS = {
     FRESH: (15_000, 500, 500),
-    PARTING: (10_000, 1_000, 1_000),
-    HALF: (24_000, 24_000, 5_000),
+    CLOSING: (10_000, 1_000, 1_000),
+    RECEIVING: (24_000, 24_000, 5_000),
     STREAMING: (100_000, 100_000, 100_000),
-    RESTING: (25_000, 1_000, 1_000),
+    IDLE: (25_000, 1_000, 1_000),
 }
-CALM, BUSY, FULL = range(3)  # which of the three times holds
-PACED = (
-    HALF,
+NORMAL, BUSY, FULL = range(3)  # which of the three times holds
+TRAFFIC_TIMED = (
+    RECEIVING,
     STREAMING,
 )  # bytes that come or go give these time, so they are not in the order of their times
 LOOK = 1_000  # ticks between two looks at who has stayed for too long
-LOOK_FULL = LOOK // 10  # the same while nobody is accepted
-BODY_PAUSE = STAYS[HALF][CALM]  # the longest pause between two pieces of a request
-LONGEST_WAIT = STAYS[STREAMING][CALM]  # for one side of a connection to take more
+CHECK_INTERVAL_FULL = LOOK // 10  # the same while nobody is accepted
+MAX_BODY_PAUSE = STAYS[RECEIVING][NORMAL]  # the longest pause between two pieces of a request
+MAX_WRITE_STALL = STAYS[STREAMING][NORMAL]  # for one side of a connection to take more
 
 
 class Phases:
@@ -34,29 +41,29 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.members = {phase: {} for phase in (*STAYS, ASKED)}
+        self.by_phase = {phase: {} for phase in (*STAYS, ASKED)}
 
     def put(self, client, phase, since):
         """A connection stands there from this time on."""
         if client.phase != phase:
             if client.phase:
-                del self.members[client.phase][client.number]
-            self.members[phase][client.number] = client
+                del self.by_phase[client.phase][client.number]
+            self.by_phase[phase][client.number] = client
             client.phase = phase
         client.since = since
 
     def remove(self, client):
         """A connection has ended."""
-        del self.members[client.phase][client.number]
+        del self.by_phase[client.phase][client.number]
         client.phase = None
 
     def count(self, phase):
         """How many connections stand there."""
-        return len(self.members[phase])
+        return len(self.by_phase[phase])
 
     def listed(self, phase):
         """The connections there, which may leave while the caller goes through them."""
-        return list(self.members[phase].values())
+        return list(self.by_phase[phase].values())
 
     def make_room(self, places, need):
         """End connections that have stayed for too long, but none that has a request unread; those that may
@@ -65,31 +72,33 @@
         now, freed = self.clock(), 0
         for phase, stays in STAYS.items():
             for client in self.listed(phase):
-                if now < client.since + stays[need] or phase == RESTING and freed >= places:
-                    if phase in PACED:
+                if now < client.since + stays[need] or phase == IDLE and freed >= places:
+                    if phase in TRAFFIC_TIMED:
                         continue
                     break
                 freed += self.overdue(client, now)
 
     def close_idle(self, fresh_since, resting_since):
         """End connections between requests that have been so since before these times."""
-        for phase, latest in ((FRESH, fresh_since), (RESTING, resting_since)):
+        for phase, latest in ((FRESH, fresh_since), (IDLE, resting_since)):
             for client in self.listed(phase):
                 if client.since <= latest:
                     self.overdue(client, self.clock())
 
     def overdue(self, client, now):
         """A connection has stayed for too long. Whether it makes way."""
-        return OVERDUE[client.phase](client, now)
+        return OVERDUE_HANDLERS[client.phase](client, now)
 
 
-def parting_overdue(client, now):
+def closing_overdue(client, now):
     """It has had its last answer, and the client has not closed."""
-    sends_on = client.discards_body and now < client.since + BODY_PAUSE  # and may read its answer only then
-    still_leaving = waiting(client.transport) and now < client.since + LONGEST_WAIT
-    if sends_on or still_leaving:
+    still_sending = (
+        client.discards_body and now < client.since + MAX_BODY_PAUSE
+    )  # and may read its answer only then
+    still_flushing = waiting(client.transport) and now < client.since + MAX_WRITE_STALL
+    if still_sending or still_flushing:
         return False
-    client.leave()
+    client.finish_close()
     return True
 
 
@@ -104,16 +113,16 @@
     return True
 
 
-def half_overdue(client, now):
+def receiving_overdue(client, now):
     """Part of a request is here and the rest does not come. More of it may lie unread: that is looked at once
     a request, as one that drips may always have something there."""
     upload = client.upload
-    if upload and upload.held and now < client.since + LONGEST_WAIT:
+    if upload and upload.reading_paused and now < client.since + MAX_WRITE_STALL:
         return False  # it is this side that does not read on
     spared, client.spared = client.spared, True
     if not spared and not quiet(client.transport):
         return False
-    client.give_up_request()
+    client.cancel_request()
     client.refuse(408, 'the request did not come')
     return True
 
@@ -122,14 +131,14 @@
     """Nothing is owed on it."""
     if not quiet(client.transport):
         return False
-    client.part()
+    client.close_unused()
     return True
 
 
-OVERDUE = {
+OVERDUE_HANDLERS = {
     FRESH: idle_overdue,
-    RESTING: idle_overdue,
-    PARTING: parting_overdue,
+    IDLE: idle_overdue,
+    CLOSING: closing_overdue,
     STREAMING: streaming_overdue,
-    HALF: half_overdue,
+    RECEIVING: receiving_overdue,
 }
--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -17,10 +17,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.tcp import Client
 
-from .local_errors import GONE, MOVING, NO_DESCRIPTOR, NO_MEMORY, name_of
+from .local_errors import ACCEPT_GONE, MOVING, NO_DESCRIPTOR, NO_MEMORY, name_of
 from .transports import Connector, PatientEpoll, PatientReactor, Port
 
-LAST_RECEIVED = 52  # where tcp_info tells when bytes last came, in bytes
+LAST_RECEIVED_OFFSET = 52  # where tcp_info tells when bytes last came, in bytes
 LISTEN_TRIES, LISTEN_PAUSE_SECONDS = 20, 0.05  # while the machine has no memory or descriptor for a start
 CLOSED = (7, 8)  # states that it tells first: all is over, or the other side has closed
 
@@ -34,13 +34,13 @@
             ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
         except InterruptedError:
             return
-        for turn in self.in_order(ready):
+        for turn in self.by_priority(ready):
             for fd, event in turn:
                 selectable = self._selectables.get(fd)
                 if selectable is not None:
                     self._doReadOrWrite(selectable, fd, event)
 
-    def in_order(self, ready):
+    def by_priority(self, ready):
         """What is ready: operators', servers', the rest."""
         turns = [], [], []
         for fd, event in ready:
@@ -172,13 +172,13 @@
                 raise
             except OSError as err:
                 self.failed(err.errno)
-                if err.errno in GONE:
+                if err.errno in ACCEPT_GONE:
                     continue
                 raise BlockingIOError(EAGAIN, name_of(err.errno)) from None
             state, waited = tcp_info(came)
             if state in CLOSED:
                 came.close()  # nobody is there any more
-            elif not self.late(waited) or not self.turn_away(came):
+            elif not self.late(waited) or not self.reject(came):
                 return came, address
         raise BlockingIOError(EAGAIN, 'others first')
 
@@ -186,10 +186,10 @@
         """A call for the next connection failed. Guards against what Twisted does without a descriptor: it
         accepts all that wait and closes them; and against asking again at once, for as long as that lasts."""
         self.call_failed('accept', number)
-        if number not in GONE:
+        if number not in ACCEPT_GONE:
             self.crowded(number in NO_DESCRIPTOR)
 
-    def turn_away(self, came):
+    def reject(self, came):
         """Answer, if a request lies there whole and nothing more: closing on anything unread, or on what is
         still to come, would take the answer back. Whether it was turned away; else it is let in, also where
         the answer cannot be sent now: closing would leave the request without one."""
@@ -230,8 +230,8 @@
     """A connection's state, and how long ago the system took the last bytes that came on it, as Linux tells
     that to the millisecond."""
     try:
-        told = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED + 4)
-        return told[0], unpack_from('=I', told, LAST_RECEIVED)[0] * 10
+        told = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_OFFSET + 4)
+        return told[0], unpack_from('=I', told, LAST_RECEIVED_OFFSET)[0] * 10
     except (OSError, AttributeError, error):
         return 0, 0
 
@@ -265,7 +265,7 @@
     return len(transport.dataBuffer) > transport.offset or bool(transport._tempDataBuffer)
 
 
-def held_bytes(transport):
+def buffered_bytes(transport):
     """How many bytes the transport holds that the system has not taken."""
     return len(transport.dataBuffer) - transport.offset + sum(map(len, transport._tempDataBuffer))
 
--- a/lilacdyke/net/transports.py
+++ b/lilacdyke/net/transports.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import getConnectError
 from twisted.internet.main import CONNECTION_LOST
 
-from .local_errors import MOVING, POLLING
+from .local_errors import MOVING, RETRIED_EPOLL_ERRNOS
 
 RETRY_SECONDS = 0.005  # until a call that failed is made again
 
@@ -143,7 +143,7 @@
 
     def __init__(self, epoll, later, call_failed):
         self.epoll, self.later, self.call_failed = epoll, later, call_failed
-        self.behind = {}  # by descriptor: the interest that could not be set; None: none at all
+        self.pending = {}  # by descriptor: the interest that could not be set; None: none at all
         self.poll, self.close, self.fileno = epoll.poll, epoll.close, epoll.fileno
 
     def register(self, descriptor, events):
@@ -157,9 +157,9 @@
 
     def set(self, descriptor, events, call):
         """Set this interest, by this call, unless an earlier one is still to be made up for."""
-        if descriptor in self.behind:
-            self.behind[descriptor] = events
-            self.catch_up(descriptor)
+        if descriptor in self.pending:
+            self.pending[descriptor] = events
+            self.apply_pending(descriptor)
             return
         try:
             call(descriptor, events)
@@ -168,24 +168,24 @@
 
     def failed(self, descriptor, events, err):
         """Raise what is no want of memory."""
-        if err.errno not in POLLING:
+        if err.errno not in RETRIED_EPOLL_ERRNOS:
             raise err
         self.call_failed('epoll_ctl', err.errno)
-        if descriptor not in self.behind:
+        if descriptor not in self.pending:
             self.later(RETRY_SECONDS, self.again, descriptor)
-        self.behind[descriptor] = events
+        self.pending[descriptor] = events
 
     def again(self, descriptor):
         """The wait is over."""
-        if descriptor in self.behind:
-            self.catch_up(descriptor)
-            if descriptor in self.behind:
+        if descriptor in self.pending:
+            self.apply_pending(descriptor)
+            if descriptor in self.pending:
                 self.later(RETRY_SECONDS, self.again, descriptor)
 
-    def catch_up(self, descriptor):
+    def apply_pending(self, descriptor):
         """Have the kernel's interest in a descriptor be what it should. Whether it knows the descriptor is
         not known: one that was closed meanwhile it does not."""
-        events = self.behind[descriptor]
+        events = self.pending[descriptor]
         try:
             if events is None:
                 self.epoll.unregister(descriptor)
@@ -195,7 +195,7 @@
             if events is not None or err.errno != ENOENT:
                 self.failed(descriptor, events, err)
                 return
-        del self.behind[descriptor]
+        del self.pending[descriptor]
 
     def modify_or_register(self, descriptor, events):
         try:
--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -278,7 +278,7 @@
         os.kill(self.running.pid, signal.SIGSTOP)
         os.waitpid(self.running.pid, os.WUNTRACED)
 
-    def go_on(self):
+    def resume(self):
         os.kill(self.running.pid, signal.SIGCONT)
 
     def signal(self, signum):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
         self.ask(gone, 'gone')
         go(gone)
         self.ask(stays, 'stays')
-        self.go_on()
+        self.resume()
         self.seen_so_far()
         self.assertEqual(self.finish(), ['a', 'b', 'stays'])
 
@@ -56,7 +56,7 @@
         self.stop()
         hop.answer(503, b'', b'Srv-Declined: 1\r\n')
         client.close()
-        self.go_on()
+        self.resume()
         self.seen_so_far()
         self.assertEqual(self.finish().count('gone'), 1)
 
@@ -107,7 +107,7 @@
         client.close()
         self.servers['c0'].let()
         line = self.servers['c0'].take()  # it is up: that, and the end, lie there as the node goes on
-        self.go_on()
+        self.resume()
         self.ask(self.client(), 'next')
         self.assertEqual(line.request() or self.servers['c0'].take().request(), 'next')
         self.assertEqual(self.finish(), ['next'])
@@ -203,7 +203,7 @@
         self.stop()
         self.watch.say(chunk(told(6, self.row('c0', lifecycle='DRAINING'), reset=False)))
         self.watch.reset()
-        self.go_on()
+        self.resume()
         self.assertIn('caches=0', self.until('list'))  # the system keeps what came before the reset
         self.assertIn(b'index=6', self.agent.watch()[1])
 
@@ -223,7 +223,7 @@
         self.stop()
         self.watch.close()
         self.signal(signal.SIGHUP)
-        self.go_on()
+        self.resume()
         watch, first = other.watch()
         self.assertIn(b'index=5', first)
         watch.say(
@@ -419,7 +419,7 @@
         for line in waiting:
             line.say(b'GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n')
         time.sleep(1.0)  # the time at which the door is shut has passed
-        self.go_on()
+        self.resume()
         self.assertEqual([line.answered()[0] for line in waiting], [404] * 6)
         self.assertEqual(self.finish_only(), 0)
 
@@ -469,7 +469,7 @@
         self.stop()
         hop.close()
         self.ask(client, 'second')
-        self.go_on()
+        self.resume()
         again = self.servers['c0'].take()
         self.assertEqual(again.request(), 'second')
         again.answer()
@@ -481,7 +481,7 @@
         self.stop()
         hop.answer(body=b'not asked for')
         self.ask(client, 'second')
-        self.go_on()
+        self.resume()
         again = self.servers['c0'].take()
         self.assertEqual(again.request(), 'second')
         again.answer(body=b'asked for')
@@ -495,7 +495,7 @@
         self.stop()
         hop.answer(503, b'', b'Srv-Declined: 1\r\nConnection: close\r\n')
         hop.close()
-        self.go_on()
+        self.resume()
         again = self.servers[
             'o'
         ].take()  # it surely never ran, so it goes once more, on a connection of its own
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -7,7 +7,7 @@
 from twisted.internet.error import ConnectionLost
 from twisted.python.failure import Failure
 
-from lilacdyke.net.phases import HALF, RESTING
+from lilacdyke.net.phases import IDLE, RECEIVING
 
 from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, said, sent
 from .test_net import Quiet, status
@@ -40,7 +40,7 @@
         cache.protocol.dataReceived(b'x' * 99_997)
         self.assertEqual((first, counts), (b'HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc', 1))
         self.assertEqual(
-            (len(wire.value()), wire.protocol.phase, cache.ended), (len(first) + 99_997, RESTING, False)
+            (len(wire.value()), wire.protocol.phase, cache.ended), (len(first) + 99_997, IDLE, False)
         )
 
     def test_a_server_that_breaks_off_shows_the_client_that_it_is_not_whole(self):
@@ -343,7 +343,7 @@
         cache.protocol.dataReceived(LARGE + b'x' * 50_000)
         made.reactor.pump([0.1] * 150)
         cache.protocol.dataReceived(b'x' * 50_000)
-        self.assertEqual((wire.aborted, wire.protocol.phase), (False, RESTING))
+        self.assertEqual((wire.aborted, wire.protocol.phase), (False, IDLE))
 
     def test_a_pause_of_its_server_across_the_limit_and_beyond(self):
         for pause, ended in ((19, False), (22, True)):
@@ -457,7 +457,8 @@
                 made.reactor.advance(0.1)
                 wire.protocol.dataReceived(b'x' * min(pieces, 2_000))
             self.assertEqual(
-                (status(wire), origin.aborted, wire.protocol.phase == HALF), (told, told == 408, told is None)
+                (status(wire), origin.aborted, wire.protocol.phase == RECEIVING),
+                (told, told == 408, told is None),
             )
 
     def test_no_connection_yet_the_client_is_paused(self):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -115,7 +115,7 @@
 class PassedOn(unittest.TestCase):
     def test_lines_of_one_connection_stay_behind(self):
         message = one(PLAIN.replace(b'X-Own', b'Connection: x-own, keep-alive\r\nX-Own'))
-        self.assertEqual(message.passed(), [b'Host: x\r\nReq-Id: 7\r\n'])
+        self.assertEqual(message.forwarded_lines(), [b'Host: x\r\nReq-Id: 7\r\n'])
 
     def test_a_hop_has_the_request_unchanged_and_a_deadline_of_its_own(self):
         whole = b''.join(request(one(CHUNKED), 2501))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -238,7 +238,7 @@
 
     def test_a_client_that_sends_ahead_without_end_is_paused(self):
         wire, _ = sent(node())
-        wire.protocol.dataReceived(b'x' * (client_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (client_module.MAX_READ_AHEAD + 1))
         self.assertEqual(wire.producerState, 'paused')
 
     def test_half_a_request_is_not_waited_for_without_end(self):
@@ -282,7 +282,7 @@
 
     def test_a_refused_client_that_goes_on_sending_is_not_read_and_not_reset_at_once(self):
         wire = asked(node(), 'PUT /read/k HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n')
-        wire.protocol.dataReceived(b'x' * (client_module.HELD + 1))
+        wire.protocol.dataReceived(b'x' * (client_module.MAX_READ_AHEAD + 1))
         self.assertEqual((status(wire), wire.producerState, wire.aborted), (413, 'paused', False))
 
     def test_an_id_that_is_open_is_refused_and_the_first_goes_on(self):
@@ -379,7 +379,7 @@
         wires = [asked(self.made, READY) for _ in range(4)]
         self.made.reactor.advance(0.2)
         self.listener.full = True
-        self.listener.press()
+        self.listener.evict_while_full()
         self.assertEqual([wire.ended for wire in wires].count(True), 2)
 
     def test_the_door_turns_away_who_has_waited_for_long_and_lets_go_who_has_gone(self):
@@ -756,7 +756,7 @@
         for exchange in (repeat, first):
             exchange.done.addCallback(lambda ending: ended.append(ending[0]))
         pool = made.caches.pools[server]
-        repeat.by = made.clock() - 1
+        repeat.leave_by = made.clock() - 1
         wire = dialled(made)
         self.assertEqual(
             (ended, first.link is wire.protocol, pool.waiting), (['unsent'], True, type(pool.waiting)())
