--- a/lilacdyke/net/local_errors.py
+++ b/lilacdyke/net/local_errors.py
@@ -1,13 +1,13 @@
-"""Failures of system calls that tell of this machine and nothing of the other side of a connection.
+"""Classification of errnos that indicate a failure of the local machine rather than of a peer.
 
-Owns which errnos these are, and how one is found in what Twisted says of a connection that did not come up.
-Source: the Linux man pages of accept(2), connect(2), socket(2), send(2), recv(2), epoll_ctl(2).
+Also extracts the errno from a Twisted connection failure. The sets follow the Linux man pages of
+accept(2), connect(2), socket(2), send(2), recv(2) and epoll_ctl(2).
 """
 
 import errno
 
-# Of socket(2) and connect(2): memory, descriptors, ports, routes and rules of this machine. ECONNREFUSED,
-# ETIMEDOUT and EHOSTUNREACH are not among them: the other machine, or the way to it, answered so.
+# socket(2) and connect(2): out of memory, descriptors or ports, no route, or a local firewall rule.
+# ECONNREFUSED, ETIMEDOUT and EHOSTUNREACH are excluded: they come from the peer or the network.
 LOCAL_CONNECT_ERRNOS = frozenset(
     (
         *(errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN),
@@ -15,12 +15,11 @@
         *(errno.ENOSPC, errno.EPROTO),
     )
 )
-# Of send(2) and recv(2) on a connection, which is as it was before.
+# send(2) and recv(2): the connection is unaffected and the call can be retried.
 MOVING = frozenset((errno.ENOBUFS, errno.ENOMEM, errno.EINTR))
-# Of epoll_ctl(2).
+# epoll_ctl(2): the call can be retried.
 RETRIED_EPOLL_ERRNOS = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
-# Of accept(2): no descriptor for the next connection; no memory for it. All others concern that one
-# connection alone, which is gone.
+# accept(2): out of descriptors; out of memory; the pending connection itself has failed.
 NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE))
 NO_MEMORY = frozenset((errno.ENOBUFS, errno.ENOMEM))
 ACCEPT_GONE = frozenset(
@@ -33,18 +32,19 @@
 
 
 def name_of(number):
-    """An errno's name, as `ENOBUFS`."""
+    """Return the symbolic name of an errno, such as `ENOBUFS`."""
     return errno.errorcode.get(number, 'E%s' % number)
 
 
 def connecting_errno(failure):
-    """The errno with which a connection did not come up, as a Twisted Failure tells it; None: it tells
-    none."""
+    """Return the errno of a failed connection attempt from its Twisted Failure, or None if it carries
+    none.
+    """
     told = getattr(failure.value, 'osError', None) or getattr(failure.value, 'errno', None)
     return told if isinstance(told, int) else None
 
 
 def local_errno(failure):
-    """The same, if it tells of this machine alone; else None."""
+    """Return the errno of a failed connection attempt if the local machine caused it, else None."""
     told = connecting_errno(failure)
     return told if told in LOCAL_CONNECT_ERRNOS else None
