--- a/lilacdyke/net/flow.py
+++ b/lilacdyke/net/flow.py
@@ -1,47 +1,47 @@
-"""A body on its way from one connection to another, passed on as it comes.
+"""Streaming of a body from one connection to another.
 
-Owns the framing towards the sink and the back-pressure: while the sink takes no more, the source is not read.
-Must never hold bytes beyond what the sink's transport already has, or end a body that is not whole as if it
-were.
+Frames the body for the sink and applies back-pressure: while the sink's transport is full, the source
+is paused. Buffers nothing beyond what the sink's transport holds, and never terminates a truncated body
+as if it were complete.
 """
 
-PIECE = 32_768  # bytes read at a time, and held in a transport before the source pauses
-STALL_TIMEOUT = 20_000  # ticks of silence after which a source is taken to give no more
+PIECE = 32_768  # read size, and bytes buffered in a transport before its source is paused
+STALL_TIMEOUT = 20_000  # ticks without data after which a source counts as stalled
 
 
 class Flow:
-    """One body under way. Its sink has a transport; its source is told pause() and go_on()."""
+    """A body being streamed. Pauses and resumes its source with pause() and resume()."""
 
     __slots__ = ('source', 'transport', 'chunked', 'progressed', 'paused', 'finished')
 
     def __init__(self, source, transport, chunked, progressed):
         self.source, self.transport, self.chunked = source, transport, chunked
-        self.progressed = progressed  # called when the sink takes more again
+        self.progressed = progressed  # called when the sink accepts data again
         self.paused = self.finished = False
         transport.bufferSize = PIECE
         transport.registerProducer(self, True)
 
     def framed(self, data):
-        """A piece as the sink is to read it."""
+        """Return the data framed for the sink."""
         return b'%x\r\n%s\r\n' % (len(data), data) if self.chunked and data else data
 
     def pass_on(self, data):
-        """A piece has come."""
+        """Write a piece of the body to the sink."""
         if data and not self.finished:
             self.transport.write(self.framed(data))
 
     def end(self):
-        """All of it has come: what still has to be written, which its sink does."""
+        """Finish the body and return the final bytes, which the caller has to write."""
         self.stop()
         return b'0\r\n\r\n' if self.chunked else b''
 
     def stop(self):
-        """Nothing more is passed on."""
+        """Stop forwarding and unregister from the sink's transport."""
         if not self.finished:
             self.finished = True
             self.transport.unregisterProducer()
 
-    # --- as the sink's producer ---------------------------------------------------------------------------
+    # Producer interface for the sink's transport
 
     def pauseProducing(self):
         if not self.finished:
@@ -55,5 +55,5 @@
             self.source.resume()
 
     def stopProducing(self):
-        """The sink's connection has ended: its protocol is told by its own connectionLost."""
+        """Called when the sink's connection ends; its protocol handles that in connectionLost."""
         self.finished = True
