--- a/lilacdyke/net/transports.py
+++ b/lilacdyke/net/transports.py
@@ -1,8 +1,8 @@
-"""Twisted's TCP transports and epoll, for a machine whose calls fail for a moment.
+"""Twisted TCP transports and epoll wrapper that retry calls after transient local failures.
 
-Owns what is done with an errno that tells of this machine: the connection stays as it is and the call is made
-again a little later. Twisted itself ends the connection, or takes EAGAIN of connect(2) for one that is coming
-up. Must never know what a connection carries.
+When a call fails with an errno that indicates a lack of local resources, the connection is kept and the
+call is retried after a short delay. Twisted itself would close the connection, or treat EAGAIN from
+connect(2) as a connection in progress.
 """
 
 import os
@@ -15,14 +15,14 @@
 
 from .local_errors import MOVING, RETRIED_EPOLL_ERRNOS
 
-RETRY_SECONDS = 0.005  # until a call that failed is made again
+RETRY_SECONDS = 0.005  # delay before a failed call is retried
 
 
 class PatientTransport:
-    """A connection on which a read or a write that fails for want of memory is made again."""
+    """Transport that retries reads and writes that fail with a transient local errno."""
 
     def doRead(self):
-        """As Twisted's own, but for those errnos."""
+        """Read as Twisted does, but retry later on a transient local errno."""
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as err:
@@ -36,7 +36,9 @@
         return self._dataReceived(data)
 
     def writeSomeData(self, data):
-        """As Twisted's own, but for those errnos: how many bytes were taken."""
+        """Write as Twisted does, but retry later on a transient local errno; return the number of bytes
+        written.
+        """
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as err:
@@ -50,14 +52,17 @@
 
 
 class OpenedConnection(PatientTransport, tcp.Client):
-    """A connection that this side opens."""
+    """Outgoing connection."""
 
     def doConnect(self):
-        """Begin to connect, or see what came of it. As Twisted's own, but that EAGAIN is a failure: no local
-        port is free, and no event will tell of the connection."""
+        """Start connecting, or check the result.
+
+        Unlike Twisted, treats EAGAIN as a failure: no local port is free, and no event will follow for
+        this socket.
+        """
         self.doWrite = self.doRead = self.doConnect
         if not hasattr(self, 'connector'):
-            return  # it was given up before it began
+            return  # cancelled before the first attempt
         try:
             number = self.socket.getsockopt(SOL_SOCKET, SO_ERROR) or self.socket.connect_ex(self.realAddress)
         except OSError as err:
@@ -75,33 +80,32 @@
 
 
 class AcceptedConnection(PatientTransport, tcp.Server):
-    """A connection that the other side opened."""
+    """Incoming connection."""
 
 
 class Connector(tcp.Connector):
-    """Makes connections of that kind."""
+    """Connector that creates OpenedConnection transports."""
 
     def _makeTransport(self):
         return OpenedConnection(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class Port(tcp.Port):
-    """A listening socket whose connections are of that kind."""
+    """Listening socket that creates AcceptedConnection transports."""
 
     transport = AcceptedConnection
 
 
 class PatientReactor:
-    """A reactor on which a transport may ask for its next read or write to wait a little. Mixed in before
-    Twisted's."""
+    """Reactor mixin, placed before Twisted's class, that lets a transport defer its next read or write."""
 
-    held_reads = held_writes = frozenset()  # transports whose next read, write waits
+    held_reads = held_writes = frozenset()  # transports with a deferred read, write
 
     def call_failed(self, call, number):
-        """A call failed with an errno that tells of this machine. Whoever counts such replaces this."""
+        """Report a call that failed with a local errno; replaced by the owner of the reactor."""
 
     def read_later(self, transport):
-        """Read again a little later, unless the transport stops reading meanwhile."""
+        """Retry a read after a delay, unless the transport stops reading in the meantime."""
         super().removeReader(transport)
         self.held_reads |= {transport}
         self.callLater(RETRY_SECONDS, self.read_again, transport)
@@ -111,7 +115,7 @@
             self.addReader(transport)
 
     def write_later(self, transport):
-        """Write again a little later, unless the transport stops writing meanwhile."""
+        """Retry a write after a delay, unless the transport stops writing in the meantime."""
         super().removeWriter(transport)
         self.held_writes |= {transport}
         self.callLater(RETRY_SECONDS, self.write_again, transport)
@@ -138,12 +142,14 @@
 
 
 class PatientEpoll:
-    """An epoll whose interest in a descriptor is set a little later where the system has no memory for that
-    now. call_failed(call, errno) is told; later(seconds, call) calls then."""
+    """Epoll object that retries interest changes which fail for lack of memory.
+
+    call_failed(call, errno) is called for each failure; later(seconds, call, *args) schedules a retry.
+    """
 
     def __init__(self, epoll, later, call_failed):
         self.epoll, self.later, self.call_failed = epoll, later, call_failed
-        self.pending = {}  # by descriptor: the interest that could not be set; None: none at all
+        self.pending = {}  # interest still to be set, by descriptor; None: unregister
         self.poll, self.close, self.fileno = epoll.poll, epoll.close, epoll.fileno
 
     def register(self, descriptor, events):
@@ -156,7 +162,7 @@
         self.set(descriptor, None, lambda number, _: self.epoll.unregister(number))
 
     def set(self, descriptor, events, call):
-        """Set this interest, by this call, unless an earlier one is still to be made up for."""
+        """Apply an interest change with this call, or replace the pending one for the descriptor."""
         if descriptor in self.pending:
             self.pending[descriptor] = events
             self.apply_pending(descriptor)
@@ -167,7 +173,7 @@
             self.failed(descriptor, events, err)
 
     def failed(self, descriptor, events, err):
-        """Raise what is no want of memory."""
+        """Schedule a retry of an interest change, or raise the error if it is not transient."""
         if err.errno not in RETRIED_EPOLL_ERRNOS:
             raise err
         self.call_failed('epoll_ctl', err.errno)
@@ -176,15 +182,17 @@
         self.pending[descriptor] = events
 
     def again(self, descriptor):
-        """The wait is over."""
+        """Retry the pending change of a descriptor."""
         if descriptor in self.pending:
             self.apply_pending(descriptor)
             if descriptor in self.pending:
                 self.later(RETRY_SECONDS, self.again, descriptor)
 
     def apply_pending(self, descriptor):
-        """Have the kernel's interest in a descriptor be what it should. Whether it knows the descriptor is
-        not known: one that was closed meanwhile it does not."""
+        """Bring the kernel's interest in a descriptor up to date.
+
+        The descriptor may or may not be registered: the kernel drops it when it is closed.
+        """
         events = self.pending[descriptor]
         try:
             if events is None:
