--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -1,21 +1,21 @@
-"""HTTP/1.1 as bytes: reads requests and answers out of a stream however it was cut, and writes heads.
+"""HTTP/1.1 message parsing and serialization, independent of sockets.
 
-Owns the form of messages: bounds, framing, which header lines a hop passes on. Heads are matched in place
-in the buffer and passed on as slices. Must never touch a socket, keep more than one message's bounds, or
-guess at what is out of form: that is a BadMessage, with the status that a client should see.
+Reads requests and answers incrementally from a byte stream, enforces size limits and framing rules, and
+selects the header lines that are forwarded to the next hop. Heads are matched in place in the buffer
+and forwarded as slices. Malformed input raises BadMessage with the status to send to a client.
 """
 
 import re
 
-MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # bodies up to that are held whole
-MAX_STREAMED_BODY = 32 << 20  # others are passed on as they come, up to that
+MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # larger bodies are streamed
+MAX_STREAMED_BODY = 32 << 20
 REQUEST = re.compile(rb'([A-Za-z]+) ([!-~]+) HTTP/1\.([01])\r\n')
 ANSWER = re.compile(rb'HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n\0]*)?\r\n')
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):([^\r\n\0]*)\r\n")
 SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n\0]*)?\r\n')
-BODYLESS_STATUS = re.compile(rb'1|204|304')  # answers that have no body
+BODYLESS_STATUS = re.compile(rb'1|204|304')  # statuses without a body
 DIGITS = re.compile(rb'[0-9]{1,12}\Z')
-# Lines that concern one connection only, or that every sender writes anew.
+# Header fields that apply to one connection only, or that each hop writes itself.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -33,7 +33,7 @@
 SINGLE_VALUED = frozenset(
     (b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined')
 )
-BODY_HEADER = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # a body may follow the head
+BODY_HEADER = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # announces a body
 ORIGIN_PREFIX = re.compile(rb'(?i:https?)://[^/?#]*')
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
@@ -55,7 +55,7 @@
 
 
 class BadMessage(Exception):
-    """A message that cannot be read; status is what its sender is told, where it is a client."""
+    """Raised for a message that cannot be parsed; status is the answer for a client that sent it."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -63,31 +63,33 @@
 
 
 class Message:
-    """One request or answer: the first line's parts, the header lines as spans of the head, the body."""
+    """Request or answer: the parts of its first line, its header lines as spans of the head, and its
+    body.
+    """
 
     __slots__ = ('head', 'target_end', 'parts', 'lines', 'fields', 'body', 'length', 'source')
 
     def __init__(self, head, first):
         self.head = head
         self.parts = first.groups()
-        self.target_end = first.end(2)  # where the second part ends
+        self.target_end = first.end(2)  # offset of the end of the request target, or of the status code
         self.lines, self.fields = [], {}
         self.body = b''
-        self.length = 0  # of the body; None: it is not told
-        self.source = None  # the connection from which the body still comes, where it flows
+        self.length = 0  # of the body; None: unknown
+        self.source = None  # what a streamed body is read from; None: the body is buffered
 
     def field(self, name):
-        """The value of a header field, or None."""
+        """Return the value of a header field, or None."""
         return self.fields.get(name)
 
     def tokens(self, name):
-        """The comma-separated words of a field."""
+        """Return the comma-separated tokens of a header field in lower case."""
         value = self.fields.get(name)
         return {word.strip().lower() for word in value.split(b',')} - {b''} if value else ()
 
     @property
     def path(self):
-        """What the request is about, without scheme, host and query."""
+        """The request target without scheme, authority and query."""
         target = self.parts[1]
         if not target.startswith(b'/'):
             target = ORIGIN_PREFIX.sub(b'', target, 1) or b'/'
@@ -95,13 +97,15 @@
 
     @property
     def lasting(self):
-        """Whether the connection may carry another message after this one."""
+        """Whether the connection stays open after this message."""
         words = self.tokens(b'connection')
         minor = self.parts[2] if len(self.parts) == 3 else self.parts[0]
         return b'close' not in words and (minor == b'1' or b'keep-alive' in words)
 
     def forwarded_lines(self):
-        """The header lines that go on to the next hop, as few slices of the head as they make."""
+        """Return the header lines to forward to the next hop, as the fewest possible slices of the
+        head.
+        """
         listed, runs = self.tokens(b'connection'), []
         for name, begin, end in self.lines:
             if name in HOP_BY_HOP or name in listed:
@@ -114,7 +118,7 @@
 
 
 def read_head(buffer, end, first):
-    """The message whose head is the buffer's first bytes up to end, its closing empty line included."""
+    """Parse the message head in buffer[:end], which includes the closing empty line."""
     begun = first.match(buffer, 0, end)
     if not begun:
         raise BadMessage(400, 'first line out of form')
@@ -138,27 +142,24 @@
 
 
 def one_read(data):
-    """Whether these bytes are, by their look, one whole request for a read and nothing more."""
+    """Return whether the bytes look like exactly one GET request without a body."""
     return (
         data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODY_HEADER.search(data)
     )
 
 
 class Chunks:
-    """A chunked body being read."""
+    """Decoder for a chunked body."""
 
     __slots__ = ('left', 'size', 'max_size', 'trailer', 'ended')
 
     def __init__(self, max_size):
-        self.left, self.size, self.max_size = (
-            0,
-            0,
-            max_size,
-        )  # left: of this chunk, with its line end; most: of all
+        # left: bytes of this chunk with its line end; size: bytes so far
+        self.left, self.size, self.max_size = 0, 0, max_size
         self.trailer, self.ended = 0, False
 
     def read(self, buffer):
-        """Take what can be taken off the buffer; the data in it."""
+        """Consume what is available in the buffer and return the decoded data."""
         data = bytearray()
         while not self.ended:
             if self.left > 2:
@@ -180,7 +181,7 @@
         return data
 
     def next_chunk(self, buffer):
-        """Read a chunk's size, or a line after the last chunk; False while it is not all there."""
+        """Read a chunk size or trailer line; return False if the line is incomplete."""
         end = buffer.find(b'\n') + 1
         if (end or len(buffer)) > MAX_LINE:
             raise BadMessage(400, 'chunk line too long')
@@ -205,36 +206,39 @@
 
 
 class Reader:
-    """One side's stream of messages. feed() what came, then take() messages until it gives None."""
+    """Incremental parser for one direction of a connection.
+
+    Call feed() with received bytes, then take() until it returns None.
+    """
 
     __slots__ = ('first', 'max_size', 'buffer', 'scanned', 'message', 'remaining', 'chunks', 'until_close')
 
     def __init__(self, first, max_size=MAX_STREAMED_BODY):
-        self.first, self.max_size = first, max_size  # REQUEST or ANSWER; the largest body
+        self.first, self.max_size = first, max_size  # first: pattern of the first line, REQUEST or ANSWER
         self.buffer = bytearray()
         self.reset()
 
     def reset(self):
         self.scanned, self.message, self.remaining, self.chunks = 0, None, 0, None
-        self.until_close = False  # whether the body lasts until the connection ends
+        self.until_close = False  # whether the body extends to the end of the connection
 
     @property
     def has_input(self):
-        """Whether part of a message is here."""
+        """Whether part of a message has been received."""
         return self.message is not None or bool(self.buffer)
 
     @property
     def large(self):
-        """Whether the present message's body is too large to be held whole."""
+        """Whether the current message's body is too large to be buffered whole."""
         return self.message is not None and max(self.remaining, len(self.message.body)) > MAX_BODY
 
     @property
     def whole(self):
-        """Whether all of the present body has been taken."""
+        """Whether the whole current body has been consumed."""
         return self.chunks.ended if self.chunks else not self.remaining and not self.until_close
 
     def piece(self):
-        """Take what is here of a body that flows."""
+        """Consume and return the available part of a streamed body."""
         message = self.message
         data, message.body = bytes(message.body), b''
         if self.chunks:
@@ -250,13 +254,15 @@
         return data
 
     def count(self, more):
-        """So much more of a body whose length is not told. Guards against one without end."""
+        """Count bytes of a body of unknown length; raise BadMessage if it exceeds max_size."""
         self.remaining -= more
         if -self.remaining > self.max_size:
             raise BadMessage(413, 'body too large')
 
     def end(self):
-        """The connection has ended in order: the message whose body lasted until then, or None."""
+        """Handle an orderly end of the connection: return the message whose body was delimited by it,
+        or None.
+        """
         if not self.until_close:
             return None
         message = self.message
@@ -264,7 +270,7 @@
         return message
 
     def hint(self):
-        """Whether the sender of the present message asks, and was not yet told, to go on with its body."""
+        """Return whether the sender waits for 100 Continue; true at most once per message."""
         asks = self.message and self.message.fields.pop(b'expect', b'').lower() == b'100-continue'
         return bool(asks and not self.buffer)
 
@@ -272,7 +278,7 @@
         self.buffer += data
 
     def take(self):
-        """The next whole message, or None."""
+        """Return the next complete message, or None."""
         if self.message is None and not self.take_head():
             return None
         message = self.message
@@ -294,9 +300,9 @@
         return message
 
     def take_head(self):
-        """Read the head once it is whole; the message without its body, or None."""
+        """Parse the head once it is complete; return the message without its body, or None."""
         while self.buffer[:2] == b'\r\n' and self.first is REQUEST:
-            del self.buffer[:2]  # an empty line before a request is to be passed over
+            del self.buffer[:2]  # empty lines before a request are ignored (RFC 9112, 2.2)
         end = self.buffer.find(b'\r\n\r\n', max(0, self.scanned - 3)) + 4
         self.scanned = len(self.buffer)
         if (end if end > 3 else self.scanned) > MAX_HEAD:
@@ -309,7 +315,7 @@
         return self.message
 
     def frame(self, message):
-        """How long the body is; what two headers tell differently is refused, never chosen between."""
+        """Determine the body's framing; conflicting or ambiguous framing is rejected."""
         length, coding = message.field(b'content-length'), message.field(b'transfer-encoding')
         if length is not None and coding is not None:
             raise BadMessage(400, 'two framings')
@@ -334,7 +340,9 @@
 
 
 def request(message, wait):
-    """A client's request as it goes to a cache that is waited for so long (tenths of a millisecond)."""
+    """Return the pieces of a client's request as sent to a cache server that is waited for this long
+    (tenths of a millisecond).
+    """
     tail = b'Req-Deadline: %d.%04d\r\n' % divmod(wait, 10_000)
     if message.source:
         tail += framing(message)
@@ -356,7 +364,7 @@
 
 
 def relayed(message, lasting):
-    """A cache's 200 answer as it goes to the client."""
+    """Return the pieces of a cache server's 200 answer as sent to the client."""
     tail = b'Content-Length: %d\r\n' % len(message.body)
     if not lasting:
         tail += b'Connection: close\r\n'
@@ -364,12 +372,14 @@
 
 
 def framing(message):
-    """The header line that tells how long a body is that flows."""
+    """Return the header line that describes the framing of a streamed body."""
     return CHUNKED if message.length is None else b'Content-Length: %d\r\n' % message.length
 
 
 def relayed_head(message, lasting, chunks):
-    """The head of a cache's 200 answer whose body flows; chunks: whether the client reads them."""
+    """Return the head of a cache server's 200 answer with a streamed body; chunks: whether the client
+    accepts chunked framing.
+    """
     tail = framing(message) if chunks or message.length is not None else b''
     if not lasting:
         tail += b'Connection: close\r\n'
@@ -377,7 +387,7 @@
 
 
 def answer(status, lasting, text='', more=''):
-    """An answer of the node's own."""
+    """Return the pieces of an answer generated by the node itself."""
     body = text.encode()
     return [
         (
