--- a/lilacdyke/net/phases.py
+++ b/lilacdyke/net/phases.py
@@ -1,13 +1,13 @@
-"""Where clients' connections stand, and for how long each may stay there.
+"""Phases of client connections and the time limits for each.
 
-Owns the phases, their times, and the order in which connections make way when places are needed. Must never
-end a connection that owes an answer, nor one that has a request unread.
+Keeps connections ordered by the time they entered their phase, and closes overdue ones to free slots.
+Never closes a connection on which an answer is due or a request lies unread.
 """
 
 from .sockets import quiet, waiting
 
-# Nothing has come on it yet; nothing is owed on it; part of a request is here; a request is being answered;
-# it has had its last answer and may close; a large answer is on its way.
+# FRESH: nothing received yet. IDLE: between requests. RECEIVING: a request is incomplete. ASKED: a request
+# is being answered. CLOSING: the last answer is written. STREAMING: a large answer is being sent.
 FRESH, IDLE, RECEIVING, ASKED, CLOSING, STREAMING = (
     'fresh',
     'resting',
@@ -16,8 +16,8 @@
     'parting',
     'streaming',
 )
-# How long (ticks) it may stay there; while over half of the places are taken; and while nobody is accepted
-# any more. In the order in which they make way.
+# Time limits in ticks for each phase: normally, while over half of the slots are taken, and while no
+# connection is accepted. Phases are searched for connections to close in this order.
 STAYS = {
     FRESH: (15_000, 500, 500),
     CLOSING: (10_000, 1_000, 1_000),
@@ -25,26 +25,24 @@
     STREAMING: (100_000, 100_000, 100_000),
     IDLE: (25_000, 1_000, 1_000),
 }
-NORMAL, BUSY, FULL = range(3)  # which of the three times holds
-TRAFFIC_TIMED = (
-    RECEIVING,
-    STREAMING,
-)  # bytes that come or go give these time, so they are not in the order of their times
-LOOK = 1_000  # ticks between two looks at who has stayed for too long
-CHECK_INTERVAL_FULL = LOOK // 10  # the same while nobody is accepted
-MAX_BODY_PAUSE = STAYS[RECEIVING][NORMAL]  # the longest pause between two pieces of a request
-MAX_WRITE_STALL = STAYS[STREAMING][NORMAL]  # for one side of a connection to take more
+NORMAL, BUSY, FULL = range(3)  # index of the limit in force
+# Traffic moves `since` in these phases, so they are not ordered by it.
+TRAFFIC_TIMED = (RECEIVING, STREAMING)
+LOOK = 1_000  # ticks between checks for overdue connections
+CHECK_INTERVAL_FULL = LOOK // 10  # the same while no connection is accepted
+MAX_BODY_PAUSE = STAYS[RECEIVING][NORMAL]  # ticks between two pieces of a request
+MAX_WRITE_STALL = STAYS[STREAMING][NORMAL]  # ticks until the peer has to accept more data
 
 
 class Phases:
-    """The connections of all clients by their phase, the longest there first."""
+    """Client connections by phase, each phase ordered by entry time."""
 
     def __init__(self, clock):
         self.clock = clock
         self.by_phase = {phase: {} for phase in (*STAYS, ASKED)}
 
     def put(self, client, phase, since):
-        """A connection stands there from this time on."""
+        """Move a connection to a phase, with the time since which it counts as there."""
         if client.phase != phase:
             if client.phase:
                 del self.by_phase[client.phase][client.number]
@@ -53,22 +51,24 @@
         client.since = since
 
     def remove(self, client):
-        """A connection has ended."""
+        """Remove a connection that has ended."""
         del self.by_phase[client.phase][client.number]
         client.phase = None
 
     def count(self, phase):
-        """How many connections stand there."""
+        """Return the number of connections in a phase."""
         return len(self.by_phase[phase])
 
     def listed(self, phase):
-        """The connections there, which may leave while the caller goes through them."""
+        """Return a snapshot of the connections in a phase."""
         return list(self.by_phase[phase].values())
 
     def make_room(self, places, need):
-        """End connections that have stayed for too long, but none that has a request unread; those that may
-        ask again go last, until there are so many places. Guards against clients that say nothing, send half
-        a request, or never close."""
+        """Close connections that are overdue at this pressure (NORMAL, BUSY, FULL).
+
+        Idle ones come last, and only until so many slots are free. Guards against clients that never
+        send anything, send partial requests, or never close.
+        """
         now, freed = self.clock(), 0
         for phase, stays in STAYS.items():
             for client in self.listed(phase):
@@ -79,22 +79,21 @@
                 freed += self.overdue(client, now)
 
     def close_idle(self, fresh_since, resting_since):
-        """End connections between requests that have been so since before these times."""
+        """Close connections without a request whose phase began at or before these times."""
         for phase, latest in ((FRESH, fresh_since), (IDLE, resting_since)):
             for client in self.listed(phase):
                 if client.since <= latest:
                     self.overdue(client, self.clock())
 
     def overdue(self, client, now):
-        """A connection has stayed for too long. Whether it makes way."""
+        """Handle an overdue connection; return whether it frees its slot."""
         return OVERDUE_HANDLERS[client.phase](client, now)
 
 
 def closing_overdue(client, now):
-    """It has had its last answer, and the client has not closed."""
-    still_sending = (
-        client.discards_body and now < client.since + MAX_BODY_PAUSE
-    )  # and may read its answer only then
+    """Close a connection whose client has not closed it after the last answer."""
+    # A client that is still sending may read its answer only after that.
+    still_sending = client.discards_body and now < client.since + MAX_BODY_PAUSE
     still_flushing = waiting(client.transport) and now < client.since + MAX_WRITE_STALL
     if still_sending or still_flushing:
         return False
@@ -103,22 +102,27 @@
 
 
 def streaming_overdue(client, now):
-    """A large answer has not moved. A silent server is the answer's own deadline's to see to."""
+    """Abort a connection whose client has stopped reading a large answer.
+
+    A stalled server is handled by the answer's own deadline.
+    """
     download = client.download
     if download and download.until is not None and not download.flow.paused:
         return False
     client.listener.node.count('not_read')
-    client.closed_for = 'answer not read'
+    client.closed_for = 'client stopped reading'
     client.transport.abortConnection()
     return True
 
 
 def receiving_overdue(client, now):
-    """Part of a request is here and the rest does not come. More of it may lie unread: that is looked at once
-    a request, as one that drips may always have something there."""
+    """Refuse a request that has not arrived completely in time.
+
+    Unread bytes grant one reprieve per request, as a client that trickles may always have some unread.
+    """
     upload = client.upload
     if upload and upload.reading_paused and now < client.since + MAX_WRITE_STALL:
-        return False  # it is this side that does not read on
+        return False  # reading is paused on this side
     spared, client.spared = client.spared, True
     if not spared and not quiet(client.transport):
         return False
@@ -128,7 +132,7 @@
 
 
 def idle_overdue(client, now):
-    """Nothing is owed on it."""
+    """Close a connection that has no request in progress, unless one lies unread."""
     if not quiet(client.transport):
         return False
     client.close_unused()
