--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -1,8 +1,8 @@
-"""What the node asks of connections beneath its protocols.
+"""Socket-level operations beneath Twisted's transports.
 
-Owns the few calls that go past Twisted's transports, how a connection is opened, who is let in, and in which
-order what came is read. Must never know what a message says, or decide: whether somebody has waited for too
-long is the module's word.
+Contains the reactor with its event order, outgoing connections, the filter on accepted connections, and
+direct socket calls (TCP_INFO, MSG_PEEK, immediate sends). Knows nothing of message contents; whether a
+request has waited too long is decided by the caller.
 """
 
 import socket
@@ -20,14 +20,15 @@
 from .local_errors import ACCEPT_GONE, MOVING, NO_DESCRIPTOR, NO_MEMORY, name_of
 from .transports import Connector, PatientEpoll, PatientReactor, Port
 
-LAST_RECEIVED_OFFSET = 52  # where tcp_info tells when bytes last came, in bytes
-LISTEN_TRIES, LISTEN_PAUSE_SECONDS = 20, 0.05  # while the machine has no memory or descriptor for a start
-CLOSED = (7, 8)  # states that it tells first: all is over, or the other side has closed
+LAST_RECEIVED_OFFSET = 52  # byte offset of tcpi_last_data_recv in struct tcp_info
+LISTEN_TRIES, LISTEN_PAUSE_SECONDS = 20, 0.05  # retries while out of memory or descriptors
+CLOSED = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT
 
 
 class AnswersFirst:
-    """The order of a reactor's turn: operators first, as they wait for a second at most; then what servers
-    answer is read before what clients ask, as work that is nearly done must not wait for more of it."""
+    """Reactor mixin that sets the order of events in one iteration: operator connections, then servers,
+    then clients. Finishing requests in progress takes precedence over accepting new ones.
+    """
 
     def doPoll(self, timeout):
         try:
@@ -41,7 +42,7 @@
                     self._doReadOrWrite(selectable, fd, event)
 
     def by_priority(self, ready):
-        """What is ready: operators', servers', the rest."""
+        """Group ready events: operator connections, servers, all others."""
         turns = [], [], []
         for fd, event in ready:
             selectable = self._selectables.get(fd)
@@ -52,21 +53,21 @@
 
 
 def urgent(selectable):
-    """Whether a connection, or a listening socket, is one that comes before all others."""
+    """Return whether a connection or listening socket is handled before all others."""
     return getattr(
         getattr(selectable, 'protocol', None) or getattr(selectable, 'factory', None), 'urgent', False
     )
 
 
 class Reactor(AnswersFirst, PatientReactor, EPollReactor):
-    """Twisted's own on epoll, with that order. It also spares each event the logging context that nobody here
-    uses; what an event raises is caught and logged below this.
+    """Epoll reactor with prioritized events and timers on the monotonic clock.
 
-    Guards against a wall clock that is stepped: Twisted sets its timers by Unix time, and with a step back
-    all of them would be late by the step."""
+    Twisted's own timers follow Unix time and would be late after the wall clock is stepped back. Events
+    run without Twisted's logging context; exceptions are caught and logged by the protocols.
+    """
 
     seconds = staticmethod(monotonic)
-    shared = False  # whether another process of this node may listen at the same address
+    shared = False  # whether other processes may listen at the same address (SO_REUSEPORT)
 
     def __init__(self):
         super().__init__()
@@ -75,8 +76,10 @@
         )
 
     def listenTCP(self, port, factory, backlog=50, interface=''):
-        """Listen; with nothing shut down at the end, as another process may hold the same socket. Guards
-        against a start that fails because the machine has no memory or descriptors for a moment."""
+        """Listen, retrying while the machine is out of memory or descriptors.
+
+        Sockets are not shut down on close, as another process may share them.
+        """
         for tries_left in reversed(range(LISTEN_TRIES)):
             made = Port(port, factory, backlog, interface, self)
             made._reusePort, made._shouldShutdown = self.shared, False
@@ -96,16 +99,16 @@
         return made
 
     def adoptStreamPort(self, descriptor, family, factory):
-        """Listen at a socket that another process gave."""
+        """Listen on a socket received from another process."""
         made = Port._fromListeningDescriptor(self, descriptor, family, factory)
         made.startListening()
         return made
 
 
 class Outgoing(Protocol):
-    """One end of a connection that this side opens."""
+    """Protocol of an outgoing connection."""
 
-    up = None  # fires once the connection is up, or will not come up
+    up = None  # Deferred that fires once the connection is established or has failed
 
     def makeConnection(self, transport):
         super().makeConnection(transport)
@@ -113,7 +116,7 @@
 
 
 class Dial(ClientFactory):
-    """Opens one connection, for a protocol that is there already."""
+    """Factory that connects a single, existing protocol instance."""
 
     noisy = False
 
@@ -125,20 +128,23 @@
         return self.made
 
     def clientConnectionFailed(self, connector, reason):
-        if not self.made.up.called:  # else it was given up, which ends it in this way too
+        if not self.made.up.called:  # already fired if the attempt was cancelled
             self.made.up.errback(reason)
 
 
 def connect(reactor, address, protocol):
-    """Open a connection for this protocol; its Deferred. How long that may take is the caller's to see to."""
+    """Connect a protocol to an address and return its Deferred. The caller enforces the timeout."""
     dial = Dial(protocol)
     dial.connector = reactor.connectTCP(*address, dial, timeout=None)
     return protocol.up
 
 
 def quiet(transport):
-    """Whether nothing lies unread on a connection, not even its end. Guards against a hop sent on one that
-    has ended, and against closing on a request that has come."""
+    """Return whether a connection has nothing unread, not even its end.
+
+    Guards against sending on a connection that has ended, and against closing one on which a request
+    has arrived.
+    """
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -149,12 +155,15 @@
 
 
 class Door:
-    """A listening socket that lets in only who is still to be served. Guards against a queue of connections
-    that feeds on itself: those that have waited for too long, or have gone, would cost as much as those in
-    time, and make them late too. Here one costs a few calls to the system."""
+    """Listening socket that drops or refuses connections that are not worth serving.
 
-    MOST = 32  # turned away in a row, until other sockets have their turn
-    LOOK = 16_384  # bytes looked at of what lies unread on one
+    Guards against a backlog that feeds on itself: serving requests that have waited too long costs as
+    much as serving those in time, and delays them as well. Here such a connection costs a few system
+    calls.
+    """
+
+    MAX_REJECTED = 32  # connections refused in a row before other sockets are served
+    PEEK_BYTES = 16_384  # unread bytes inspected on a connection
 
     def __init__(self, listening, late, whole, answer, crowded, call_failed):
         self.listening, self.late, self.whole, self.answer = listening, late, whole, answer
@@ -164,8 +173,8 @@
         return getattr(self.listening, name)
 
     def accept(self):
-        """The next connection to be served, as a socket's own accept gives it."""
-        for _ in range(self.MOST):
+        """Return the next connection to be served, as socket.accept() does."""
+        for _ in range(self.MAX_REJECTED):
             try:
                 came, address = self.listening.accept()
             except BlockingIOError:
@@ -177,40 +186,47 @@
                 raise BlockingIOError(EAGAIN, name_of(err.errno)) from None
             state, waited = tcp_info(came)
             if state in CLOSED:
-                came.close()  # nobody is there any more
+                came.close()  # the client is gone
             elif not self.late(waited) or not self.reject(came):
                 return came, address
-        raise BlockingIOError(EAGAIN, 'others first')
+        raise BlockingIOError(EAGAIN, 'accept limit reached')
 
     def failed(self, number):
-        """A call for the next connection failed. Guards against what Twisted does without a descriptor: it
-        accepts all that wait and closes them; and against asking again at once, for as long as that lasts."""
+        """Handle a failed accept.
+
+        Twisted would close all waiting connections when out of descriptors; instead the caller pauses
+        accepting.
+        """
         self.call_failed('accept', number)
         if number not in ACCEPT_GONE:
             self.crowded(number in NO_DESCRIPTOR)
 
     def reject(self, came):
-        """Answer, if a request lies there whole and nothing more: closing on anything unread, or on what is
-        still to come, would take the answer back. Whether it was turned away; else it is let in, also where
-        the answer cannot be sent now: closing would leave the request without one."""
+        """Refuse a connection if exactly one whole request lies unread on it; closing with anything
+        else unread, or still to come, would reset the connection and lose the answer. Return whether it
+        was refused; otherwise it is accepted, also if the answer cannot be sent now.
+        """
         try:
-            if not self.whole(came.recv(self.LOOK, socket.MSG_PEEK | socket.MSG_DONTWAIT)):
+            if not self.whole(came.recv(self.PEEK_BYTES, socket.MSG_PEEK | socket.MSG_DONTWAIT)):
                 return False
             if not self.sent(came, b''.join(self.answer())):
                 return False
         except BlockingIOError:
-            return False  # nothing lies there yet
+            return False  # nothing received yet
         except OSError as err:
             if err.errno in MOVING:
-                return False  # this machine cannot look now
+                return False  # transient local failure
         with suppress(OSError):
-            came.recv(self.LOOK, socket.MSG_DONTWAIT)
+            came.recv(self.PEEK_BYTES, socket.MSG_DONTWAIT)
         came.close()
         return True
 
     def sent(self, came, answer):
-        """Send an answer: whether any of it left. The rest of one of which the system took only a part
-        follows at once, as long as it takes some. Raises OSError where the other side has gone."""
+        """Send an answer and return whether any of it was sent.
+
+        The remainder of a partial send follows immediately while the system accepts more. Raise OSError
+        if the peer is gone.
+        """
         left = answer
         for _ in range(len(answer)):
             try:
@@ -227,8 +243,9 @@
 
 
 def tcp_info(handle):
-    """A connection's state, and how long ago the system took the last bytes that came on it, as Linux tells
-    that to the millisecond."""
+    """Return a connection's TCP state and the time since its last bytes were received, in ticks with a
+    resolution of a millisecond.
+    """
     try:
         told = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_OFFSET + 4)
         return told[0], unpack_from('=I', told, LAST_RECEIVED_OFFSET)[0] * 10
@@ -237,42 +254,46 @@
 
 
 def guard(port, late, whole, answer, crowded, call_failed):
-    """Put a Door before a port, and let the system keep a new connection to itself until its first bytes
-    come, or for a second. whole(bytes): whether they are one request. crowded(no_descriptor) is called if the
-    next cannot be had now, call_failed(call, errno) for each call that fails. Guards against connections by
-    the hundreds that say nothing: they take no place."""
+    """Put a Door in front of a port, and defer accepting each connection until its first bytes or for a
+    second (TCP_DEFER_ACCEPT), so that silent connections take no slot. whole(data): whether it is
+    exactly one request; crowded(no_descriptor): called if the next connection cannot be accepted now;
+    call_failed(call, errno): called for each failed call.
+    """
     try:
         port.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 1)
     except OSError as err:
-        call_failed('setsockopt', err.errno)  # it serves without that
+        call_failed('setsockopt', err.errno)  # optional
     port.socket = Door(port.socket, late, whole, answer, crowded, call_failed)
 
 
 def no_delay(transport):
-    """Have small writes leave at once; a connection that cannot is used all the same."""
-    with suppress(OSError, AttributeError):  # the latter: a transport of tests, without a socket
+    """Disable Nagle's algorithm; a failure is ignored."""
+    with suppress(OSError, AttributeError):  # AttributeError: a test transport without a socket
         transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def left(transport):
-    """Whether the other side has closed, or reset, a connection, though that may lie unread: behind bytes, or
-    while nobody reads. One that only ended its sending looks the same and is taken for gone."""
+    """Return whether the peer has closed or reset the connection, even if that lies unread.
+
+    A peer that has only shut down its sending side looks the same and counts as gone.
+    """
     return tcp_info(transport.getHandle())[0] in CLOSED
 
 
 def waiting(transport):
-    """Whether the transport still holds bytes that the system has not taken."""
+    """Return whether the transport holds bytes not yet passed to the system."""
     return len(transport.dataBuffer) > transport.offset or bool(transport._tempDataBuffer)
 
 
 def buffered_bytes(transport):
-    """How many bytes the transport holds that the system has not taken."""
+    """Return the number of bytes in the transport that are not yet passed to the system."""
     return len(transport.dataBuffer) - transport.offset + sum(map(len, transport._tempDataBuffer))
 
 
 def push(transport, data):
-    """Send at once, past the transport's buffer, which must hold nothing; how many bytes the system took.
-    What a connection has come to is left for the transport to find."""
+    """Send immediately, bypassing the transport's buffer, which must be empty; return the number of
+    bytes sent. Errors are left for the transport to discover.
+    """
     try:
         return transport.getHandle().send(data)
     except OSError:
@@ -280,6 +301,8 @@
 
 
 def unread_for(transport):
-    """How long what came last on a connection has lain unread. Guards against a node that stood still: the
-    client's limit has run meanwhile."""
+    """Return how long the last bytes received on a connection have been unread, in ticks.
+
+    The client's limit includes this time, for instance while the process was stopped.
+    """
     return tcp_info(transport.getHandle())[1]
