--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -1,8 +1,8 @@
-"""Large bodies of one client: a request's on its way to a server, an answer's on its way to the client.
+"""Streaming of large request and answer bodies for a client connection.
 
-Owns what is under way and its deadline. A request's time runs once its last byte may have come; an
-answer that its server still gives is never broken off. Must never hold more than the transports and one read
-of a body.
+Holds the transfers in progress and their deadlines. A request's time runs from when its last byte may
+have been received; an answer is never aborted while its server is still sending. Buffers no more than
+the transports do, plus one read of a body.
 """
 
 from . import http
@@ -12,18 +12,19 @@
 
 
 class Upload:
-    """A large request: the source of its body for the connection that carries it."""
+    """Large request: source of its body for the connection that carries it."""
 
     def __init__(self, client, message):
         self.client, self.message = client, message
-        self.link = None  # the connection to a server that the body goes to, once there is one
-        self.reading_paused = False  # whether this side keeps the body unread
-        self.paused_since = 0  # when this side last stopped reading it
-        self.deadline_set = False  # whether a deadline is set for a held body
+        self.link = None  # connection to the server that receives the body; None: not assigned yet
+        self.reading_paused = False  # whether the body is left unread
+        self.paused_since = 0  # when reading was last paused
+        self.deadline_set = False  # whether a check of the paused body is scheduled
 
     def body_came(self):
-        """More of the body is here: on to the server, or held and not read on until a connection carries it.
-        Raises BadMessage."""
+        """Handle received body data: forward it to the server, or pause reading until a connection
+        carries the request. Raise BadMessage if the body is malformed.
+        """
         reader = self.client.reader
         if not self.link:
             if not reader.whole and len(self.message.body) + len(reader.buffer) > http.MAX_BODY:
@@ -40,7 +41,9 @@
             client.listener.node.body_came(client.active, client.came)
 
     def attach(self, link):
-        """A connection carries the request: its body goes there from here on, and nowhere else."""
+        """Attach the connection that carries the request; the body goes to it and to no other from here
+        on.
+        """
         self.link = link
         self.client.listener.node.body_spent(self.client.active)
         self.progressed()
@@ -48,43 +51,49 @@
         self.client.listener.again(self.client)
 
     def detach(self, link):
-        """The attempt that carried it has ended."""
+        """Detach the connection when its attempt ends."""
         if self.link is link:
             self.link = None
 
     def progressed(self):
-        """The server takes more again: it was not the client that was slow."""
+        """Called when the server accepts data again: the delay was not the client's."""
         client = self.client
         client.since = max(client.since, client.listener.clock() - MAX_BODY_PAUSE // 2)
 
     def pause(self):
-        """Nothing more is read for now. Its last byte may lie unread all the same, so its time runs."""
+        """Pause reading from the client.
+
+        The last byte of the body may already lie unread, so the request's time runs.
+        """
         self.client.transport.pauseProducing()
         self.reading_paused, self.paused_since = True, self.client.listener.clock()
         if not self.deadline_set:
             self.set_deadline(self.time_up())
 
     def resume(self):
-        """Read on."""
+        """Resume reading from the client."""
         self.reading_paused = False
         self.client.transport.resumeProducing()
 
     def set_deadline(self, when):
-        """Look at a held body at that time."""
+        """Schedule a check of the paused body."""
         self.deadline_set = True
         self.client.listener.deadlines.at(when, self.client.listener.upload_due, self.client.number)
 
     def time_up(self):
-        """When its limit is, should the bytes that came last be the last of its request."""
+        """Return when the request's limit ends, assuming that the last bytes received complete it."""
         client = self.client
         wait = client.active.wait if client.active else 0
-        # What comes while nothing is read had been written before: a full window lets it in late.
+        # Bytes that arrive while reading is paused were sent earlier and delayed by a full receive window.
         came = min(self.paused_since, client.listener.clock() - unread_for(client.transport))
         return came + wait
 
     def due(self):
-        """Guards against a request whose last byte came while a server, or a connection to one, kept its body
-        waiting: its client has a limit like any other."""
+        """End the request if its limit has passed while reading was paused.
+
+        Guards against clients that wait beyond their limit because a server, or a connection to one,
+        holds up their body.
+        """
         self.deadline_set = False
         client = self.client
         if not self.reading_paused or not client.active:
@@ -98,55 +107,57 @@
 
 
 class Download:
-    """A large answer: the sink of what its server gives."""
+    """Large answer: sink for the body that its server sends."""
 
     def __init__(self, client, answer, in_chunks, until):
         self.client, self.source = client, answer.source
-        self.until = until  # the limit of its request; None: it has none yet
+        self.until = until  # limit of the request; None: none yet
         self.flow = Flow(self.source, client.transport, in_chunks, self.progressed)
         self.source.sink = self
 
     def begin(self):
-        """Pass on what is here, and set the deadline."""
+        """Set the deadline and start forwarding."""
         if self.until is not None:
             self.set_deadline(self.until)
         self.source.stream()
 
     def set_deadline(self, when):
-        """Look at whether it still comes at that time."""
+        """Schedule a check of whether the answer is still being sent."""
         self.client.listener.deadlines.at(when, self.client.listener.download_due, self.client.number)
 
     def progressed(self):
-        """The client takes more again."""
+        """Called when the client accepts data again."""
         self.client.since = self.client.listener.clock()
 
     def write_body(self, data):
-        """A piece of it."""
+        """Forward a piece of the body."""
         self.progressed()
         self.flow.pass_on(data)
 
     def finish_body(self):
-        """That was all."""
+        """Finish the answer after the last piece of the body."""
         self.client.download = None
         self.client.finish_reply(self.flow.end())
 
     def abort(self):
-        """It will not be whole, and the client must not take it for that."""
+        """Abort the client's connection, so that the client sees that the answer is incomplete."""
         self.client.download = None
         self.flow.stop()
         self.client.listener.node.count('broken_off')
-        self.client.closed_for = 'answer broken off'
+        self.client.closed_for = 'streamed answer aborted'
         self.client.transport.abortConnection()
 
     def cut_off(self):
-        """Nothing more is waited for: its server is told so, and its client."""
+        """Drop the server's connection and abort the client's."""
         self.source.drop()
         self.abort()
 
     def due(self):
-        """Its time is up, and its first bytes came in time. Guards against one of which no more comes: its
-        client can tell that it is not whole. What its server still gives goes on, as cutting it off would
-        lose it."""
+        """Check an answer whose limit has passed.
+
+        It is aborted if the server has stalled, so that the client sees that it is incomplete; an
+        answer that is still being sent continues.
+        """
         now, since = self.client.listener.clock(), self.client.since
         if self.until is None or now < self.until:
             return
@@ -158,7 +169,7 @@
 
 
 def begin_download(client, answer, minor, until):
-    """Send the head of a large answer to a client of HTTP/1.minor; its body follows as it comes."""
+    """Send the head of a large answer to a client of HTTP/1.minor; the body is forwarded as it arrives."""
     in_chunks = minor == b'1'
     client.lasting = client.lasting and (in_chunks or answer.length is not None)
     client.listener.put(client, STREAMING)
