--- a/lilacdyke/net/client.py
+++ b/lilacdyke/net/client.py
@@ -1,7 +1,7 @@
-"""One client's connection: requests out of its bytes, one answer to each.
+"""Client connections: parsing of requests and writing of answers.
 
-Owns which request is being read or answered on it. Must never decide about a transaction, or let bad input
-raise out of it. Large bodies are in bodies.py, how long a connection may stay in a phase in phases.py.
+Tracks which request is being read or answered on each connection. Malformed input never raises out of
+it. Large bodies are handled in bodies.py, time limits of phases in phases.py.
 """
 
 from twisted.internet.protocol import Protocol
@@ -14,31 +14,31 @@
 from .phases import ASKED, CLOSING, FRESH, IDLE, RECEIVING, STREAMING
 from .sockets import left, no_delay, push, unread_for, waiting
 
-MIN_BODY_RATE = 16_384  # bytes of a body that give a client a second more for the rest of it
-MAX_READ_AHEAD = 2 * http.MAX_BODY  # bytes read ahead of the answer that is owed; then the client is paused
+MIN_BODY_RATE = 16_384  # bytes per second; each byte received extends the time for the rest
+MAX_READ_AHEAD = 2 * http.MAX_BODY  # bytes of pipelined input; then reading is paused
 
 
 class ClientConnection(Protocol):
-    """One client's connection."""
+    """Connection from a client."""
 
     def __init__(self, listener):
         self.listener, self.reader = listener, Reader(http.REQUEST)
-        self.number = None  # its slot at the listener
-        self.active = None  # what the node makes of the present request
-        self.phase = None  # see phases.py; None once the connection has ended
-        self.since = 0  # when its phase began; for a request, when its first byte came
-        self.came = 0  # when the last bytes read came to this machine
-        self.lasting = True  # whether it carries another request
-        self.answered = False  # whether it has had an answer
-        self.bad_requests = 0  # requests for what does not exist
-        self.upload = None  # a large request whose body still comes
-        self.download = None  # a large answer on its way
-        self.discards_body = False  # the rest of a large body is read and forgotten
-        self.discarded = 0  # bytes read and forgotten since the last answer
-        self.spared = False  # whether it has been let be, overdue, as bytes lay unread
-        self.closed_for = None  # why this side closes it; None: it does not
-
-    # --- bytes come -------------------------------------------------------------------------------------
+        self.number = None  # slot in the listener's table
+        self.active = None  # the node's record of the current request
+        self.phase = None  # see phases.py; None: the connection has ended
+        self.since = 0  # start of the phase; for a request, when its first byte was received
+        self.came = 0  # when the last bytes read were received by the system
+        self.lasting = True  # whether the connection stays open after this request
+        self.answered = False  # whether any answer was sent
+        self.bad_requests = 0  # requests with unknown paths or methods
+        self.upload = None  # large request whose body is being received
+        self.download = None  # large answer being sent
+        self.discards_body = False  # whether the rest of a large body is read and discarded
+        self.discarded = 0  # bytes discarded since the last answer
+        self.spared = False  # whether this request was granted a reprieve (phases.py)
+        self.closed_for = None  # why this side closes the connection; None: it does not
+
+    # Transport events
 
     def connectionMade(self):
         no_delay(self.transport)
@@ -79,29 +79,34 @@
             self.listener.node.client_gone(active)
 
     def extend_deadline(self, count):
-        """Bytes of a request have come. Those of a body give the rest of it time. Guards against one that
-        sends as little as keeps it here."""
+        """Extend the time for a request's body by the bytes received.
+
+        Guards against clients that trickle data to hold a slot.
+        """
         if self.reader.message:
             self.since = min(self.listener.clock(), self.since + count * SECOND // MIN_BODY_RATE)
 
     def discard(self, data):
-        """Nothing more is read. Guards against one that goes on sending: the system holds the rest, unread,
-        at no cost, and the answer that was written still reaches it."""
+        """Discard input after the last answer, up to a bound.
+
+        Beyond it reading stops: the system keeps the rest unread, and the answer still reaches the
+        client.
+        """
         self.discarded += len(data)
         if self.discards_body and self.discarded <= http.MAX_STREAMED_BODY:
-            self.extend_deadline(len(data))  # it may read its answer only once all is sent
+            self.extend_deadline(len(data))  # the client may read its answer only after sending everything
         elif self.discarded > MAX_READ_AHEAD:
             self.transport.pauseProducing()
 
-    # --- requests ---------------------------------------------------------------------------------------
+    # Requests
 
     def begin(self):
-        """The first byte of a request is here: its time runs from when it came."""
+        """Start the time of a request, from when its first bytes were received."""
         self.spared = False
         self.listener.put(self, ASKED, self.came)
 
     def read_on(self):
-        """Handle what is here, one request after the other, or more of a large body."""
+        """Process received data: successive requests, or more of a large body."""
         try:
             if self.upload:
                 self.upload.body_came()
@@ -113,7 +118,10 @@
             self.refuse(err.status, str(err))
 
     def advance(self):
-        """Handle whole requests and the head of a large one. Raises BadMessage."""
+        """Process complete requests and the head of a large one.
+
+        Raise BadMessage on malformed input.
+        """
         while not self.active and not self.download and self.phase not in (CLOSING, None):
             message = self.reader.take()
             if message is None:
@@ -130,20 +138,20 @@
                 return
 
     def wait_for_more(self):
-        """Nothing whole is here."""
+        """Set the phase while no complete request has been received."""
         if self.answered and not self.reader.has_input:
             self.listener.put(self, IDLE)
         else:
             self.listener.put(self, RECEIVING, self.since)
 
     def begin_upload(self):
-        """The node has taken a large request, whose body is passed on as it comes."""
+        """Start forwarding the body of a large request that the node has accepted."""
         if self.active:
             self.listener.put(self, RECEIVING, self.since)
             self.upload.body_came()
 
     def handle(self, message):
-        """A whole request. Guards against a fault of our own, which must not cost the client its answer."""
+        """Pass a request to the listener. An internal fault is logged and answered with 500."""
         self.listener.put(self, ASKED, self.since)
         try:
             self.listener.requested(self, message)
@@ -157,25 +165,28 @@
                 self.refuse(500, 'a fault in the node')
 
     def hint(self):
-        """A client that asks whether to send its body is told to."""
+        """Answer `Expect: 100-continue`."""
         if self.reader.hint():
             self.transport.write(http.CONTINUE)
 
     def cancel_request(self):
-        """The present request will not come whole: nothing that was sent of it ran."""
+        """Cancel the current request, of which not everything will be received."""
         active, self.active = self.active, None
         if active:
             self.listener.node.client_gone(active)
 
-    # --- answers ----------------------------------------------------------------------------------------
+    # Answers
 
     def refuse(self, status, text):
-        """The request cannot be read: what follows it cannot either."""
+        """Answer with an error and close: what follows a malformed request cannot be read."""
         self.lasting, self.closed_for = False, '%d: %s' % (status, text)
         self.reply(http.answer(status, False, text + '\n'))
 
     def reply(self, pieces):
-        """The one answer to the present request; pieces were written for a connection that lasts as told."""
+        """Answer the current request.
+
+        The pieces were written for the current value of `lasting`.
+        """
         self.active, self.answered = None, True
         data = b''.join(pieces)
         if not waiting(self.transport):
@@ -183,56 +194,67 @@
         self.finish_reply(data)
 
     def stream(self, answer, minor, until):
-        """The same, of which only the beginning is here. until: the limit of its request, in ticks."""
+        """Answer with a body that is still being received.
+
+        until: limit of the request, in ticks.
+        """
         self.active, self.answered = None, True
         begin_download(self, answer, minor, until)
 
     def finish_reply(self, data):
-        """The rest of the answer, and what follows it."""
+        """Write the rest of the answer and continue with what follows it."""
         if data:
             self.transport.write(data)
         if self.upload:
-            # Its body still comes: closing on it would take the answer back.
+            # The body is still being received: closing now would reset the connection and lose the answer.
             self.upload, self.discards_body, self.lasting = None, True, False
         if not self.lasting:
             self.close_after_reply()
         elif self.reader.has_input:
             self.came = self.listener.clock()
             self.begin()
-            self.listener.again(self)  # in a turn of its own: many small requests may stand here
+            self.listener.again(self)  # in a later reactor iteration: many small requests may be pipelined
         else:
             self.listener.put(self, IDLE)
         self.transport.resumeProducing()
 
-    # --- its end ----------------------------------------------------------------------------------------
+    # Closing
 
     def left(self):
-        """Whether the client has gone, though nobody has read that yet."""
+        """Return whether the client has gone, even if that lies unread."""
         return self.phase is None or left(self.transport)
 
     def see_off(self):
-        """The client was found to have gone: its request is not sent on."""
-        self.closed_for = 'client had gone'
+        """Drop a client that has gone, together with its request."""
+        self.closed_for = 'client disconnected'
         self.cancel_request()
         self.transport.abortConnection()
 
     def close_after_reply(self):
-        """Close once the last answer is written. The client is let close first, for a while: ending with
-        bytes unread would reset the connection, and with it the answer."""
-        self.closed_for = self.closed_for or 'the answer was its last'
+        """Close after the last answer.
+
+        The client may close first for a while, as closing with bytes unread would reset the connection
+        and lose the answer.
+        """
+        self.closed_for = self.closed_for or 'closed after answer'
         self.listener.put(self, CLOSING)
         self.transport.loseWriteConnection()
 
     def close_unused(self):
-        """Close between requests. One that crosses this is reset unread, and the client sends it anew."""
+        """Close between requests.
+
+        A request that crosses this is reset unread, and the client sends it again.
+        """
         self.closed_for = 'idle'
         self.listener.put(self, CLOSING)
         self.listener.idle_closed_at = self.listener.clock()
         self.transport.loseConnection()
 
     def finish_close(self):
-        """Close behind its last answer, of which the system sends on what it still holds. A reset would take
-        that back."""
+        """Close once the transport is empty; the system still sends what it has buffered.
+
+        Abort if the transport holds data that the client does not read.
+        """
         if waiting(self.transport):
             self.transport.abortConnection()
         else:
