--- a/lilacdyke/net/listener.py
+++ b/lilacdyke/net/listener.py
@@ -1,7 +1,7 @@
-"""The listening side: who is let in, within its budget of descriptors, and which requests the node takes.
+"""Listening socket, admission of clients within the descriptor budget, and routing of requests.
 
-Owns the listening socket, the slots of clients' connections and the deadlines of these. Must never decide
-about a transaction, or end a connection that owes an answer.
+Holds the listening socket, the slots of client connections and their deadlines. Makes no decisions
+about transactions, and never closes a connection on which an answer is due.
 """
 
 import socket
@@ -16,32 +16,34 @@
 from .sockets import guard
 from .tables import Table
 
-EVICTION_SHARE = 0.5  # part of the budget from which a new connection has an idle one make way
-QUIET = 2_500  # ticks for which nobody has come, after which nobody is on the way
-RESERVED_SLOTS = 2  # places left when a connection is not kept after its answer
-MAX_BAD_REQUESTS = 4  # requests for what does not exist, until a client's connection ends
+EVICTION_SHARE = 0.5  # share of the budget in use from which each new connection evicts an idle one
+QUIET = 2_500  # ticks without a new connection after which none is expected
+RESERVED_SLOTS = 2  # free slots at which connections are closed after their answer
+MAX_BAD_REQUESTS = 4  # unknown paths or methods per connection before it is closed
 
 
 class Listener(Factory):
-    """The listening side, within its budget of descriptors."""
+    """Factory of client connections, within a budget of descriptors."""
 
     noisy = False
 
     def __init__(self, node, deadlines, clock, terms, budget, events):
         self.node, self.deadlines, self.clock = node, deadlines, clock
         self.terms, self.table, self.budget = terms, Table(), budget
-        self.events = events  # lines on single connections (events.py)
+        self.events = events  # log of individual connections (events.py)
         self.slowest = max(profile.hard for profile in terms.profiles)
         self.profiles = {p.name.encode(): row for row, p in enumerate(terms.profiles)}
         self.tenants = {t.name.encode() for t in terms.tenants}
         self.phases = Phases(clock)
         self.port, self.full, self.shut = None, False, False
-        self.yielded = False  # another process of this node accepts
-        self.came, self.met = 0, 0  # when the last client connected; how many have
-        self.idle_closed_at = 0  # when one that rested was last asked to go
+        self.yielded = False  # whether another process of this node accepts connections
+        self.came, self.met = 0, 0  # time of the last connection; number of connections
+        self.idle_closed_at = 0  # when an idle connection was last closed
 
     def listen(self, reactor, host, port, given=None):
-        """Accept clients from now on, at an address or at a listening socket that another process gave."""
+        """Start accepting clients at an address, or on a listening socket received from another
+        process.
+        """
         if given is None:
             self.port = reactor.listenTCP(port, self, backlog=1024, interface=host)
         else:
@@ -54,29 +56,34 @@
         self.evict_overdue()
 
     def buildProtocol(self, addr):
-        self.port.numberAccepts = 0  # keeps it at one a turn: more at once could overrun the budget
+        self.port.numberAccepts = 0  # keeps Twisted at one accept an iteration: more could exceed the budget
         return ClientConnection(self)
 
     def too_late(self, came, data):
-        """Whether these bytes, a whole request by their look, have waited for too long. Guards against a node
-        that cannot keep up: reading what it can only refuse would cost it most of what serving does."""
+        """Return whether the bytes look like one whole request that has waited too long.
+
+        Guards against overload, in which parsing requests that can only be refused costs most of what
+        serving them does.
+        """
         return self.node.router.late(self.clock() - came) and http.one_read(data)
 
     def refusal(self, lasting=False):
-        """What one is told whose request has waited at the door for too long."""
+        """Return the answer for a request that has waited too long before it was accepted."""
         self.node.count('turned_away')
-        self.events.say('request refused', why='waited too long at the door')
+        self.events.say('request refused', why='waited too long before accept')
         return self.node.refusal(lasting and not self.node.leaving(), self.node.router.hint)
 
     def put(self, client, phase, since=None):
-        """A client's connection stands elsewhere from now, or from the time given, on."""
+        """Move a client's connection to a phase, now or since the given time."""
         self.phases.put(client, phase, self.clock() if since is None else since)
 
     def opened(self, client):
-        """A client has connected. Guards against clients that ask once and keep their connection, which
-        leaves others, or a load balancer before the node, none to ask on: well before places run out the
-        longest idle makes way. If all are taken nobody is accepted until one has gone; they wait in the
-        system's queue and lose nothing."""
+        """Register a new connection.
+
+        Well before slots run out, the longest idle one is closed, so that clients or a load balancer
+        that keep connections open do not exhaust them. Once all slots are taken nothing is accepted;
+        connections wait in the system's queue.
+        """
         client.number = self.table.add(client)
         self.came, self.met = self.clock(), self.met + 1
         self.put(client, FRESH)
@@ -85,18 +92,18 @@
         self.see_to_room()
 
     def evict_overdue(self, _=0):
-        """Who has stayed for too long goes."""
+        """Close overdue connections periodically."""
         self.phases.make_room(self.budget, NORMAL)
         self.deadlines.at(self.clock() + LOOK, self.evict_overdue, 0)
 
     def evict_while_full(self, _=0):
-        """The same, sooner and some at a time, while nobody is accepted."""
+        """Close overdue connections, more often and a few at a time, while all slots are taken."""
         if self.full:
             self.phases.make_room(max(1, self.budget // 16), FULL)
             self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
     def see_to_room(self):
-        """Accept while there is room."""
+        """Stop accepting when all slots are taken, and resume when one is free."""
         full = len(self.table) >= self.budget
         if full != self.full and not self.shut:
             self.full = full
@@ -105,16 +112,17 @@
                 self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
     def see_to_door(self):
-        """Look at who waits at the door, or leave them there."""
+        """Start or stop reading from the listening socket."""
         if not self.shut:
             closed = self.full or self.yielded or not self.node.began()
             (self.port.stopReading if closed else self.port.startReading)()
 
     def crowded(self, no_descriptor):
-        """Who waits at the door cannot be accepted now. Without a descriptor, though the budget has one,
-        something else holds them: guards against clients that wait until their time is up while idle
-        connections hold descriptors. Guards also against asking again and again: they are accepted a moment
-        later."""
+        """Handle a failed accept by pausing for a moment.
+
+        Without a descriptor, although the budget allows one, idle connections are closed as well, so
+        that clients do not time out in the queue.
+        """
         if no_descriptor:
             self.node.count('no_descriptor')
             self.node.caches.evict_idle()
@@ -126,17 +134,19 @@
         self.see_to_door()
 
     def show_all(self):
-        """The node is to exit: the system shows connections at the door from now on before they have said
-        anything. Guards against one that is closed, with what it then says, because nobody saw it."""
+        """Disable TCP_DEFER_ACCEPT before the exit, so that connections are seen before their first
+        bytes. Guards against closing the socket on one that nobody has seen.
+        """
         try:
             self.port.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 0)
         except OSError as err:
             self.node.call_failed('setsockopt', err.errno)
 
     def nobody_comes(self, until):
-        """Whether the door may be shut: nobody has come for a while, counted from this time at the latest,
-        and nobody waits there. Whose request crossed the end of a connection that rested comes again, and
-        finds the door open."""
+        """Return whether the listening socket may be closed: no connection has arrived for a while
+        (counted from `until` at the latest) and none is queued. Also waits for clients that reconnect
+        because their request crossed the end of an idle connection.
+        """
         if self.clock() < max(min(self.came, until), self.idle_closed_at) + QUIET:
             return False
         if not (self.full or self.shut or self.yielded):
@@ -146,54 +156,57 @@
         return True
 
     def shut_door(self):
-        """Accept nobody any more."""
+        """Close the listening socket."""
         if not self.shut:
             self.shut = True
             self.port.stopListening()
 
     def closed(self, client):
-        """A client's connection has ended."""
+        """Unregister a connection that has ended."""
         self.phases.remove(client)
         self.table.remove(client.number)
         self.see_to_room()
 
     def again(self, client):
-        """More was sent behind the request just answered: read it in a turn of its own."""
+        """Schedule reading of pipelined requests in a later reactor iteration."""
         self.deadlines.at(self.clock(), self.read_on, client.number)
 
     def read_on(self, number_):
-        """Read what stands behind the last answer."""
+        """Continue with input received behind the last answer."""
         client = self.table.get(number_)
         if client:
             client.read_on()
 
     def download_due(self, number_):
-        """The deadline of a large answer."""
+        """Deadline of a large answer."""
         client = self.table.get(number_)
         if client and client.download:
             client.download.due()
 
     def upload_due(self, number_):
-        """The deadline of a large request whose body is held."""
+        """Deadline of a large request whose body is paused."""
         client = self.table.get(number_)
         if client and client.upload:
             client.upload.due()
 
     def break_off(self, _):
-        """The process ends soon after: what is on its way is broken off, as an exit would look like its
-        end."""
+        """Abort the answers being streamed, shortly before the process exits: an exit would look like
+        the orderly end of their bodies.
+        """
         for client in self.phases.listed(STREAMING):
             if client.download:
                 client.download.cut_off()
 
     def close_idle(self, rested=0):
-        """Ask clients to go that have been between requests for so long; one that has just come has its
-        request on the way."""
+        """Close connections that have been without a request for this long, in ticks.
+
+        New connections get more time, as their first request may be on its way.
+        """
         now = self.clock()
         self.phases.close_idle(now - max(rested, QUIET), now - rested)
 
     def requested(self, client, message):
-        """A whole request: to the node, or answered here."""
+        """Route a complete request: answer it here, or pass it to the node."""
         method, path = message.parts[0], message.path
         if path == b'/ready':
             status, text = (200, 'ready\n') if self.node.ready() else (503, 'not ready\n')
@@ -202,7 +215,7 @@
         parts = path.split(b'/')
         row = self.profiles.get(parts[1]) if len(parts) > 1 and not parts[0] else None
         if row is None or method not in (b'GET', b'PUT'):
-            # Guards against one that asks for the same again as soon as it is turned away.
+            # Guards against a client that repeats a bad request as soon as it is refused.
             client.bad_requests += 1
             client.lasting = client.lasting and client.bad_requests < MAX_BAD_REQUESTS
         if row is None:
@@ -213,7 +226,7 @@
             self.start_transaction(client, message, row, parts[2:])
 
     def start_transaction(self, client, message, row, parts):
-        """A request of a profile: the node takes it."""
+        """Validate a request for a profile and pass it to the node."""
         told = message.field(b'req-deadline')
         owner = message.field(b'req-owner')
         try:
@@ -233,7 +246,7 @@
             client.refuse(400, 'Host, Req-Id, Req-Deadline or Req-Owner out of form')
             return
         if message.field(b'req-id') in self.node.ids:
-            # Guards against a second effect under one id; the first goes on.
+            # Guards against executing one id twice; the first request continues.
             self.node.count('malformed')
             client.refuse(409, 'this Req-Id is open')
             return
@@ -241,7 +254,9 @@
         self.node.take(client, message, row, key, wait, client.came)
 
     def stay(self, client):
-        """Whether the connection is kept after this answer: others may wait for its place."""
+        """Return whether the connection is kept open after this answer; it is closed when slots are
+        scarce.
+        """
         crowded = self.phases.count(ASKED) >= self.budget - RESERVED_SLOTS
         client.lasting = client.lasting and not crowded and not self.node.leaving() and not client.upload
         return client.lasting
