--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -1,7 +1,7 @@
-"""The watch on discovery: the list of servers and its changes.
+"""Watch on service discovery: the list of servers and its changes.
 
-Owns the one connection to discovery, the version that the node holds, and the waits between tries. Must
-never guess at a line it cannot read, drop the list that the node has, or ask in a hurry.
+Keeps one connection to discovery, the version that the node has seen, and the backoff between attempts.
+Lines that cannot be parsed end the watch; the last list is kept while discovery is unavailable.
 """
 
 import json
@@ -15,34 +15,28 @@
 from .sockets import Outgoing, connect, no_delay
 from .tables import Table
 
-# What is told late adds up: a watch that hangs, one wait, one call that is answered at once. The sum stays
-# under the 6 s after which a change counts as told (docs/architecture.md).
-SILENCE_TIMEOUT = 30_000  # a watch has a line every 2 s; with no byte for so long it is dead
-PARTIAL_LINE_TIMEOUT = 35_000  # nor may bytes go on coming for longer with no whole line among them
-HEAD_TIMEOUT = (
-    10_000  # for its head, where lists are pushed: the agent is on this machine and answers at once
-)
-QUEUED_HEAD_TIMEOUT = (
-    30_000  # where they are asked for: calls wait their turn, and one given up was all for nothing
-)
-# Backoff between tries: the first and the longest, as parts of the time in which sends to a server that
-# drains have to cease. Guards against such sends as discovery comes back: what the agent has counts as told
-# from then on, watch or none. Doubles.
+# Timeouts in ticks. A hanging watch, one backoff and one prompt call together have to stay below the 6 s
+# after which a change counts as announced (docs/architecture.md).
+SILENCE_TIMEOUT = 30_000  # without any byte; a heartbeat comes every 2 s
+PARTIAL_LINE_TIMEOUT = 35_000  # with bytes but without a complete line
+HEAD_TIMEOUT = 10_000  # for the head, in pushed mode: the local agent answers at once
+QUEUED_HEAD_TIMEOUT = 30_000  # for the head otherwise: discovery queues calls, and giving up loses the place
+# First and longest backoff, as fractions of the time within which sends to a draining server have to stop;
+# doubles in between. Guards against such sends after discovery has recovered, as the agent's list is binding
+# from then on, with or without a watch.
 BACKOFF = 0.25, 0.625
-MIN_BACKOFF = (
-    100  # and the shortest, however soon sends have to cease; none is longer than a call may take to answer
-)
-# Where it turned the call away it has too many: backoff doubles from a quarter of this on. Guards against a
-# retry storm, in which a whole fleet that asks again at once keeps it shut for all.
+MIN_BACKOFF = 100  # lower bound of the backoff; HEAD_TIMEOUT is the upper bound
+# Longest backoff after a call that discovery rejected for load; doubles from a quarter of this. Guards
+# against a retry storm in which the whole fleet keeps discovery overloaded.
 THROTTLED_BACKOFF, THROTTLED_STATUSES = 30_000, (b'503', b'429')
-MIN_REDIAL_DELAY, MAX_REDIAL_DELAY = 50, 1_000  # ticks until the next try where a call of this machine failed
+MIN_REDIAL_DELAY, MAX_REDIAL_DELAY = 50, 1_000  # ticks until the next attempt after a local failure
 WORDS = {state: word for word, state in STATES.items()}
-MAX_LIST = 4 << 20  # one list on the watch, in bytes
-TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a string in a list, which hides what is in it
+MAX_LIST = 4 << 20  # bytes of a list
+TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')  # a JSON string, whose contents do not nest
 
 
 class Entry:
-    """What a line says of one server."""
+    """One server as listed by discovery."""
 
     __slots__ = ('name', 'address', 'zone', 'kind', 'cell', 'state', 'weight', 'started')
 
@@ -56,10 +50,10 @@
         self.weight = find(row, 'weight', (int, float))
         self.started = find(row, 'startedAtMs', (int, float))
         if self.state is None or not self.name or not 0 <= self.weight < 1e9 or not 0 <= self.started < 1e15:
-            raise BadLine('entry out of form: %r' % row)
+            raise BadLine('malformed entry: %r' % row)
 
     def row(self):
-        """The entry as discovery words it."""
+        """Return the entry in discovery's format."""
         host, port = self.address
         return {
             'instanceId': self.name,
@@ -74,24 +68,24 @@
 
 
 def read_list(tree):
-    """A list or changes to one: (version, whether it is whole, entries)."""
+    """Parse a list or a set of changes: (version, whether it is a complete list, entries)."""
     rows = find(tree, 'instances', list)
     return find(tree, 'generation', int), find(tree, 'reset', bool), [Entry(row) for row in rows]
 
 
 def nesting_change(line):
-    """How many braces and brackets a line opens and does not close."""
+    """Return how many more braces and brackets a line opens than it closes."""
     return line.count(b'{') + line.count(b'[') - line.count(b'}') - line.count(b']')
 
 
 class Watch(Outgoing):
-    """One watch, from its request to its end."""
+    """A single watch connection."""
 
     def __init__(self, discovery):
         self.discovery, self.reader = discovery, Reader(ANSWER)
         self.number, self.chunks, self.line = None, None, bytearray()
-        self.open, self.depth = bytearray(), 0  # what is here of an indented list; how deep it stands
-        self.throttled = False  # whether discovery has too many callers
+        self.open, self.depth = bytearray(), 0  # open: received part of an indented list; depth: its nesting
+        self.throttled = False  # whether discovery rejected the call for load
 
     def connectionMade(self):
         no_delay(self.transport)
@@ -107,31 +101,30 @@
                 self.line += self.chunks.read(self.reader.buffer)
                 self.lines()
         except (BadMessage, BadLine, ValueError, RecursionError) as err:
-            self.discovery.lost(self, 'not read: %s' % err)
+            self.discovery.lost(self, 'invalid answer: %s' % err)
         except Exception:
             LOG.exception('fault')
             self.discovery.lost(self, 'fault')
 
     def head(self):
-        """Read the head; whether the lines begin."""
+        """Parse the head of the answer; return whether the stream of lines begins."""
         message = self.reader.take_head()
         if message is None:
             return False
         self.throttled = message.parts[1] in THROTTLED_STATUSES
         if message.parts[1] != b'200' or not self.reader.chunks:
-            raise BadMessage(400, 'no watch: %s' % message.parts[1].decode())
+            raise BadMessage(400, 'watch refused with status %s' % message.parts[1].decode())
         self.chunks = Chunks(None)
         return True
 
     def lines(self):
-        """Hand on each whole line; an empty one says that nothing has changed."""
+        """Process each complete line; an empty line is a heartbeat."""
         while (end := self.line.find(b'\n')) >= 0:
             line = bytes(self.line[:end]).strip()
             del self.line[: end + 1]
             if not line and self.open:
-                raise BadLine(
-                    'a list that is not whole'
-                )  # an empty line has its own sense: nothing has changed
+                # An empty line is a heartbeat and cannot be part of a list.
+                raise BadLine('incomplete list')
             if line and (whole := self.assemble_list(line)):
                 self.discovery.apply_list(read_list(json.loads(whole)))
             if not self.open:
@@ -142,8 +135,10 @@
             self.discovery.lost(self, 'ended')
 
     def assemble_list(self, line):
-        """The list that ends with this line, which may be one of many if it comes indented; None while it is
-        not all here."""
+        """Return the complete list that ends with this line, or None.
+
+        An indented list spans several lines.
+        """
         if self.open or nesting_change(line):
             self.depth += nesting_change(TEXT.sub(b'', line))
         self.open += line + b' '
@@ -157,34 +152,30 @@
 
 
 class Discovery:
-    """Keeps a watch open, and the version up to which the node has been told."""
+    """Keeps a watch open, and tracks the version that the node has been given."""
 
     def __init__(self, reactor, deadlines, clock, place, chance, node):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
         self.where, self.chance, self.table = place.discovery, chance, Table()
         self.node = node
-        self.pushed = not place.terms.watched  # else the module says when to ask; again it is asked here
+        # otherwise the router decides when to open a watch; retries are made here
+        self.pushed = not place.terms.watched
         self.backoff, self.max_backoff = (
             max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
         )
         self.within = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
-        self.version, self.failures, self.throttled = (
-            None,
-            0,
-            0,
-        )  # failures: in a row; turned_away: how many of them so
+        # failures: consecutive; throttled: those rejected for load
+        self.version, self.failures, self.throttled = None, 0, 0
         self.watch, self.opening = None, None
-        self.heard, self.whole = (
-            0,
-            0,
-        )  # when the watch last said something; when its last whole line came, or it was opened
-        self.attempt = 0  # one more with each watch: a retry that another overtook is void
-        self.backing_off = False  # whether a retry is due
-        self.last_word = None  # when a whole line last came; None: never
-        self.redials = 0  # calls of this machine that failed in a row
+        # times of the last bytes, and of the last complete line (or of opening)
+        self.heard, self.whole = 0, 0
+        self.attempt = 0  # number of watches opened; a retry scheduled for an earlier one is void
+        self.backing_off = False  # whether a retry is scheduled
+        self.last_word = None  # time of the last complete line; None: never
+        self.redials = 0  # consecutive local failures
 
     def close(self):
-        """End the watch, if there is one: whatever still comes of it finds that it is not the present one."""
+        """Close the watch, if any; its later events are ignored."""
         watch, self.watch = self.watch, None
         if watch is None:
             return
@@ -195,35 +186,39 @@
             self.opening.cancel()
 
     def move(self, where):
-        """Discovery is elsewhere: watch there at once, from the version that is held. Whether it was news."""
+        """Switch to another address immediately, from the current version.
+
+        Return whether the address changed.
+        """
         if where == self.where:
             return False
         self.close()
         self.where, self.failures, self.throttled = where, 0, 0
-        if self.attempt:  # else the start opens it
+        if self.attempt:  # before the first watch, startup opens it
             self.open()
         return True
 
     def request(self):
-        """The head that asks for all that came after what the node holds."""
+        """Return the request head that asks for changes since the current version."""
         index = '' if self.version is None else '&index=%d' % self.version
         return (
             'GET /v1/endpoints?stream=1%s HTTP/1.1\r\nHost: %s\r\n\r\n' % (index, '%s:%d' % self.where)
         ).encode()
 
     def retry(self, attempt):
-        """The wait after a watch is over."""
+        """Reopen the watch after the backoff, unless another attempt has started since."""
         if attempt == self.attempt:
             self.open()
 
     def ask(self):
-        """The module wants a watch: unless one is lost and its retry due, whose wait spares a discovery that
-        many call."""
+        """Open a watch on behalf of the router, unless a retry is pending: its backoff protects a
+        discovery service under load.
+        """
         if not self.backing_off:
             self.open()
 
     def open(self):
-        """Start a watch unless there is one."""
+        """Open a watch unless there is one."""
         if self.watch:
             return
         self.attempt, self.backing_off = self.attempt + 1, False
@@ -236,8 +231,11 @@
         self.deadlines.at(self.heard + self.within, self.silent, watch.number)
 
     def not_connected(self, failure, watch):
-        """A connection did not come up. Where a call of this machine failed nobody was asked: that is tried
-        again soon and tells nothing of discovery, so that a node that starts goes on waiting for its word."""
+        """Handle a failed connection attempt.
+
+        A local failure is retried soon and does not count as a failure of discovery, so that a starting
+        node keeps waiting for its first list.
+        """
         number = local_errno(failure)
         if number is None or self.watch is not watch:
             self.lost(watch, 'no connection')
@@ -250,8 +248,11 @@
         self.deadlines.at(self.clock() + wait, self.retry, self.attempt)
 
     def silent(self, number):
-        """Guards against a peer that vanished without a word, while connecting as later, and one that
-        trickles."""
+        """Close a watch without progress.
+
+        Guards against a peer that vanished, during or after connecting, and against one that trickles
+        bytes.
+        """
         watch = self.table.get(number)
         if watch is None:
             return
@@ -266,13 +267,13 @@
             self.deadlines.at(due, self.silent, number)
 
     def apply_list(self, lines):
-        """A line was read: the node learns it at once."""
+        """Pass a list or change to the node."""
         self.redials = 0
         self.node.listed(*lines[1:])
         self.version, self.failures, self.throttled = lines[0], 0, 0
 
     def lost(self, watch, why):
-        """The watch has ended; try again, ever later, with the list kept."""
+        """Handle the end of a watch: keep the list and retry with exponential backoff."""
         if self.watch is not watch:
             return
         self.close()
@@ -288,5 +289,8 @@
 
 
 def started(entry, offset):
-    """A server's start on the module's clock, where offset is that clock less Unix time; None: long ago."""
+    """Return a server's start on the router's clock, or None if it started long ago.
+
+    offset: that clock minus Unix time.
+    """
     return up(entry.started / 1000) + offset if entry.started else None
