--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -1,8 +1,8 @@
-"""Connections to cache servers and the hops on them.
+"""Connections to cache servers and the hops carried on them.
 
-Owns each connection to a cache server or the origin from its dialling to its end, and what a hop's ending
-was: it alone knows whether a hop's last byte left. Must never send a hop a second time, choose a server,
-or pass on an answer that is not whole.
+Holds each connection to a cache server or the origin from dialling to its end, and determines how each
+hop ended, including whether its last byte was sent. Does not retry hops or choose servers, and never
+passes on an incomplete answer as a complete one.
 """
 
 from collections import deque
@@ -17,18 +17,17 @@
 from .sockets import Outgoing, buffered_bytes, connect, no_delay, push, quiet
 from .tables import Table
 
-KEPT = 0.6  # of the server's idle time, until an idle connection is closed
-SETTLE_TIME = 100  # after an answer, until its connection is trusted with the next hop
-# Ticks until the first and the longest wait for the next try after a connection that this machine could not
-# make; a hop waits for that for so small a part of its time, and no longer than so many, as what gathers
-# meanwhile comes to the server at once.
+KEPT = 0.6  # fraction of the server's idle timeout after which idle connections are closed
+SETTLE_TIME = 100  # ticks after an answer before its connection carries the next hop
+# After a local failure to connect: shortest and longest backoff in ticks. A hop waits for 1/HOLD_DIVISOR of
+# its remaining time and at most MAX_HOLD ticks, as all hops that wait reach the server at once.
 MIN_REDIAL_DELAY, MAX_REDIAL_DELAY, HOLD_DIVISOR, MAX_HOLD = 50, 500, 8, 2_500
-CROWDED = 3 * SETTLE_TIME  # how long a connection rests where a server has no place for more
+CROWDED = 3 * SETTLE_TIME  # ticks an idle connection is kept while the server has no free slots
 NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
 def ending(answer):
-    """What an answer says of the hop, in the module's words."""
+    """Return the hop's ending, in the router's terms, that an answer indicates."""
     status = answer.parts[1]
     if status == b'200':
         return 'committed'
@@ -40,12 +39,12 @@
 
 
 def reason_text(failure):
-    """Why a connection ended or never came up, as Twisted's failure tells it."""
+    """Describe a Twisted failure that ended or prevented a connection."""
     return 'unknown' if failure is None else '%s: %s' % (failure.type.__name__, failure.value)
 
 
 class Exchange:
-    """One hop under way: the client's request, until when it is waited for, and where it is."""
+    """One hop in progress: the client's request, its limit, and the connection that carries it."""
 
     __slots__ = (
         'pool',
@@ -62,19 +61,19 @@
 
     def __init__(self, pool, message, until, wanted, leave_by, leaves):
         self.pool, self.message, self.until = pool, message, until
-        self.in_part = None  # called with each piece of an answer whose length is not told, while it is held
-        self.wanted, self.leave_by = (
-            wanted,
-            leave_by,
-        )  # whether it may still leave; when it has to have left, None: at any time
-        self.leaves = leaves  # called as its first byte is to leave
-        self.link = None  # the connection, once there is one
-        self.held_until = None  # while this machine cannot connect: until when it waits for that
-        self.done = Deferred()  # fires once, with (ending, answer or None)
+        self.in_part = None  # called for each piece of a buffered answer of unknown length
+        # wanted(): whether it may still be sent; leave_by: latest time for that, or None
+        self.wanted, self.leave_by = wanted, leave_by
+        self.leaves = leaves  # called when its first byte is sent
+        self.link = None  # the connection that carries it
+        self.held_until = None  # latest time to wait after a local failure to connect
+        self.done = Deferred()  # fires once with (ending, answer or None)
 
     def cut(self, how):
-        """It is not waited for any more, unless it has ended: its connection ends, which tells the server
-        so."""
+        """Stop waiting for the hop, unless it has ended.
+
+        Closing its connection tells the server.
+        """
         if self.done.called:
             return
         if self.link:
@@ -82,47 +81,51 @@
         else:
             self.pool.waiting.remove(self)
             if self.held_until is not None:
-                how = 'unsent'  # no server was asked: this machine could not
+                how = 'unsent'  # due to a local failure, nothing was sent
         self.complete(how)
 
     @property
     def whole(self):
-        """Whether its last byte has left."""
+        """Whether the request's last byte has been sent."""
         return bool(self.link) and self.link.left
 
     @property
     def unread(self):
-        """Whether something that its server said, or its end, lies unread."""
+        """Whether data from the server, or the connection's end, lies unread."""
         return self.link is not None and not quiet(self.link.transport)
 
     def complete(self, how, answer=None):
-        """The one ending."""
+        """End the hop; called once."""
         self.link = None
         self.done.callback((how, answer))
 
 
 class Link(Outgoing):
-    """One connection to a cache server; it carries one hop at a time."""
+    """Connection to a cache server, which carries one hop at a time."""
 
     def __init__(self, pool):
         self.pool, self.reader, self.address = pool, Reader(ANSWER), pool.address
-        self.sink = None  # the client that a large answer goes to as it comes
-        self.flow = None  # a large request on its way
-        self.exchange, self.unsent = None, b''  # unsent: what of the hop has not gone to the system
-        self.left = True  # whether the hop's last byte has gone there
-        self.number, self.idle_until, self.deadline_at = None, None, 0  # timed: when its deadline is; 0: none
-        self.ready_at = 0  # when it may carry the next hop
-        self.used = False  # whether it has carried one
-        self.buffered_at_send = 0  # bytes of the hop given to the transport before the system took any
-        self.closed_for = None  # why this side closed it; None: it did not
-        self.first_piece, self.last_piece = None, 0  # of a held answer of no told length: when they came
+        self.sink = None  # client that receives a streamed answer
+        self.flow = None  # large request being streamed
+        self.exchange, self.unsent = None, b''  # unsent: bytes not yet accepted by the system
+        self.left = True  # whether the system has accepted the hop's last byte
+        # deadline_at: scheduled idle deadline; 0: none
+        self.number, self.idle_until, self.deadline_at = None, None, 0
+        self.ready_at = 0  # earliest time of the next hop
+        self.used = False  # whether it has carried a hop
+        self.buffered_at_send = 0  # bytes of the hop buffered when nothing was sent yet; 0: some were sent
+        self.closed_for = None  # why this side closed it; None: it did not close it
+        self.first_piece, self.last_piece = None, 0  # times of the pieces of a buffered answer
 
     def connectionMade(self):
         no_delay(self.transport)
 
     def carry(self, exchange):
-        """Send a hop: at once, or what the system does not take as a pull producer, which is asked for more
-        once all that it wrote has left."""
+        """Send a hop.
+
+        What the system does not accept at once is written as a pull producer, which is asked for more
+        once everything written has left.
+        """
         self.exchange, exchange.link = exchange, self
         exchange.leaves()
         self.first_piece = None
@@ -142,12 +145,14 @@
 
     @property
     def begun(self):
-        """Whether any byte of the hop that it carries has left."""
+        """Whether any byte of the current hop has been sent."""
         return not self.buffered_at_send or buffered_bytes(self.transport) < self.buffered_at_send
 
     def body(self, data, whole):
-        """More of a large request, and whether that was all. Its last byte has left once the system has
-        all."""
+        """Send more of a large request; whole: whether this is the last piece.
+
+        The last byte counts as sent once the system has accepted it.
+        """
         if not whole:
             self.flow.pass_on(data)
             return
@@ -164,11 +169,11 @@
             self.transport.unregisterProducer()
 
     def stopProducing(self):
-        """The connection has ended: connectionLost tells."""
+        """Called when the connection ends; handled in connectionLost."""
 
     def dataReceived(self, data):
         if not self.exchange and not self.sink:
-            self.close('bytes that nobody asked for')
+            self.close('unsolicited data')
             return
         try:
             self.reader.feed(data)
@@ -185,9 +190,9 @@
             self.close('answer out of form')
 
     def read(self):
-        """The answer, if it is here, or the beginning of a large one."""
+        """Handle a complete answer, or the beginning of a large one."""
         answer = self.reader.take()
-        while answer and answer.parts[1][0:1] == b'1':  # only a word before the answer
+        while answer and answer.parts[1][0:1] == b'1':  # interim answers
             answer = self.reader.take()
         if answer:
             self.answered(answer)
@@ -202,8 +207,9 @@
 
     @property
     def holds_part(self):
-        """Whether the beginning of a good answer is held of which nobody can tell yet whether it will be a
-        large one. One that comes before its request has left is of no use."""
+        """Whether a partial 200 answer of unknown length is buffered, which may still become a large
+        one. An answer that precedes the end of its request does not count.
+        """
         message = self.reader.message
         return (
             self.exchange is not None
@@ -214,18 +220,19 @@
         )
 
     def still_gives(self, now, spread):
-        """Whether an answer that is held in part goes on coming: its pieces, from the first to the last, took
-        so long, and its server has gone silent only lately, or what it gave lies unread."""
+        """Return whether a partial answer is still being received: its pieces have spanned at least
+        `spread` ticks, and the server has sent something recently or has data unread.
+        """
         if not self.holds_part or self.last_piece - self.first_piece < spread:
             return False
         return now < self.last_piece + STALL_TIMEOUT or not quiet(self.transport)
 
     def pass_on_part(self):
-        """Treat the answer that is held in part as a large one: it goes on as it comes."""
+        """Start streaming the partial answer as a large one."""
         self.begin(self.reader.message)
 
     def answered(self, answer):
-        """All of an answer is here."""
+        """Handle a complete answer."""
         kept, how = self.left and answer.lasting and not self.reader.has_input, ending(answer)
         if how == 'refused' and not answer.lasting and not self.used:
             self.pool.declined()
@@ -234,20 +241,22 @@
             self.pool.release(self)
         self.finish(how, answer)
         if not kept:
-            self.close('the answer was its last')
+            self.close('closed after answer')
 
     def begin(self, answer):
-        """A large answer begins: it ends the hop, and if the client waits for it flows on from here."""
+        """Handle the beginning of a large answer: the hop ends, and the body is streamed if a client
+        waits for it.
+        """
         how = ending(answer)
         if how == 'committed':
             answer.source = self
             self.transport.bufferSize = PIECE
         self.finish(how, answer)
         if not self.sink:
-            self.close('nobody reads the large answer')
+            self.close('streamed answer not wanted')
 
     def stream(self):
-        """What has come of a large answer goes on."""
+        """Forward received data of a large answer."""
         data, whole = self.reader.piece(), self.reader.whole
         sink, lasting = self.sink, self.reader.message.lasting
         if whole:
@@ -260,28 +269,28 @@
                 self.transport.resumeProducing()
                 self.pool.release(self)
             else:
-                self.close('the answer was its last')
+                self.close('closed after answer')
 
     def cut_off(self):
-        """A large answer will not be whole: its client is shown that."""
+        """Abort a large answer that will not be completed."""
         sink, self.sink = self.sink, None
         sink.abort()
 
     def pause(self):
-        """The client takes no more for now."""
+        """Pause reading while the client accepts no more data."""
         self.transport.pauseProducing()
 
     def resume(self):
-        """It does again."""
+        """Resume reading."""
         self.transport.resumeProducing()
 
     def drop(self):
-        """Nobody reads the large answer any more."""
+        """Close the connection when nobody reads the large answer any more."""
         self.sink = None
-        self.close('nobody reads the large answer')
+        self.close('streamed answer not wanted')
 
     def detach(self):
-        """Nothing is carried any more; the hop that was."""
+        """Detach and return the current hop."""
         if self.flow:
             self.flow.stop()
             self.flow = None
@@ -291,11 +300,11 @@
         return exchange
 
     def finish(self, how, answer=None):
-        """End the hop that is on it."""
+        """End the current hop."""
         self.detach().complete(how, answer)
 
     def ended(self):
-        """An orderly end: an answer that lasted until then is whole."""
+        """Handle an orderly end of the connection, which completes an answer delimited by it."""
         answer = self.reader.end() if self.left else None
         if answer and self.sink:
             sink, self.sink = self.sink, None
@@ -304,14 +313,16 @@
             self.finish(ending(answer), answer)
 
     def give_up(self):
-        """The hop is not waited for."""
+        """Close the connection of a hop that is no longer waited for."""
         self.detach()
-        self.close('attempt not waited for')
+        self.close('attempt cancelled')
 
     def close(self, why):
-        """End the connection at once; what was not sent is not. Its place counts as free from here on, as
-        another hop may wait for that: the descriptor itself goes within a turn of the reactor. why: for the
-        log."""
+        """Close the connection immediately, dropping unsent data.
+
+        Its slot is free at once, as another hop may wait for it, although the descriptor is closed in a
+        later reactor iteration. why: for the log.
+        """
         self.closed_for = self.closed_for or why
         self.pool.forget(self)
         if self.left:
@@ -331,12 +342,12 @@
         if self.sink:
             self.cut_off()
         if self.exchange:
-            # Only a last byte that never left proves that the hop never ran.
+            # The hop surely did not run only if its last byte was not sent.
             self.finish('lost' if self.left else 'unreachable')
 
 
 class Pool:
-    """The connections to one server."""
+    """Connections to one server."""
 
     __slots__ = (
         *('caches', 'server', 'address', 'resting', 'waiting', 'dials', 'refused', 'crowded', 'links'),
@@ -345,17 +356,17 @@
 
     def __init__(self, caches, server, address):
         self.caches, self.server, self.address = caches, server, address
-        self.resting = []  # idle connections, the latest used last
-        self.waiting = deque()  # hops that wait for one
-        self.dials = 0  # connections that are being opened
-        self.links = 0  # connections, those being opened among them
-        self.crowded = 0  # until when it counts as having no place for more connections
-        self.backoff = 0  # until the next try to connect after one that this machine could not make
-        self.redial_at = None  # when that is; None: it can connect, as far as is known
-        self.refused = False  # whether nobody listened there lately, so that its process had ended
+        self.resting = []  # idle connections, most recently used last
+        self.waiting = deque()  # hops that wait for a connection
+        self.dials = 0  # connections being opened
+        self.links = 0  # all connections, including those being opened
+        self.crowded = 0  # until when the server counts as short of connection slots
+        self.backoff = 0  # backoff in ticks after local failures; 0: none
+        self.redial_at = None  # time of the next attempt after a local failure; None: not scheduled
+        self.refused = False  # whether an attempt was refused since, so that the server's process had ended
 
     def send(self, exchange):
-        """Carry a hop on an idle connection, or open one for it."""
+        """Carry a hop on an idle connection, or open a new one for it."""
         now = self.caches.clock()
         if not exchange.wanted():
             exchange.complete('unsent')
@@ -371,26 +382,28 @@
         if self.redial_at is not None:
             self.hold(exchange)
         elif self.may_dial():
-            self.dial()  # else the first that comes free is the one to wait for
+            self.dial()  # otherwise the hop waits for the first connection released
 
     def may_dial(self):
-        """Whether the fleet's limit on connections to this server lets this node open one more."""
+        """Return whether the fleet's limit on connections to this server permits another one."""
         shares = self.caches.shares
         return shares is None or shares.links(self.caches.clock(), self.server)
 
     def count(self, more):
-        """So many connections more are there."""
+        """Adjust the number of connections."""
         self.links += more
         if self.caches.shares is not None:
             self.caches.shares.linked(self.caches.clock(), self.server, more)
 
     def declined(self):
-        """A new connection was turned away at its first hop, and closed: the server has no place for more.
-        Guards against places that lie idle at one node while others are turned away."""
+        """Handle a new connection that was refused and closed at its first hop: the server has no
+        capacity for more connections. Idle ones are then closed early, so that other nodes can use
+        their slots.
+        """
         self.crowded = self.caches.clock() + self.caches.keep
 
     def dial(self):
-        """Open a connection, within the time that the site allows."""
+        """Open a connection, within the site's connect timeout."""
         self.dials += 1
         self.count(1)
         caches = self.caches
@@ -403,25 +416,26 @@
         opening.addErrback(caches.fault)
 
     def dialled(self, link, number):
-        """A connection is up: it is the first waiting hop's."""
+        """Assign an established connection to the first waiting hop."""
         self.dials -= 1
         self.caches.dialling.remove(number)
         self.connect_recovered()
         if self.refused:
-            # Guards against pushing over a fresh process, cold, of which the list tells only seconds later.
+            # A restarted server is cold, and its list entry follows only seconds later.
             self.refused = False
             self.caches.returned(self.server)
         if link.address != self.address:
-            link.close(
-                'server moved'
-            )  # the server moved while it came up: this is not the way there any more
+            link.close('server address changed')  # its address changed during the attempt
             self.drop_waiter('unsent')
         else:
             self.offer(link)
 
     def offer(self, link):
-        """A connection for the hop that has waited longest and may still leave; else it rests. Guards against
-        what happened while hops waited: the server began to drain, the client left, a repeat's time is up."""
+        """Give a connection to the hop that has waited longest and may still be sent, or keep it idle.
+
+        While hops wait, the server may start to drain, the client may leave, or a retry's window may
+        end.
+        """
         while self.waiting:
             exchange = self.waiting.popleft()
             late = exchange.leave_by is not None and self.caches.clock() > exchange.leave_by
@@ -432,13 +446,14 @@
         self.release(link)
 
     def drop_waiter(self, how):
-        """A connection that was to come will not: unless others come, the hop that has waited longest has
-        none to wait for."""
+        """End the hop that has waited longest, if there are more waiting hops than connections being
+        opened.
+        """
         if len(self.waiting) > self.dials:
             self.waiting.popleft().complete(how)
 
     def failed(self, failure, number, link):
-        """No connection: a hop has none to wait for, unless it was served meanwhile."""
+        """Handle a failed connection attempt."""
         self.dials -= 1
         self.caches.dialling.remove(number)
         self.forget(link)
@@ -447,7 +462,7 @@
             'connect failed', server=self.server.name, why=reason_text(failure), errno=error
         )
         if error in NO_DESCRIPTOR:
-            # Clients at the door need one as well: what waited here would keep them out.
+            # Clients that wait to be accepted need descriptors as well.
             self.caches.call_failed('connect', error)
             self.drop_waiter('unsent')
             return
@@ -458,12 +473,13 @@
         self.refused = self.refused or error == ECONNREFUSED
         self.drop_waiter('unreachable')
 
-    # --- a machine that cannot connect --------------------------------------------------------------------
+    # Local failures to connect
 
     def cannot_connect(self, error):
-        """A call on this machine failed, which tells nothing of the server: hops go on waiting, and the next
-        try comes soon, and ever later while that goes on. Guards against servers set aside, and reads
-        refused, for what ends by itself."""
+        """Handle a local failure, which says nothing about the server: hops keep waiting, and
+        connecting is retried with exponential backoff. Guards against marking servers as failed, and
+        refusing reads, because of a transient local condition.
+        """
         self.caches.call_failed('connect', error)
         for exchange in self.waiting:
             self.hold(exchange)
@@ -471,24 +487,25 @@
             self.redial_later()
 
     def redial_later(self):
-        """Set the time of the next try."""
+        """Schedule the next connection attempt."""
         self.backoff = min(MAX_REDIAL_DELAY, 2 * self.backoff or MIN_REDIAL_DELAY)
         self.redial_at = self.caches.clock() + self.backoff
         self.caches.deadlines.at(self.redial_at, self.caches.redial_due, self.caches.redials.add(self))
 
     def hold(self, exchange):
-        """A hop waits until this machine can connect, for a part of its time: the rest is for other servers,
-        and for an answer in time."""
+        """Let a hop wait for a fraction of its time until the machine can connect.
+
+        The rest is left for other servers and for a timely answer.
+        """
         if exchange.held_until is None:
             now = self.caches.clock()
             exchange.held_until = now + min(MAX_HOLD, max(0, exchange.until - now) // HOLD_DIVISOR)
 
     def redial(self):
-        """Try again for the hops that still wait, with one connection until it is known that others can be
-        made."""
+        """Retry for the hops that still wait, with a single connection until one succeeds."""
         now = self.caches.clock()
         for exchange in [exchange for exchange in self.waiting if now >= exchange.held_until]:
-            if exchange in self.waiting:  # what the end of one brings about may have ended another
+            if exchange in self.waiting:  # ending one hop may have ended others
                 exchange.cut('unsent')
         self.redial_at = None
         if len(self.waiting) <= self.dials:
@@ -499,8 +516,10 @@
             self.redial_later()
 
     def connect_recovered(self):
-        """A try to connect got as far as the other machine: the hops that waited for that have theirs now,
-        but the first, which is served, or failed, by the one that this is about."""
+        """Open connections for the other waiting hops once an attempt has reached the network.
+
+        The first hop is handled by the caller.
+        """
         if not self.backoff:
             return
         self.backoff = 0
@@ -509,10 +528,13 @@
                 self.dial()
 
     def release(self, link):
-        """A connection is free. Guards against servers that close one right after an answer, or send more
-        than the answer: that shows within a moment, and a hop sent meanwhile would be lost to it."""
+        """Keep a connection idle after its hop.
+
+        It is reused only after a short delay: a server may close the connection right after an answer,
+        or send excess data, and a hop sent meanwhile would be lost.
+        """
         if self.server.state != 'ready' or link.address != self.address:
-            link.close('server takes nothing new')
+            link.close('server not ready')
             return
         link.ready_at = self.caches.clock() + SETTLE_TIME
         self.resting.append(link)
@@ -521,25 +543,25 @@
             self.caches.deadlines.at(link.ready_at, self.caches.settled_due, link.number)
 
     def serve_waiting(self, link):
-        """A connection that came free may carry the hop that has waited longest for one."""
+        """Give a released connection to the hop that has waited longest."""
         if self.waiting and self.claim(link):
             self.offer(link)
 
     def claim(self, link):
-        """Take a connection out of those that are idle; whether it is of use still."""
+        """Take a connection out of the idle ones; return whether it is still usable."""
         self.remove_idle(link)
         if quiet(link.transport):
             return True
-        link.close('ended while idle')
+        link.close('ended by server while idle')
         return False
 
     def remove_idle(self, link):
-        """It is not idle any more."""
+        """Remove a connection from the idle ones."""
         self.resting.remove(link)
         self.caches.resting.pop(link.number)
 
     def forget(self, link):
-        """A connection ends or never came up: nothing more is sent on it, and its place is free."""
+        """Unregister a connection that ends or was never established; its slot is free."""
         if link.number in self.caches.resting:
             self.remove_idle(link)
         if self.caches.table.get(link.number) is link:
@@ -547,9 +569,9 @@
         self.caches.table.remove(link.number)
 
     def close_idle(self):
-        """End the connections that carry nothing."""
+        """Close the idle connections."""
         for link in self.resting[:]:
-            link.close('server takes nothing new')
+            link.close('server not ready')
 
 
 class Caches:
@@ -561,22 +583,22 @@
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
         self.within, self.keep = place.connect_within, int(place.idle * KEPT)
         self.budget = budget
-        self.broken, self.fault = broken, fault  # told of answers out of form, and of faults in here
-        self.returned = returned  # told of a server that takes connections again, after it refused some
+        self.broken, self.fault = broken, fault  # called for malformed answers and for internal errors
+        self.returned = returned  # called for a server that accepts connections again after refusing them
         self.pools, self.table, self.dialling = {}, Table(), Table()
-        self.redials = Table()  # pools that try again to connect later
-        self.resting = {}  # idle connections by number, the longest idle first
-        self.call_failed = call_failed  # told of calls that this machine could not make
-        self.events = events  # lines on single connections (events.py)
-        self.shares = None  # what the fleet lets this node spend, where there is one
+        self.redials = Table()  # pools with a scheduled attempt to connect
+        self.resting = {}  # idle connections by number, longest idle first
+        self.call_failed = call_failed  # called for local failures
+        self.events = events  # log of individual connections (events.py)
+        self.shares = None  # this node's share of the fleet's limits; None: no fleet
 
     @property
     def open(self):
-        """How many connections there are, those being opened among them."""
+        """Number of connections, including those being opened."""
         return len(self.table)
 
     def listed(self, server, address):
-        """A list names a server and where it is."""
+        """Register a server, or update its address."""
         pool = self.pools.get(server)
         if pool is None:
             self.pools[server] = Pool(self, server, address)
@@ -585,24 +607,27 @@
             pool.close_idle()
 
     def forget(self, server):
-        """A server is gone for good."""
+        """Unregister a server that is gone for good."""
         self.pools.pop(server).close_idle()
 
     def tidy(self):
-        """Connections to servers that want nothing new are not kept."""
+        """Close idle connections to servers that are not ready, and cancel hops to them of which
+        nothing has been sent.
+        """
         for pool in self.pools.values():
             if pool.server.state != 'ready':
                 pool.close_idle()
         for link in self.table:
-            # Guards against a hop whose first byte this machine cannot send now, and would once the grace is
-            # over.
+            # Such a hop's first byte could be sent after the grace period has ended.
             if link.pool.server.state != 'ready' and link.exchange and not link.begun:
                 link.exchange.cut('unsent')
 
     def send(self, server, message, until, wanted, repeat, leaves=bool):
-        """Start a hop; its Exchange. wanted() tells whether it may still leave, leaves() is called as its
-        first byte does; a repeat leaves within the time that a connection may take to come up, which the rule
-        on repeats sets aside for it."""
+        """Start a hop and return its Exchange.
+
+        wanted(): whether it may still be sent; leaves(): called when its first byte is sent. A retry
+        has to be sent within the connect timeout, which the retry window reserves for it.
+        """
         exchange = Exchange(
             self.pools[server],
             message,
@@ -615,45 +640,51 @@
         return exchange
 
     def room(self):
-        """Whether one more connection may be opened; the longest idle one makes way."""
+        """Return whether another connection may be opened, closing the longest idle one if necessary."""
         if self.open >= self.budget:
             self.evict_idle()
         return self.open < self.budget
 
     def shrink(self, spare):
-        """Another process of this node has the rest: what is idle goes, and little more is opened."""
+        """Close idle connections and limit the budget to the open ones plus `spare`: another process of
+        this node uses the rest.
+        """
         for link in list(self.resting.values()):
-            link.close('another process has its place')
+            link.close('budget handed to another process')
         self.budget = self.open + spare
 
     def trim(self, over):
-        """Close idle connections of which there are too many: over(server) tells how many."""
+        """Close excess idle connections; over(server) returns their number."""
         for pool in self.pools.values():
             for link in pool.resting[: max(0, over(pool.server))]:
-                link.close('too many idle')
+                link.close('too many idle connections')
 
     def evict_idle(self):
-        """The longest idle connection goes, if there is one."""
+        """Close the connection that has been idle longest, if any."""
         if self.resting:
-            next(iter(self.resting.values())).close('made way')
+            next(iter(self.resting.values())).close('evicted to free a descriptor')
 
     def keep_idle(self, link):
-        """Note an idle connection and until when it is kept: well before the server ends it, and hardly at
-        all where others find no place."""
+        """Register an idle connection.
+
+        It is closed well before the server's idle timeout, and much sooner if the server is short of
+        slots.
+        """
         self.resting[link.number] = link
         now = self.clock()
         link.idle_until = now + (CROWDED if now < link.pool.crowded else self.keep)
         self.time(link)
 
     def time(self, link):
-        """Hang up its deadline; one a connection, however often it is used meanwhile, and another where it is
-        to go sooner."""
+        """Schedule the deadline of an idle connection: one per connection however often it is reused,
+        and another if it has to be closed sooner.
+        """
         if not link.deadline_at or link.idle_until < link.deadline_at:
             link.deadline_at = link.idle_until
             self.deadlines.at(link.idle_until, self.idle_due, link.number)
 
     def idle_due(self, number):
-        """A connection may have lain idle long enough."""
+        """Deadline of an idle connection."""
         link = self.table.get(number)
         if link is None:
             return
@@ -666,19 +697,19 @@
                 self.time(link)
 
     def settled_due(self, number):
-        """Hops waited when this connection came free."""
+        """Serve waiting hops once a released connection may be reused."""
         if number in self.resting:
             link = self.table.get(number)
             link.pool.serve_waiting(link)
 
     def redial_due(self, number):
-        """The wait after a failed call of this machine is over."""
+        """Retry connecting after a local failure."""
         pool = self.redials.get(number)
         self.redials.remove(number)
         pool.redial()
 
     def dial_due(self, number):
-        """Guards against a server that vanished: its connections never come up."""
+        """Cancel a connection attempt that has timed out."""
         opening = self.dialling.get(number)
         if opening is not None:
             opening.cancel()
