--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Messages out of bytes: any split, bounds, framing, what is passed on."""
+"""Tests of HTTP parsing and serialization: splits, bounds, framing, forwarded headers."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 def read(data, first=REQUEST, step=None):
-    """Each message as (parts, fields, body), the bytes fed so many at a time, and the complaint if any."""
+    """Parse data in steps of so many bytes: ([(parts, fields, body)], status of the error or None)."""
     reader, found = Reader(first), []
     try:
         for at in range(0, len(data), step or len(data)):
@@ -34,14 +34,14 @@
 
 
 def one(data, first=REQUEST):
-    """The first message in the bytes."""
+    """Return the first message in the data."""
     reader = Reader(first)
     reader.feed(data)
     return reader.take()
 
 
 class Splits(unittest.TestCase):
-    def test_any_split_reads_the_same(self):
+    def test_any_split_gives_same_messages(self):
         streams = [
             PLAIN + CHUNKED + PLAIN,
             b'\r\n' + PLAIN,
@@ -57,21 +57,21 @@
                 with self.subTest(stream=stream[:40], step=step):
                     self.assertEqual(read(stream, step=step), whole)
 
-    def test_both_framings_give_the_body(self):
+    def test_body_with_either_framing(self):
         for data in (PLAIN, CHUNKED):
             self.assertEqual(one(data).body, b'hello')
 
-    def test_the_largest_body_may_come_with_its_head(self):
+    def test_largest_buffered_body_arrives_with_head(self):
         body = bytes(MAX_BODY)
         self.assertEqual(one(HEAD + b'Content-Length: %d\r\n\r\n' % MAX_BODY + body).body, body)
 
-    def test_a_half_message_is_none(self):
+    def test_incomplete_message_is_none(self):
         for data in (PLAIN, CHUNKED):
             self.assertEqual(read(data[:-1]), ([], None))
 
 
 class Bad(unittest.TestCase):
-    def test_out_of_form(self):
+    def test_malformed_messages_are_rejected(self):
         cases = {
             b'GET /\r\n\r\n': 400,
             b'GET / HTTP/2.0\r\n\r\n': 400,
@@ -96,39 +96,39 @@
             with self.subTest(data=data[-60:]):
                 self.assertEqual(read(data), ([], status))
 
-    def test_an_answer_that_lasts_until_the_end_is_whole_then(self):
+    def test_close_delimited_answer_is_complete_at_end(self):
         reader = Reader(ANSWER)
         reader.feed(b'HTTP/1.1 200 OK\r\n\r\nab')
         self.assertEqual((reader.take(), bytes(reader.end().body), reader.end()), (None, b'ab', None))
 
-    def test_one_that_lasts_without_end_is_bounded(self):
+    def test_close_delimited_answer_is_bounded(self):
         reader = Reader(ANSWER, 10)
         reader.feed(b'HTTP/1.1 200 OK\r\n\r\n' + b'x' * 11)
         with self.assertRaises(BadMessage):
             reader.take()
 
-    def test_a_chunk_line_of_a_watch_is_bounded(self):
+    def test_chunk_line_of_unbounded_body_is_bounded(self):
         with self.assertRaises(BadMessage):
             Chunks(None).read(bytearray(b'1' * 2000))
 
 
 class PassedOn(unittest.TestCase):
-    def test_lines_of_one_connection_stay_behind(self):
+    def test_hop_by_hop_headers_are_not_forwarded(self):
         message = one(PLAIN.replace(b'X-Own', b'Connection: x-own, keep-alive\r\nX-Own'))
         self.assertEqual(message.forwarded_lines(), [b'Host: x\r\nReq-Id: 7\r\n'])
 
-    def test_a_hop_has_the_request_unchanged_and_a_deadline_of_its_own(self):
+    def test_forwarded_request_has_its_own_deadline(self):
         whole = b''.join(request(one(CHUNKED), 2501))
         self.assertTrue(whole.startswith(b'PUT /read/k?q=1 HTTP/1.1\r\nHost: x\r\nReq-Id: 7\r\nX-Own: 1\r\n'))
         self.assertIn(b'Req-Deadline: 0.2501\r\n', whole)
         self.assertTrue(whole.endswith(b'Content-Length: 5\r\n\r\nhello'))
 
-    def test_pieces_are_bytes_and_nothing_else(self):
+    def test_pieces_are_bytes(self):
         got = one(b'HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 2\r\n\r\nab', ANSWER)
         pieces = request(one(CHUNKED), 1) + relayed(got, True) + answer(404, True)
         self.assertEqual({type(piece) for piece in pieces}, {bytes})
 
-    def test_an_answer_is_framed_anew(self):
+    def test_answer_is_reframed(self):
         got = one(
             b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n',
             ANSWER,
@@ -138,13 +138,13 @@
             b'HTTP/1.1 200 OK\r\nSrv-Cache: hit\r\nContent-Length: 2\r\nConnection: close\r\n\r\nab',
         )
 
-    def test_an_answer_of_its_own(self):
+    def test_generated_answer(self):
         self.assertEqual(
             b''.join(answer(503, True, 'no', 'Retry-After: 0.5\r\n')).split(b'\r\n')[-4:],
             [b'Content-Length: 2', b'Retry-After: 0.5', b'', b'no'],
         )
 
-    def test_who_keeps_the_connection(self):
+    def test_connection_persistence(self):
         for minor, header, lasting in (
             (b'1', b'', True),
             (b'0', b'', False),
