--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The node on sockets, without sockets: clients, hops, discovery, phases, slots and deadlines."""
+"""Tests of the node on in-memory transports: clients, hops, discovery, phases, slots and deadlines."""
 
 import json
 import logging
@@ -45,30 +45,30 @@
 
 
 def status(wire):
-    """The status of the first answer on a client's wire; None while there is none."""
+    """Return the status of the first answer on a client's wire, or None."""
     return int(wire.value()[9:12]) if wire.value() else None
 
 
 def fail_here(made, which=-1):
-    """Let a connection that the node opens fail as its own machine has no memory."""
+    """Fail a connection attempt of the node with a local lack of memory."""
     made.reactor.tcpClients[which][2].clientConnectionFailed(None, Failure(ConnectBindError(ENOBUFS, 'full')))
 
 
 def chunk(value):
-    """One line of the watch; None: the empty one."""
+    """Return one line of the watch as a chunk; None: a heartbeat."""
     line = (json.dumps(value) if value is not None else '').encode() + b'\n'
     return b'%x\r\n%s\r\n' % (len(line), line)
 
 
 def watched(made):
-    """The node's watch, with its head read: its wire."""
+    """Return the wire of the node's watch, with its answer head received."""
     wire = dialled(made, 0)
     wire.protocol.dataReceived(WATCH)
     return wire
 
 
 class Quiet(unittest.TestCase):
-    """Silences what the node logs."""
+    """Disables logging."""
 
     def setUp(self):
         logging.disable(logging.CRITICAL)
@@ -78,7 +78,7 @@
 
 
 class Slots(unittest.TestCase):
-    def test_a_late_number_does_not_find_the_next_holder(self):
+    def test_get_with_stale_number_after_slot_reuse(self):
         table = Table()
         first = table.add('a')
         table.remove(first)
@@ -87,7 +87,7 @@
             (table.get(first), table.get(second), len(table), list(table)), (None, 'b', 1, ['b'])
         )
 
-    def test_removing_twice_frees_once(self):
+    def test_remove_twice_frees_slot_once(self):
         table = Table()
         number = table.add('a')
         table.remove(number)
@@ -96,7 +96,7 @@
 
 
 class Timing(Quiet):
-    def test_a_fault_in_one_does_not_keep_the_others_from_their_time(self):
+    def test_deadlines_continue_after_one_raises(self):
         now, called, timers = [0], [], []
         deadlines = Deadlines(lambda: now[0], lambda wait, call: timers.append((wait, call)) or self)
         deadlines.at(5, {}.pop, 1)
@@ -106,7 +106,7 @@
         timers[-1][1]()
         self.assertEqual((called, timers[-1][0]), ([2], 4 / 10_000))
 
-    def test_after_a_standstill_sockets_come_first(self):
+    def test_late_deadlines_run_after_sockets(self):
         now, called, timers = [0], [], []
         deadlines = Deadlines(lambda: now[0], lambda wait, call: timers.append((wait, call)) or self)
         deadlines.at(5, called.append, 2)
@@ -116,14 +116,14 @@
         timers[-1][1]()
         self.assertEqual((before, timers[-1][0], called), ([], 0, [2]))
 
-    def test_what_is_added_for_now_waits_a_turn(self):
+    def test_deadline_added_for_now_runs_in_next_iteration(self):
         called, timers = [], []
         deadlines = Deadlines(lambda: 0, lambda wait, call: timers.append(call) or self)
         deadlines.at(0, lambda number: deadlines.at(0, called.append, 2), 1)
         timers[-1]()
         self.assertEqual((called, len(timers)), ([], 2))
 
-    def test_one_timer_moved_when_something_is_due_sooner(self):
+    def test_timer_moves_for_earlier_deadline(self):
         timers, cancelled = [], []
         timer = type('Timer', (), {'cancel': lambda self: cancelled.append(1)})()
         deadlines = Deadlines(lambda: 0, lambda wait, call: timers.append(wait) or timer)
@@ -138,25 +138,25 @@
         record.fields = fields
         return record
 
-    def test_one_line_whatever_the_values_hold(self):
+    def test_record_is_one_line_for_any_value(self):
         line = KeyValue().format(self.record(server='a b', reason='x\ny="1"', count=3))
         self.assertTrue(
             line.endswith('level=info event="set aside" server="a b" reason="x\\ny=\\"1\\"" count=3')
         )
 
-    def test_the_same_fault_is_written_a_few_times_only(self):
+    def test_repeated_fault_is_logged_a_limited_number_of_times(self):
         sparse = Sparse()
         written = [sparse.filter(self.record('fault', logging.ERROR)) for _ in range(9)]
         self.assertEqual(written.count(True), Sparse.MOST)
 
 
 class Clients(Quiet):
-    def test_a_served_request(self):
+    def test_request_is_served(self):
         wire, cache = sent(node())
         cache.protocol.dataReceived(said(body='value'))
         self.assertEqual(wire.value(), b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue')
 
-    def test_bad_requests(self):
+    def test_malformed_requests_are_refused(self):
         start = 'GET /read/k HTTP/1.1\r\n'
         cases = {
             'nonsense\r\n\r\n': (400, True),
@@ -177,7 +177,7 @@
                 wire = asked(node(), text)
                 self.assertEqual((status(wire), wire.half_closed), expected)
 
-    def test_a_read_that_may_have_a_body_is_not_taken_for_a_whole_one_by_its_head(self):
+    def test_one_read_rejects_requests_with_body_headers(self):
         start = b'GET /read/k HTTP/1.1\r\nHost: x\r\n'
         for more in (
             b'Content-Length: 3\r\n',
@@ -189,7 +189,7 @@
         for more in (b'', b'X-Content-Length: 3\r\n', b'A: content-length: 3\r\n'):
             self.assertTrue(one_read(start + more + b'\r\n'))
 
-    def test_a_request_cut_at_any_byte_is_the_same_request(self):
+    def test_request_split_at_any_byte(self):
         text = (
             b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: 9\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n'
             b'3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nTrailer: x\r\n\r\n'
@@ -203,31 +203,31 @@
             origin = dialled(made)
             self.assertTrue(origin.value().endswith(b'Content-Length: 5\r\n\r\nabcde'), at)
 
-    def test_the_limit_runs_from_the_last_byte_and_not_beyond_the_profiles(self):
+    def test_limit_starts_at_last_byte_and_is_capped_by_profile(self):
         made = node()
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Deadline: 99\r\n')
         made.reactor.advance(0.5)
         wire.protocol.dataReceived(b'Req-Id: 1\r\n\r\n')
         self.assertEqual(wire.protocol.active.tx.limit, made.clock() + 20_000)
 
-    def test_what_lay_unread_has_used_up_its_time(self):
+    def test_limit_includes_time_spent_unread(self):
         made = node()
         protocol, wire = client(made)
         wire.age = 120
         protocol.dataReceived(b'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nReq-Deadline: 1\r\n\r\n')
         self.assertEqual(protocol.active.tx.limit, made.clock() + 8_800)
 
-    def test_what_waited_too_long_is_refused_unread_and_its_connection_stays(self):
+    def test_stale_request_is_refused_unparsed_and_connection_kept(self):
         made = node()
         protocol, wire = client(made)
-        wire.age = 251  # a goal is 500
+        wire.age = 251  # milliseconds; the goal is 500
         protocol.dataReceived(b'GET /nowhere/k HTTP/1.1\r\n\r\n')
         first = status(wire), wire.ended
         wire.age = 0
         protocol.dataReceived(b'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n')
         self.assertEqual((first, len(made.active_requests)), ((503, False), 1))
 
-    def test_a_second_request_behind_the_first_waits_for_its_answer(self):
+    def test_pipelined_request_is_answered_after_the_first(self):
         made = node()
         wire, cache = sent(
             made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\nGET /ready HTTP/1.1\r\nHost: x\r\n\r\n'
@@ -236,26 +236,24 @@
         made.reactor.advance(0.001)
         self.assertEqual(wire.value().count(b'HTTP/1.1 200 OK'), 2)
 
-    def test_a_client_that_sends_ahead_without_end_is_paused(self):
+    def test_reading_pauses_when_client_pipelines_too_much(self):
         wire, _ = sent(node())
         wire.protocol.dataReceived(b'x' * (client_module.MAX_READ_AHEAD + 1))
         self.assertEqual(wire.producerState, 'paused')
 
-    def test_half_a_request_is_not_waited_for_without_end(self):
+    def test_partial_request_times_out(self):
         made = node()
         wire = asked(made, 'GET /read/k HT')
         made.reactor.pump([0.5] * 5)
         self.assertEqual((status(wire), wire.half_closed), (408, True))
 
-    def test_a_client_that_never_closes_is_cut(self):
+    def test_client_that_does_not_close_is_closed(self):
         made = node()
         wire = asked(made, 'nonsense\r\n\r\n')
         made.reactor.advance(1.1)
-        self.assertEqual(
-            (wire.disconnecting, wire.aborted), (True, False)
-        )  # a reset would take the answer back
+        self.assertEqual((wire.disconnecting, wire.aborted), (True, False))  # an abort would lose the answer
 
-    def test_one_whose_answer_has_not_left_is_not_closed_on(self):
+    def test_close_waits_for_buffered_answer(self):
         made = node()
         wire = asked(made, 'nonsense\r\n\r\n')
         wire.dataBuffer = b'the rest'
@@ -264,7 +262,7 @@
         made.reactor.pump([0.5] * 12)
         self.assertTrue(wire.aborted)
 
-    def test_one_that_says_nothing_is_closed_in_time_and_so_is_one_that_says_next_to_nothing(self):
+    def test_silent_and_trickling_clients_are_closed(self):
         made = node()
         silent, empty = client(made)[1], asked(made, '\r\n')
         for _ in range(25):
@@ -272,7 +270,7 @@
             empty.protocol.dataReceived(b'\r\n')
         self.assertEqual((silent.disconnecting, status(empty)), (True, 408))
 
-    def test_one_that_asked_once_and_stays_is_closed_after_a_while(self):
+    def test_idle_client_is_closed(self):
         made = node()
         wire = asked(made, READY)
         made.reactor.pump([0.1] * 20)
@@ -280,12 +278,12 @@
         made.reactor.pump([0.1] * 25)
         self.assertEqual((early, wire.disconnecting), (False, True))
 
-    def test_a_refused_client_that_goes_on_sending_is_not_read_and_not_reset_at_once(self):
+    def test_refused_client_that_keeps_sending_is_paused_not_reset(self):
         wire = asked(node(), 'PUT /read/k HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n')
         wire.protocol.dataReceived(b'x' * (client_module.MAX_READ_AHEAD + 1))
         self.assertEqual((status(wire), wire.producerState, wire.aborted), (413, 'paused', False))
 
-    def test_an_id_that_is_open_is_refused_and_the_first_goes_on(self):
+    def test_duplicate_open_id_is_refused_and_first_continues(self):
         made = node()
         text = 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n\r\n'
         wire, cache = sent(made, text)
@@ -293,32 +291,32 @@
         second = asked(made, text)
         cache.protocol.dataReceived(said())
         self.assertEqual((status(second), status(wire), len(made.reactor.tcpClients)), (409, 200, dials))
-        self.assertEqual(status(asked(made, text)), None)  # it is free again
+        self.assertEqual(status(asked(made, text)), None)  # the id is free again
 
-    def test_one_that_asks_for_nothing_there_is_again_and_again_loses_its_connection(self):
+    def test_repeated_unknown_paths_close_the_connection(self):
         wire = asked(node(), 'GET /nope HTTP/1.1\r\nHost: x\r\n\r\n')
         for _ in range(3):
             early = wire.ended
             wire.protocol.dataReceived(b'GET /nope HTTP/1.1\r\nHost: x\r\n\r\n')
         self.assertEqual((early, wire.half_closed), (False, True))
 
-    def test_what_the_system_does_not_take_at_once_is_written_later(self):
+    def test_partial_send_is_completed_later(self):
         wire, cache = sent(node())
         wire.send = lambda data: wire.write(data[:10]) or 10
         cache.protocol.dataReceived(said(body='value'))
         self.assertEqual(wire.value(), b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue')
 
-    def test_a_client_that_waits_to_send_its_body_is_told_to(self):
+    def test_expect_continue_is_answered(self):
         wire = asked(node(), PUT[:-2].replace('Host', 'Expect: 100-continue\r\nHost') % 'read')
         self.assertEqual(wire.value(), b'HTTP/1.1 100 Continue\r\n\r\n')
 
-    def test_a_client_that_goes_ends_its_hops(self):
+    def test_client_disconnect_cancels_its_hops(self):
         made = node()
         wire, cache = sent(made)
         lost(wire)
         self.assertEqual((cache.disconnecting, len(made.active_requests), len(made.attempts)), (True, 0, 0))
 
-    def test_a_fault_of_ours_is_answered(self):
+    def test_internal_fault_is_answered_with_500(self):
         made = node()
         made.router.take = lambda *given: {}['fault']
         wire = asked(made)
@@ -326,7 +324,7 @@
 
 
 class Room(Quiet):
-    """Running out of descriptors ends no node and loses no client."""
+    """Running out of descriptors neither stops the node nor loses clients."""
 
     def setUp(self):
         super().setUp()
@@ -336,37 +334,37 @@
         self.listener.port.stopReading = lambda: self.reading.append(False)
         self.listener.port.startReading = lambda: self.reading.append(True)
 
-    def test_nobody_is_accepted_while_all_places_are_taken(self):
+    def test_accepting_stops_while_all_slots_are_taken(self):
         protocols = [client(self.made)[0] for _ in range(4)]
         self.listener.closed(protocols[0])
         self.assertEqual(self.reading, [False, True])
 
-    def test_the_longest_idle_makes_way(self):
+    def test_longest_idle_connection_is_evicted(self):
         wires = [asked(self.made, READY) for _ in range(2)]
         self.made.reactor.advance(0.2)
         client(self.made)
         self.assertEqual([wire.ended for wire in wires], [True, False])
 
-    def test_those_that_never_spoke_make_way_before_those_that_did(self):
+    def test_silent_connections_are_evicted_before_idle_ones(self):
         spoke = asked(self.made, READY)
         silent = client(self.made)[1]
         self.made.reactor.advance(0.2)
         client(self.made)
         self.assertEqual((spoke.ended, silent.ended), (False, True))
 
-    def test_one_with_a_request_unread_does_not(self):
+    def test_connection_with_unread_request_is_not_evicted(self):
         wires = [client(self.made)[1] for _ in range(2)]
         wires[0].unread = b'GET'
         self.made.reactor.advance(0.2)
         client(self.made)
         self.assertEqual([wire.ended for wire in wires], [False, True])
 
-    def test_half_requests_do_not_keep_others_out(self):
+    def test_partial_requests_time_out_while_full(self):
         wires = [asked(self.made, 'GET /re') for _ in range(4)]
         self.made.reactor.pump([0.1] * 6)
         self.assertEqual([status(wire) for wire in wires], [408] * 4)
 
-    def test_who_asked_once_and_stays_makes_way_well_before_places_run_out(self):
+    def test_idle_connections_are_evicted_before_slots_run_out(self):
         self.listener.budget, wires = 32, []
         for _ in range(20):
             wires.append(asked(self.made, READY))
@@ -374,15 +372,15 @@
             self.made.reactor.advance(0)
         self.assertEqual([wire.ended for wire in wires], [True] * 4 + [False] * 16)
 
-    def test_idle_clients_do_not_keep_others_out(self):
-        self.listener.budget = 32  # two make way at a time
+    def test_idle_connections_are_evicted_while_full(self):
+        self.listener.budget = 32  # evicts two at a time
         wires = [asked(self.made, READY) for _ in range(4)]
         self.made.reactor.advance(0.2)
         self.listener.full = True
         self.listener.evict_while_full()
         self.assertEqual([wire.ended for wire in wires].count(True), 2)
 
-    def test_the_door_turns_away_who_has_waited_for_long_and_lets_go_who_has_gone(self):
+    def test_accept_refuses_stale_requests_and_drops_gone_clients(self):
         wires = [Wire() for _ in range(4)]
         for wire, wire.state, wire.age in zip(wires, (1, 8, 1, 1), (300, 0, 0, 0)):
             wire.unread = b'GET /read/k HTTP/1.1\r\n\r\n'
@@ -404,7 +402,7 @@
             self.made.call_failed,
         )
 
-    def test_the_door_closes_on_nobody_whose_request_is_not_all_there(self):
+    def test_accept_does_not_refuse_incomplete_requests(self):
         read = b'GET /read/k HTTP/1.1\r\n\r\n'
         for unread in (
             None,
@@ -419,7 +417,7 @@
                 door.listening.accept = lambda wire=wire: (wire, 'there')
                 self.assertEqual((door.accept()[0], wire.value(), wire.closed), (wire, b'', False))
 
-    def test_one_that_cannot_be_answered_now_is_let_in_with_its_request(self):
+    def test_stale_request_is_accepted_when_send_fails(self):
         door, wire = self.door(), Wire()
         wire.state, wire.age, wire.unread = 1, 300, b'GET /read/k HTTP/1.1\r\n\r\n'
         door.listening.accept = lambda: (wire, 'there')
@@ -431,16 +429,16 @@
         self.assertEqual((door.accept()[0], wire.closed), (wire, False))
         self.assertEqual(self.made.counts['failed_send_ENOBUFS'], 1)
 
-    def test_an_attempt_of_which_nothing_has_left_does_not_leave_once_its_server_drains(self):
+    def test_unsent_attempt_is_cancelled_when_server_drains(self):
         made = node()
         wire = asked(made)
         server = dialled(made, stuck=True)
-        server.dataBuffer = b'x' * 10_000  # as it would be held in the transport
+        server.dataBuffer = b'x' * 10_000  # as buffered in the transport
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
         self.assertEqual((made.counts['hops_unsent'], status(wire)), (1, 503))
         self.assertTrue(server.ended)
 
-    def test_one_that_takes_no_answer_now_is_let_in_with_its_request(self):
+    def test_stale_request_is_accepted_when_send_would_block(self):
         late, fine, flags = Wire(), Wire(), []
         wires = [late, fine]
         late.state, late.age, late.unread, late.stuck = 1, 300, b'GET /read/k HTTP/1.1\r\n\r\n', True
@@ -449,9 +447,9 @@
         door = self.door()
         door.listening.accept = lambda: (wires.pop(0), 'there')
         self.assertEqual((door.accept()[0] is late, late.closed), (True, False))
-        self.assertTrue(all(how & socket.MSG_PEEK for how in flags))  # nothing of it was taken
+        self.assertTrue(all(how & socket.MSG_PEEK for how in flags))  # nothing was consumed
 
-    def test_a_door_without_a_descriptor_has_idle_ones_make_way_and_closes_nobody(self):
+    def test_accept_without_descriptor_evicts_idle_connections(self):
         door = self.door()
 
         def none_left():
@@ -464,16 +462,16 @@
             door.accept()
         self.assertEqual((cache.disconnecting, self.made.counts['no_descriptor']), (True, 1))
 
-    def test_one_that_has_just_come_does_not(self):
+    def test_new_connections_are_not_evicted(self):
         wires = [client(self.made)[1] for _ in range(4)]
         self.assertFalse(any(wire.ended for wire in wires))
 
-    def test_a_hop_without_a_descriptor_was_not_sent(self):
+    def test_hop_without_descriptor_is_unsent(self):
         self.made.caches.budget = 0
         wire = asked(self.made)
         self.assertEqual((status(wire), self.made.counts['hops_unsent']), (503, 1))
 
-    def test_an_idle_connection_to_a_cache_makes_way(self):
+    def test_idle_cache_connection_is_evicted_for_a_new_one(self):
         _, cache = sent(self.made)
         cache.protocol.dataReceived(said())
         self.made.caches.budget = 1
@@ -481,17 +479,17 @@
         asked(self.made, PUT % 'once')  # to the origin
         self.assertEqual((cache.disconnecting, len(self.made.reactor.tcpClients)), (True, dials + 1))
 
-    def test_the_system_running_out_is_no_word_about_the_cache(self):
+    def test_descriptor_shortage_does_not_count_against_server(self):
         asked(self.made)
         self.made.reactor.tcpClients[-1][2].clientConnectionFailed(
             None, Failure(ConnectBindError(EMFILE, 'full'))
         )
         self.assertEqual(self.made.counts['hops_unsent'], 1)
 
-    def test_nor_is_any_other_failure_of_this_machine(self):
+    def test_local_connect_failure_is_retried_and_does_not_count_against_server(self):
         asked(self.made)
         fail_here(self.made)
-        self.assertEqual(self.made.counts['hops_unsent'], 0)  # it is tried again, for an eighth of its time
+        self.assertEqual(self.made.counts['hops_unsent'], 0)  # retried for an eighth of its time
         tries = len(self.made.reactor.tcpClients)
         self.made.reactor.advance(0.006)
         self.assertEqual(len(self.made.reactor.tcpClients), tries + 1)
@@ -502,13 +500,13 @@
 
 
 class OwnMachine(Quiet):
-    """What the node does while calls of its own machine fail."""
+    """Behaviour while local system calls fail."""
 
     def setUp(self):
         super().setUp()
         self.made = node()
 
-    def test_tries_to_connect_come_ever_later_and_no_more_than_a_few_a_second(self):
+    def test_connect_retries_back_off(self):
         asked(self.made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n\r\n')
         moments, begun = [], self.made.reactor.seconds()
         for _ in range(200):
@@ -523,7 +521,7 @@
         self.assertLessEqual(len(moments), 7)
         self.assertGreater(waits[-1], 4 * waits[0])
 
-    def test_all_that_wait_leave_once_it_can_connect(self):
+    def test_all_waiting_hops_are_sent_after_recovery(self):
         wires = [asked(self.made) for _ in range(3)]
         for which in (-3, -2, -1):
             fail_here(self.made, which)
@@ -535,7 +533,7 @@
             dialled(self.made, which).protocol.dataReceived(said())
         self.assertEqual([status(wire) for wire in wires], [200] * 3)
 
-    def test_a_hop_that_never_left_says_nothing_at_its_limit(self):
+    def test_unsent_hop_at_its_limit_does_not_count_against_server(self):
         wire = asked(
             self.made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\nReq-Deadline: 0.004\r\n\r\n'
         )
@@ -544,7 +542,7 @@
         self.assertEqual((status(wire), self.made.servers['c0'].doubt), (503, 0))
         self.assertEqual(self.made.counts['failed_connect_ENOBUFS'], 1)
 
-    def test_a_door_lets_go_of_connections_that_are_gone_and_waits_for_memory(self):
+    def test_accept_skips_failed_connections_and_pauses_without_memory(self):
         errors, wire = [ECONNABORTED, EPROTO, EPERM], Wire()
         wire.state = 1
 
@@ -566,7 +564,7 @@
 
 
 class Hops(Quiet):
-    def test_a_server_that_refused_and_takes_connections_again_is_a_fresh_one(self):
+    def test_server_accepting_after_refusal_counts_as_restarted(self):
         made = node()
         server = made.servers['c0']
         asked(made)
@@ -579,16 +577,16 @@
         dialled(made)
         self.assertEqual((before, server.started), (None, made.clock()))
 
-    def test_one_that_never_refused_is_not(self):
+    def test_server_that_never_refused_is_not_restarted(self):
         made = node()
         sent(made)
         self.assertIsNone(made.servers['c0'].started)
 
     def ended(self, made):
-        """The endings of hops that the module was told."""
+        """Return the endings of hops reported to the router."""
         return sorted(what[5:] for what in made.counts if what.startswith('hops_'))
 
-    def test_what_an_answer_says(self):
+    def test_endings_by_answer(self):
         cases = {
             said(200): 'committed',
             said(404): 'missing',
@@ -609,13 +607,13 @@
                 sent(made, PUT % 'once' if how == 'spoilt' else PUT % 'read')[1].protocol.dataReceived(answer)
                 self.assertEqual(self.ended(made), [how])
 
-    def test_a_request_that_a_server_rejects_is_not_tried_elsewhere(self):
+    def test_rejected_request_is_not_retried(self):
         made = node(known={'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('c1')]})
         wire, cache = sent(made)
         cache.protocol.dataReceived(said(400))
         self.assertEqual((status(wire), self.ended(made), made.router.poor), (400, ['rejected'], 0))
 
-    def test_a_server_without_a_place_for_more_has_its_idle_connections_back_at_once(self):
+    def test_idle_connections_close_early_when_server_lacks_slots(self):
         for more, rests in (('Srv-Declined: 1\r\nConnection: close\r\n', 0.1), ('Srv-Declined: 1\r\n', 9)):
             made = node()
             sent(made, PUT % 'read')[1].protocol.dataReceived(said(503, more=more))
@@ -626,21 +624,21 @@
             made.reactor.pump([0.02] * 5)
             self.assertEqual(wire.ended, rests < 1)
 
-    def test_a_half_answer_is_no_answer(self):
+    def test_incomplete_answer_counts_as_lost(self):
         made = node()
         wire, cache = sent(made, PUT % 'once')
         cache.protocol.dataReceived(said(body='value')[:-1])
         lost(cache)
         self.assertEqual((self.ended(made), status(wire)), (['lost'], 502))
 
-    def test_broken_before_the_last_byte_left_it_never_ran(self):
+    def test_connection_lost_before_last_byte_sent_is_retried(self):
         made = node()
         asked(made, PUT % 'once')
         dials = len(made.reactor.tcpClients)
         lost(dialled(made, stuck=True))
         self.assertEqual((self.ended(made), len(made.reactor.tcpClients)), (['unreachable'], dials + 1))
 
-    def test_broken_after_it_it_may_have_run_and_nothing_goes_again(self):
+    def test_connection_lost_after_last_byte_sent_is_not_retried(self):
         made = node()
         wire, cache = sent(made, PUT % 'once')
         dials = len(made.reactor.tcpClients)
@@ -649,25 +647,25 @@
             (self.ended(made), status(wire), len(made.reactor.tcpClients)), (['lost'], 502, dials)
         )
 
-    def test_refused_connections_never_ran(self):
+    def test_refused_connection_is_unreachable(self):
         made = node()
         asked(made)
         refused(made)
         self.assertEqual(self.ended(made), ['unreachable'])
 
-    def test_a_connection_that_never_comes_up_is_given_up_in_time(self):
+    def test_connect_timeout(self):
         made = node()
         asked(made)
         made.reactor.advance(0.26)
         self.assertEqual(self.ended(made), ['unreachable'])
 
-    def test_a_hop_past_its_limit_ends_with_its_connection_and_the_client_is_answered(self):
+    def test_hop_past_its_limit_closes_connection_and_answers_client(self):
         made = node()
         wire, cache = sent(made, PUT % 'once')
         made.reactor.pump([0.1] * 21)
         self.assertEqual((self.ended(made), cache.disconnecting, status(wire)), (['expired'], True, 504))
 
-    def test_a_hop_that_nobody_waits_for_ends_even_where_none_may_be_cancelled(self):
+    def test_orphaned_hop_ends_at_limit_without_cancellation(self):
         made = node()
         made.router.terms.may_cancel = False
         wire, _ = sent(made)
@@ -676,7 +674,7 @@
         made.reactor.pump([0.1] * 21)
         self.assertEqual((waiting, len(made.attempts), made.caches.open), (1, 0, 0))
 
-    def test_a_kept_connection_carries_the_next_hop(self):
+    def test_idle_connection_is_reused(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -685,7 +683,7 @@
         asked(made)
         self.assertEqual((len(made.reactor.tcpClients), cache.value().count(b'GET /read/k')), (dials, 2))
 
-    def test_a_connection_whose_end_lies_unread_does_not(self):
+    def test_connection_with_unread_end_is_not_reused(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -695,21 +693,21 @@
         asked(made)
         self.assertEqual((len(made.reactor.tcpClients), cache.disconnecting), (dials + 1, True))
 
-    def test_nor_one_whose_answer_said_close_or_more_than_was_asked(self):
+    def test_connection_is_not_reused_after_close_or_excess_data(self):
         for answer in (said(more='Connection: close\r\n'), said() + b'x'):
             made = node()
             _, cache = sent(made)
             cache.protocol.dataReceived(answer)
             self.assertEqual((cache.disconnecting, made.caches.resting), (True, {}))
 
-    def test_idle_connections_close_well_before_the_server_does(self):
+    def test_idle_connections_close_before_the_server_timeout(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
         made.reactor.advance(9.1)
         self.assertTrue(cache.disconnecting)
 
-    def test_a_connection_that_comes_free_serves_who_waits(self):
+    def test_released_connection_serves_waiting_hop(self):
         made = node()
         _, cache = sent(made)
         asked(made)
@@ -718,7 +716,7 @@
         refused(made)
         self.assertEqual((cache.value().count(b'GET /read/k'), self.ended(made)), (2, ['committed']))
 
-    def test_one_that_was_just_answered_on_does_not_yet_carry_the_next_hop(self):
+    def test_connection_is_not_reused_right_after_an_answer(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -726,7 +724,7 @@
         asked(made)
         self.assertEqual((cache.value().count(b'GET /read/k'), len(made.reactor.tcpClients)), (1, dials + 1))
 
-    def test_a_connection_that_fails_ends_nobodys_wait_while_others_come(self):
+    def test_failed_connect_does_not_end_hop_with_another_connect_pending(self):
         made = node()
         _, cache = sent(made)
         asked(made)
@@ -736,15 +734,18 @@
         refused(made, -2)
         self.assertEqual(self.ended(made), ['committed'])
 
-    def test_nothing_leaves_for_a_server_that_began_to_drain_meanwhile(self):
+    def test_waiting_hop_is_not_sent_to_draining_server(self):
         made = node()
         asked(made)
         made.servers['c0'].state = 'draining'
         cache = dialled(made)
         self.assertEqual((cache.value(), cache.disconnecting), (b'', True))
 
-    def test_a_repeat_does_not_leave_later_than_a_connection_may_take_to_come_up(self):
-        """The rule on repeats sets so much of their window aside, and no more: another's dial may come up later than its own."""
+    def test_retry_is_not_sent_after_connect_timeout(self):
+        """The retry window reserves the connect timeout.
+
+        A connection that another hop opened may come up later than that.
+        """
         made = node()
         server, message = made.router.caches[0], asked(made).protocol.active.message
         refused(made)
@@ -762,22 +763,22 @@
             (ended, first.link is wire.protocol, pool.waiting), (['unsent'], True, type(pool.waiting)())
         )
 
-    def test_what_has_not_left_whole_need_not_where_nothing_may_be_cancelled(self):
+    def test_partly_sent_request_is_aborted_without_cancellation(self):
         made = node()
         made.place.terms.may_cancel = False
         wire = asked(made)
         cache = dialled(made, stuck=True)
-        cache.protocol.left = False  # the system took a part
+        cache.protocol.left = False  # partly sent
         lost(wire)
         self.assertEqual((cache.aborted, len(made.attempts)), (True, 0))
 
-    def test_a_hop_tells_how_long_it_is_waited_for_from_when_it_leaves(self):
+    def test_req_deadline_counts_from_sending(self):
         made = node()
         asked(made)
         made.reactor.advance(0.2)
         self.assertIn(b'Req-Deadline: 1.8', dialled(made).value())
 
-    def test_the_answer_is_owed_even_if_the_module_gives_none(self):
+    def test_client_is_answered_at_limit_without_router_decision(self):
         made = node()
         wire, _ = sent(made)
         made.router.decide = lambda now: None
@@ -786,7 +787,7 @@
 
 
 class Discovered(Quiet):
-    def test_a_change_reaches_the_module(self):
+    def test_change_reaches_the_router(self):
         made = node()
         watched(made).protocol.dataReceived(
             chunk(
@@ -795,14 +796,14 @@
         )
         self.assertEqual(([s.name for s in made.router.caches], made.discovery.version), (['c1'], 5))
 
-    def test_what_a_whole_list_lacks_is_gone(self):
+    def test_server_missing_from_complete_list_is_gone(self):
         made = node()
         watched(made).protocol.dataReceived(
             chunk({'generation': 5, 'reset': True, 'instances': [entry('c9')]})
         )
         self.assertEqual(([s.name for s in made.router.caches], made.router.origin), (['c9'], None))
 
-    def test_bad_lines_end_the_watch_and_keep_the_list(self):
+    def test_malformed_lines_end_the_watch_and_keep_the_list(self):
         good = {'generation': 5, 'reset': True, 'instances': [entry('c9')]}
         bad = [
             dict(good, generation='5'),
@@ -825,13 +826,13 @@
                     (True, ['c0'], 4),
                 )
 
-    def test_no_watch_is_no_list(self):
+    def test_rejected_watch_keeps_the_list(self):
         made = node()
         wire = dialled(made, 0)
         wire.protocol.dataReceived(b'HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n')
         self.assertEqual((wire.aborted, made.discovery.failures), (True, 1))
 
-    def test_a_silent_watch_is_dead_and_one_with_empty_lines_is_not(self):
+    def test_silent_watch_is_closed_but_not_one_with_heartbeats(self):
         for line, dead in ((b'', True), (chunk(None), False)):
             made = node()
             wire = watched(made)
@@ -841,7 +842,7 @@
                     wire.protocol.dataReceived(line)
             self.assertEqual(wire.aborted, dead)
 
-    def test_tries_come_ever_later_and_ask_for_what_came_since(self):
+    def test_watch_retries_back_off_and_resume_from_version(self):
         made, times = node(), []
         for _ in range(8):
             refused(made)
@@ -853,17 +854,17 @@
         self.assertTrue(waits[0] < waits[2] and max(waits) <= 2_600, waits)
         self.assertIn(b'index=4 ', dialled(made).value())
 
-    def test_while_the_agent_is_silent_the_node_is_never_long_without_a_watch(self):
+    def test_watch_is_reopened_soon_while_agent_is_silent(self):
         made = node()
         watched(made)
         without, longest = 0, 0
-        for _ in range(1_200):  # 12 s: a watch that is open is told at once
+        for _ in range(1_200):  # 12 s
             made.reactor.advance(0.01)
             without = 0 if made.discovery.watch else without + 1
             longest = max(longest, without)
         self.assertTrue(5 <= longest <= 26, longest)
 
-    def test_where_lists_are_asked_for_it_is_no_longer_without_one(self):
+    def test_watch_is_reopened_soon_in_on_request_mode(self):
         for within in (0.4, 0.3, 0.05):
             with self.subTest(within=within):
                 made = node(
@@ -877,7 +878,7 @@
                     longest = max(longest, without)
                 self.assertTrue(1 <= longest <= 100 * within, longest)
 
-    def test_discovery_that_turns_calls_away_is_asked_ever_less_and_one_that_hangs_up_is_not(self):
+    def test_backoff_grows_for_throttled_calls_only(self):
         for head, least, most in (
             (DECLINED, 8, 14),
             (b'HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n', 90, 240),
@@ -891,16 +892,17 @@
             with self.subTest(head=head[:13]):
                 self.assertTrue(least <= calls <= most, calls)
 
-    def test_a_call_that_waits_its_turn_is_waited_for(self):
+    def test_queued_call_is_not_abandoned(self):
         for mode, kept in (('pushed', False), ('on_request', True)):
             made = node(settings=grown(membershipMode=mode))
             wire = dialled(made)
             made.reactor.advance(2.6)
             self.assertEqual(not wire.aborted, kept)
 
-    def test_whatever_call_failed_a_change_is_known_in_time(self):
-        """From when discovery could be reached until the list is in force: whatever the calls before that came to, and the one under
-        way then, which says nothing more, or trickles."""
+    def test_change_is_applied_in_time_after_any_failure(self):
+        """Measured from when discovery becomes reachable until the list is in force, whatever happened
+        to earlier calls. The call in progress at that moment may be silent or trickle.
+        """
         chance = Random(7)
         for mode, within, most in (
             ('pushed', 0.4, 5.0),
@@ -917,7 +919,9 @@
                 self.assertLess(longest, most * 10_000)
 
     def play(self, made, chance, reached):
-        """Calls that fail until then, in any way; the first one after it is answered at once. When the list was in force."""
+        """Fail calls at random until `reached`, answer the next one, and return when the list is in
+        force.
+        """
         calls, trickling, change = (
             0,
             None,
@@ -947,7 +951,7 @@
             made.reactor.advance(0.02)
         return made.clock()
 
-    def test_a_watch_moves_at_once_and_nothing_of_the_old_one_touches_the_new(self):
+    def test_watch_moves_immediately_and_old_one_is_ignored(self):
         made = node()
         old = watched(made)
         moved = made.discovery.move(('127.0.0.1', 8501))
@@ -963,7 +967,7 @@
         )
         self.assertIn(b'index=4 ', dialled(made).value())
 
-    def test_a_move_does_not_inherit_the_old_waits(self):
+    def test_move_resets_backoff(self):
         made = node()
         for _ in range(6):
             refused(made)
@@ -975,7 +979,7 @@
         made.reactor.advance(0.11)
         self.assertEqual(len(made.reactor.tcpClients), tries + 1)
 
-    def test_the_page_is_read_again_and_a_bad_one_changes_nothing(self):
+    def test_page_reload_and_invalid_page(self):
         made = node()
         for text, port in (
             (page(discovery='127.0.0.1:8501'), 8501),
@@ -993,14 +997,14 @@
         made.reread('/nowhere')
         self.assertEqual(len(made.reactor.tcpClients), 3)
 
-    def test_unix_time_becomes_the_modules(self):
+    def test_unix_start_time_is_converted_to_router_clock(self):
         made = node()
         self.assertEqual(
             started(Entry(entry('c', startedAtMs=-made.starts.offset / 10)), made.starts.offset), 0
         )
         self.assertIsNone(started(Entry(entry('c')), made.starts.offset))
 
-    def test_a_server_that_moved_is_not_reached_where_it_was(self):
+    def test_moved_server_is_not_reached_at_old_address(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -1008,7 +1012,7 @@
         asked(made)
         self.assertEqual((cache.disconnecting, made.reactor.tcpClients[-1][1]), (True, 8001))
 
-    def test_who_is_gone_is_forgotten_once_no_hop_is_out(self):
+    def test_gone_server_is_forgotten_after_its_last_hop(self):
         made, counts = node(), []
         sent(made)
         for number in range(5, 8):
@@ -1018,7 +1022,7 @@
                 made.reactor.pump([0.1] * 21)  # the hop's limit
         self.assertEqual(counts, [(3, 3, 3), (3, 3, 3), (2, 2, 2)])
 
-    def test_a_new_server_at_the_address_of_one_gone_is_new(self):
+    def test_new_server_at_old_address_is_new(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -1030,7 +1034,7 @@
             (True, dials + 1, ['c9', 'o']),
         )
 
-    def test_connections_to_who_drains_are_not_kept(self):
+    def test_connections_to_draining_servers_are_closed(self):
         made = node()
         _, cache = sent(made)
         cache.protocol.dataReceived(said())
@@ -1040,7 +1044,9 @@
 
 class Zones(Quiet):
     def dials(self, **fees):
-        """Which ports a node of zone b dials for forty new keys, with two caches in either zone."""
+        """Return the ports that a node of zone b dials for forty new keys, with two caches in each
+        zone.
+        """
         settings = dict(SETTINGS, zone=1, fees=dict(SETTINGS['fees'], **fees))
         rows = [entry('c%d' % n, zone='ab'[n % 2], hostPort='127.0.0.1:%d' % (8000 + n)) for n in range(4)]
         made = node(
@@ -1052,16 +1058,16 @@
             asked(made, 'GET /read/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n\r\n' % (key, key))
         return {dial[1] for dial in made.reactor.tcpClients[before:]}
 
-    def test_keys_stay_in_the_zone_where_crossing_is_dear(self):
+    def test_keys_stay_in_zone_when_cross_zone_is_expensive(self):
         self.assertEqual(self.dials(crossZone=0.06, waste=0.04), {8001, 8003})
 
-    def test_keys_have_one_home_for_all_zones_elsewhere(self):
+    def test_keys_have_one_home_when_cross_zone_is_cheap(self):
         self.assertEqual(self.dials(crossZone=0.014, waste=0.052), {8000, 8001, 8002, 8003})
 
 
 class Phases(Quiet):
-    def test_nobody_is_let_in_before_discovery_has_spoken(self):
-        """Herd day: sends to a server that had drained while the node was down, 0.45 s after its start."""
+    def test_no_client_is_accepted_before_first_list(self):
+        """Guards against sends by the remembered list to a server that drained while the node was down."""
         made, open_ = starting(), []
         made.listener.port.startReading = lambda: open_.append(made.phase)
         before = (made.phase, made.ready())
@@ -1069,13 +1075,13 @@
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
         self.assertEqual((before, open_, made.ready()), ((STARTING, False), [SERVING], False))
 
-    def test_a_discovery_that_is_silent_or_away_keeps_nobody_out_for_long(self):
+    def test_node_serves_soon_without_discovery(self):
         silent, away = starting(), starting()
         silent.reactor.pump([0.1] * 11)
         refused(away)
         self.assertEqual((silent.phase, away.phase), (SERVING, SERVING))
 
-    def test_nor_does_a_call_that_waits_its_turn(self):
+    def test_node_serves_soon_with_queued_call(self):
         for mode in ('pushed', 'on_request'):
             with self.subTest(mode=mode):
                 made = starting(settings=grown(membershipMode=mode))
@@ -1085,7 +1091,7 @@
                 made.reactor.advance(0.1)
                 self.assertEqual((before, made.phase), (STARTING, SERVING))
 
-    def test_sighup_before_discovery_has_spoken_moves_the_watch(self):
+    def test_sighup_before_first_list_moves_the_watch(self):
         made = starting()
         with tempfile.NamedTemporaryFile('w', suffix='.json') as file:
             file.write(page(discovery='127.0.0.1:8501'))
@@ -1093,8 +1099,8 @@
             made.reread(file.name)
         self.assertEqual((made.reactor.tcpClients[-1][:2], made.phase), (('127.0.0.1', 8501), STARTING))
 
-    def test_told_to_end_before_it_serves_it_lets_in_who_waits_once_discovery_has_spoken(self):
-        """The remembered list may name a server that drained while nobody was here."""
+    def test_sigterm_before_serving_accepts_queued_clients_after_first_list(self):
+        """The remembered list may name a server that drained while the node was down."""
         made, open_ = starting(), []
         made.listener.port.startReading = lambda: open_.append(made.phase)
         made.drain()
@@ -1105,19 +1111,19 @@
             (before, made.phase, open_[:1], status(wire)), ((STARTING, []), DRAINING, [SERVING], 503)
         )
 
-    def test_nor_longer_than_a_lost_watch_takes_and_its_exit_counts_from_sigterm(self):
+    def test_sigterm_before_serving_with_lost_watch_exits_in_time(self):
         made = starting()
         made.drain()
         told = made.clock()
         refused(made)
         self.assertEqual((made.phase, made.last), (DRAINING, told + made.listener.slowest + 5_000))
 
-    def test_ready_only_when_it_can_serve(self):
+    def test_ready_only_when_able_to_serve(self):
         empty = {'generation': 0, 'reset': True, 'instances': []}
         for made, expected in ((node(), 200), (node(known=empty), 503), (node(known={}), 503)):
             self.assertEqual(status(asked(made, 'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')), expected)
 
-    def test_draining_answers_what_comes_and_asks_to_close(self):
+    def test_draining_node_answers_and_closes_connections(self):
         made = node()
         made.drain()
         wire, cache = sent(made)
@@ -1126,7 +1132,7 @@
         self.assertIn(b'Connection: close', wire.value())
         self.assertEqual(status(asked(made, 'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')), 503)
 
-    def test_it_ends_once_nothing_is_owed(self):
+    def test_node_exits_once_nothing_is_pending(self):
         made = node()
         wire, cache = sent(made)
         made.drain()
@@ -1137,7 +1143,7 @@
         made.reactor.pump([0.1] * 10)
         self.assertEqual((waiting, made.phase, made.reactor.hasStopped), (DRAINING, STOPPED, True))
 
-    def test_idle_clients_may_stay_as_long_as_new_ones_come(self):
+    def test_idle_clients_stay_while_new_ones_connect(self):
         made = node()
         _, wire = client(made)
         made.drain()
@@ -1146,8 +1152,8 @@
         made.reactor.advance(0.1)
         self.assertEqual((early, wire.disconnecting), (False, True))
 
-    def test_one_that_comes_as_idle_clients_are_asked_to_go_is_not(self):
-        """From SIGTERM on the system shows it before its request is here."""
+    def test_new_client_is_kept_when_idle_ones_are_closed(self):
+        """After SIGTERM connections are accepted before their first bytes arrive."""
         made = node()
         made.drain()
         made.reactor.advance(0.49)
@@ -1157,14 +1163,14 @@
         made.reactor.pump([0.05] * 5)
         self.assertEqual((early, wire.disconnecting), (False, True))
 
-    def test_a_client_that_never_leaves_does_not_hold_the_exit(self):
+    def test_client_that_stays_does_not_block_exit(self):
         made = node()
         asked(made, 'GET /read/k HT')
         made.drain()
         made.reactor.pump([0.05] * 80)
         self.assertEqual(made.phase, STOPPED)
 
-    def test_a_fault_that_one_transaction_meets_does_not_stop_the_others(self):
+    def test_fault_in_one_transaction_does_not_affect_others(self):
         made = node()
         step, dials = made.router.step, len(made.reactor.tcpClients)
         made.router.step = lambda now, tx: step(now, tx) if tx.key == 'k' else {}['fault']
@@ -1174,14 +1180,14 @@
         made.reactor.pump([0.1] * 21)
         self.assertEqual((made.phase, served, status(bad)), (SERVING, 1, 504))
 
-    def test_the_module_asks_for_the_watch_where_the_site_wants_that(self):
+    def test_router_requests_the_watch_in_on_request_mode(self):
         made = node()
         made.discovery.pushed = False
         made.router.watch_at = made.clock() + 1
         refused(made)
         self.assertGreater(made.router.failures, 0)
 
-    def test_the_origin_is_told_by_its_kind(self):
+    def test_origin_is_identified_by_kind(self):
         made = node()
         self.assertIsInstance(made.router.origin, Server)
         with self.assertRaises(BadLine):
