--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -1,4 +1,6 @@
-"""Large bodies that flow through a node: by state, and 32 MB each way through a real process."""
+"""Tests of streamed bodies: on in-memory transports, and 32 MB in each direction through a real
+process.
+"""
 
 import hashlib
 import socket
@@ -20,19 +22,19 @@
 
 
 def broken(wire):
-    """The connection is reset."""
+    """Reset the connection."""
     wire.protocol.connectionLost(Failure(ConnectionLost()))
 
 
 def carried(made):
-    """The connection that carries a large request, a turn after it came up."""
+    """Return the connection that carries a large request, one iteration after it was established."""
     wire = dialled(made)
     made.reactor.advance(0)
     return wire
 
 
 class Answers(Quiet):
-    def test_the_first_bytes_commit_and_the_rest_follows_at_once(self):
+    def test_first_bytes_commit_and_rest_is_streamed(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE + b'abc')
@@ -43,7 +45,7 @@
             (len(wire.value()), wire.protocol.phase, cache.ended), (len(first) + 99_997, IDLE, False)
         )
 
-    def test_a_server_that_breaks_off_shows_the_client_that_it_is_not_whole(self):
+    def test_client_sees_truncated_answer(self):
         for answer in (
             LARGE + b'abc',
             CHUNKED + b'11000\r\n' + b'x' * 0x11000 + b'\r\n',
@@ -55,7 +57,7 @@
             broken(cache)
             self.assertEqual((status(wire), wire.aborted, len(made.active_requests)), (200, True, 0))
 
-    def test_in_chunks_and_until_the_end_it_is_whole_for_either_kind_of_client(self):
+    def test_chunked_and_close_delimited_answers_for_both_http_versions(self):
         body = b'z' * 0x20000
         for minor, ending in ((1, b'\r\n0\r\n\r\n'), (0, b'zz')):
             for answer, closes in (
@@ -76,7 +78,7 @@
                         (ending, len(body), minor == 0),
                     )
 
-    def test_a_client_that_reads_slowly_stops_the_server_and_is_given_up_in_time(self):
+    def test_slow_client_pauses_server_and_is_aborted(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
@@ -87,7 +89,7 @@
         made.reactor.pump([0.5] * 21)
         self.assertTrue(wire.aborted)
 
-    def test_a_second_one_on_a_connection_goes_by_its_own_limit(self):
+    def test_second_answer_on_connection_has_its_own_limit(self):
         made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
         wire, cache = sent(made)
         for piece in (LARGE, b'x' * 100_000):
@@ -100,21 +102,21 @@
         made.reactor.pump([0.1] * 12)
         self.assertEqual((before, wire.aborted), (False, True))
 
-    def test_a_client_that_goes_ends_the_hop(self):
+    def test_client_disconnect_ends_the_hop(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
         lost(wire)
         self.assertTrue(cache.ended)
 
-    def test_a_large_loser_of_a_race_is_not_passed_on(self):
+    def test_large_answer_that_lost_the_race_is_dropped(self):
         made = node()
         wire, cache = sent(made)
         lost(wire)
         cache.protocol.dataReceived(LARGE)
         self.assertTrue(cache.ended)
 
-    def test_noise_within_it_shows_too(self):
+    def test_malformed_chunk_aborts_the_answer(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED + b'11000\r\n' + b'x' * 0x11000)
@@ -123,18 +125,18 @@
 
 
 class AnswersOfNoToldLength(Quiet):
-    """Whether such an answer will be a large one shows only as it comes. The limit is 2 s."""
+    """Answers of unknown length, which may turn out to be large. The limit is 2 s."""
 
     UNTIL_THE_END = b'HTTP/1.1 200 OK\r\n\r\n'
     PIECE = b'2\r\nab\r\n'
 
     def come(self, made, cache, seconds, piece=PIECE):
-        """Pieces come, ten a second."""
+        """Deliver ten pieces a second."""
         for _ in range(round(seconds * 10)):
             cache.protocol.dataReceived(piece)
             made.reactor.advance(0.1)
 
-    def test_it_is_held_for_three_quarters_of_its_time_and_then_passed_on_in_time(self):
+    def test_buffered_for_three_quarters_of_limit_then_streamed(self):
         for head, piece in ((CHUNKED, self.PIECE), (self.UNTIL_THE_END, b'ab')):
             with self.subTest(head=head):
                 made = node()
@@ -146,7 +148,7 @@
                 self.assertEqual((before, status(wire), wire.value().count(b'ab')), (b'', 200, 16))
                 self.assertEqual((len(made.active_requests), made.counts['hops_committed']), (0, 1))
 
-    def test_it_is_begun_sooner_where_the_node_reads_late(self):
+    def test_streaming_starts_earlier_after_late_read(self):
         made = node()
         wire, cache = sent(made)
         cache.age = 500  # milliseconds for which the first bytes lay unread
@@ -154,7 +156,7 @@
         self.come(made, cache, 1.1)
         self.assertEqual(status(wire), 200)
 
-    def test_a_small_one_that_comes_whole_in_time_is_written_at_once_with_its_length(self):
+    def test_small_complete_answer_is_sent_with_its_length(self):
         made = node()
         wire, cache = sent(made)
         for piece in (CHUNKED, b'4\r\nab', b'cd\r\n', b'0\r\n\r\n'):
@@ -163,7 +165,7 @@
             made.reactor.advance(0.1)
         self.assertTrue(wire.value().endswith(b'Content-Length: 4\r\n\r\nabcd'))
 
-    def test_one_that_breaks_off_while_it_is_held_is_tried_again(self):
+    def test_truncated_while_buffered_is_retried(self):
         made = node(known=TWO_CACHES)
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED + self.PIECE)
@@ -175,8 +177,8 @@
             (len(made.reactor.tcpClients), status(wire), wire.value()[-2:]), (dials + 1, 200, b'ef')
         )
 
-    def test_one_that_begins_in_the_last_quarter_and_breaks_off_at_once_is_not_begun(self):
-        """Shown on visor-bajio, split+mass: 7 to 812 bytes were passed on, and the reset came 1 ms later."""
+    def test_begun_in_last_quarter_and_truncated_is_not_streamed(self):
+        """Guards against streaming the first bytes of an answer whose connection is reset right after."""
         made = node(known=TWO_CACHES)
         wire, cache = sent(made)
         made.reactor.pump([0.1] * 17)
@@ -187,7 +189,7 @@
         broken(cache)
         self.assertEqual((before, wire.aborted), (b'', False))
 
-    def test_one_that_came_at_once_and_no_further_is_answered_at_the_limit(self):
+    def test_stalled_after_first_piece_is_answered_at_limit(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED + self.PIECE)
@@ -198,7 +200,7 @@
         made.reactor.pump([0.1] * 2)
         self.assertEqual((before, status(wire), cache.ended), (b'', 503, True))
 
-    def test_one_that_breaks_off_afterwards_or_is_spoilt_shows_that_to_either_kind_of_client(self):
+    def test_truncated_or_malformed_while_streaming_is_visible_to_client(self):
         for minor in (1, 0):
             for spoil in (broken, lambda cache: cache.protocol.dataReceived(b'noise\r\n')):
                 made = node()
@@ -210,7 +212,7 @@
                     (status(wire), wire.aborted, wire.value().endswith(b'0\r\n\r\n')), (200, True, False)
                 )
 
-    def test_one_whose_server_fell_silent_is_answered_at_the_limit(self):
+    def test_stalled_server_is_answered_at_limit(self):
         made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED)
@@ -220,7 +222,7 @@
         made.reactor.pump([0.1] * 2)
         self.assertEqual((before, status(wire), cache.ended), (b'', 503, True))
 
-    def test_and_passed_on_should_more_come_before_that(self):
+    def test_streamed_if_more_arrives_before_limit(self):
         made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED)
@@ -230,7 +232,7 @@
         cache.protocol.dataReceived(self.PIECE)
         self.assertEqual((before, status(wire), wire.value().count(b'ab')), (b'', 200, 11))
 
-    def test_an_attempt_goes_on_beyond_its_own_limit_while_its_answer_comes(self):
+    def test_attempt_continues_past_its_limit_while_receiving(self):
         for pause, code in ((0.1, 200), (None, 503)):
             with self.subTest(pause=pause):
                 made = node()
@@ -244,7 +246,7 @@
                     made.reactor.pump([0.1] * 21)
                 self.assertEqual((status(wire), made.counts['hops_expired']), (code, int(code != 200)))
 
-    def test_of_two_attempts_the_one_of_which_more_is_here_is_passed_on(self):
+    def test_streams_the_attempt_with_more_data(self):
         made = node(known=TWO_CACHES)
         wire, cache = sent(made)
         made.reactor.advance(0.6)  # its copy is due
@@ -259,7 +261,7 @@
         self.assertEqual((status(wire), wire.value().count(b'ABC') > 8), (200, True))
         self.assertEqual((wire.value().count(b'ab'), cache.ended, copy.ended), (0, True, False))
 
-    def test_a_failure_or_a_miss_is_not_passed_on(self):
+    def test_failure_or_miss_is_not_streamed(self):
         for code in (404, 500, 503):
             made = node()
             wire, cache = sent(made)
@@ -267,7 +269,7 @@
             self.come(made, cache, 1.9)
             self.assertEqual(wire.value(), b'')
 
-    def test_a_small_one_of_told_length_waits_for_its_last_byte(self):
+    def test_small_answer_of_known_length_waits_for_last_byte(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n')
@@ -276,11 +278,11 @@
 
 
 class UnreadAtADeadline(Quiet):
-    """A deadline and the bytes that it waits for come in one turn: the bytes were there first."""
+    """Data that lies unread when a deadline fires was received in time."""
 
     @staticmethod
     def unread(made, wire, data):
-        """These bytes lie unread, and are read in the reactor's next turn after somebody looked."""
+        """Leave data unread on the wire; it is read in the next iteration after a peek."""
 
         def looked_at(count, flags):
             made.reactor.callLater(0, wire.protocol.dataReceived, data)
@@ -289,7 +291,7 @@
 
         wire.recv = looked_at
 
-    def test_the_last_piece_of_an_answer_at_the_limit(self):
+    def test_last_piece_of_answer_unread_at_limit(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab')
@@ -298,14 +300,14 @@
         made.reactor.advance(0.1)
         self.assertEqual((status(wire), wire.value()[-4:]), (200, b'abcd'))
 
-    def test_one_that_always_has_something_unread_is_cut_all_the_same(self):
+    def test_answer_with_endless_unread_data_is_cut(self):
         made = node()
         wire, cache = sent(made)
         cache.unread = b'x'
         made.reactor.pump([0.1] * 21)
         self.assertEqual((status(wire), cache.ended), (503, True))
 
-    def test_the_last_piece_of_a_request_as_it_has_stayed_too_long(self):
+    def test_last_piece_of_request_unread_when_overdue(self):
         made = node(settings=grown(limits={'connectTimeoutS': 10.0}))
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n')
         made.reactor.pump([0.1] * 23)
@@ -313,14 +315,14 @@
         made.reactor.pump([0.1] * 11)
         self.assertEqual((wire.value(), len(made.active_requests)), (b'', 1))  # not a 408
 
-    def test_one_that_drips_so_that_something_is_always_unread_goes_at_the_next_look(self):
+    def test_trickling_request_is_refused_at_second_check(self):
         made = node()
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n')
         wire.unread = b'X'
         made.reactor.pump([0.1] * 36)
         self.assertEqual(status(wire), 408)
 
-    def test_the_next_piece_of_a_large_answer_that_was_silent_beyond_its_limit(self):
+    def test_next_piece_of_stalled_large_answer_unread_past_limit(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
@@ -333,11 +335,11 @@
 
 
 class Silence(Quiet):
-    """Whose silence it is decides who is given up."""
+    """The side that stalls decides which limit applies."""
 
     LONG = [dict(row, hardLimitS=30.0) for row in SETTINGS['profiles']]
 
-    def test_a_server_silent_within_a_long_limit_is_not_taken_for_a_client_that_does_not_read(self):
+    def test_silent_server_within_limit_does_not_count_as_slow_client(self):
         made = node(settings=grown(profiles=self.LONG))
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE + b'x' * 50_000)
@@ -345,7 +347,7 @@
         cache.protocol.dataReceived(b'x' * 50_000)
         self.assertEqual((wire.aborted, wire.protocol.phase), (False, IDLE))
 
-    def test_a_pause_of_its_server_across_the_limit_and_beyond(self):
+    def test_server_pauses_across_the_limit(self):
         for pause, ended in ((19, False), (22, True)):
             made = node()
             wire, cache = sent(made)
@@ -356,7 +358,7 @@
                 made.reactor.pump([0.1] * pause)
             self.assertEqual((pause, wire.aborted), (pause, ended))
 
-    def test_a_pause_that_is_its_clients_counts_from_when_that_reads_on(self):
+    def test_server_stall_counts_from_when_client_reads_again(self):
         made = node()
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
@@ -369,7 +371,7 @@
         made.reactor.pump([0.1] * 3)
         self.assertEqual((before, wire.aborted), (False, True))
 
-    def test_a_client_that_does_not_read_is_given_up_there_too(self):
+    def test_client_that_does_not_read_is_aborted_past_limit(self):
         made = node(settings=grown(profiles=self.LONG))
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
@@ -377,7 +379,7 @@
         made.reactor.pump([0.1] * 115)
         self.assertTrue(wire.aborted)
 
-    def test_a_client_whose_body_nobody_reads_yet_is_not_told_that_it_did_not_come(self):
+    def test_client_with_paused_body_is_not_timed_out(self):
         made = node(settings=grown(profiles=self.LONG, limits={'connectTimeoutS': 10.0}))
         wire, dial = asked(made, PUT + 'z' * 70_000), len(made.reactor.tcpClients) - 1
         made.reactor.pump([0.1] * 60)
@@ -386,7 +388,7 @@
         made.reactor.advance(0)
         self.assertEqual((before, origin.value().count(b'z')), (b'', 70_000))
 
-    def test_an_answer_that_came_before_the_body_is_not_taken_back_while_half_of_the_places_are_taken(self):
+    def test_early_answer_is_not_reset_under_slot_pressure(self):
         made = node(limits={'cores': 1.0, 'memory_mb': 192, 'sockets': 40})
         wire = asked(made, PUT.replace('100000', '2000000') + 'abc')
         origin = carried(made)
@@ -401,7 +403,7 @@
 
 
 class Requests(Quiet):
-    def test_the_body_follows_its_head_and_its_time_runs_from_the_last_byte(self):
+    def test_body_is_streamed_and_limit_starts_at_last_byte(self):
         made = node()
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
@@ -415,7 +417,7 @@
         )
         self.assertTrue(origin.protocol.left)
 
-    def test_a_server_lost_in_the_body_never_ran_it_and_gets_no_second_try(self):
+    def test_server_lost_during_body_is_not_retried(self):
         made = node()
         wire = asked(made, PUT + 'abc')
         origin, dials = carried(made), len(made.reactor.tcpClients)
@@ -424,31 +426,30 @@
         wire.protocol.dataReceived(b'x' * 99_997)  # which the client sends before it reads
         self.assertFalse(wire.aborted or wire.producerState == 'paused')
 
-    def test_one_that_found_no_connection_goes_elsewhere(self):
+    def test_unconnected_request_is_retried_elsewhere(self):
         made = node()
         asked(made, PUT + 'abc')
         refused(made)
         self.assertTrue(carried(made).value().endswith(b'abc'))
 
-    def test_a_client_that_goes_in_the_body_leaves_nothing_that_ran(self):
+    def test_client_disconnect_during_body_leaves_request_unrun(self):
         made = node()
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
         lost(wire)
         self.assertEqual((origin.aborted, len(made.active_requests)), (True, 0))
 
-    def test_it_goes_too_where_hops_may_not_be_cancelled(self):
+    def test_client_disconnect_during_body_without_cancellation(self):
         made = node()
         made.place.terms.may_cancel = False
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
         lost(wire)
         self.assertEqual((origin.aborted, len(made.attempts), made.counts['hops_unsent']), (True, 0, 1))
-        self.assertEqual(
-            (made.counts['rolled_back'], made.counts['abandoned']), (0, 0)
-        )  # it had its last word
+        # The transaction has already ended.
+        self.assertEqual((made.counts['rolled_back'], made.counts['abandoned']), (0, 0))
 
-    def test_a_body_at_64_kb_a_second_is_waited_for_and_one_that_drips_is_not(self):
+    def test_steady_body_is_accepted_and_trickling_one_times_out(self):
         for pieces, told in ((6_400, None), (10, 408)):
             made = node()
             wire = asked(made, PUT)
@@ -461,7 +462,7 @@
                 (told, told == 408, told is None),
             )
 
-    def test_no_connection_yet_the_client_is_paused(self):
+    def test_client_is_paused_until_connected(self):
         made = node()
         wire = asked(made, PUT + 'z' * 70_000)
         held = wire.producerState
@@ -470,7 +471,7 @@
             (held, wire.producerState, origin.value().count(b'z')), ('paused', 'producing', 70_000)
         )
 
-    def test_a_chunk_out_of_form_ends_it(self):
+    def test_malformed_chunk_ends_the_request(self):
         made = node()
         wire = asked(
             made,
@@ -482,7 +483,7 @@
 
 
 class Pieces(threading.Thread):
-    """A cache server that reads a body, and answers with 32 MB in pieces of all sizes."""
+    """Cache server that reads a body and answers with 32 MB in pieces of varying size."""
 
     def __init__(self, body):
         super().__init__(daemon=True)
@@ -532,7 +533,7 @@
 
 
 class Through(Processes):
-    """Through a real process, byte for byte, with its memory bounded."""
+    """Streaming through a real process, byte for byte, with bounded memory."""
 
     SIZE, GROWTH_KB = 32 << 20, 16_384
 
@@ -544,7 +545,7 @@
         with open('/proc/%d/status' % self.first.pid, encoding='ascii') as file:
             return next(int(line.split()[1]) for line in file if line.startswith('VmHWM'))
 
-    def test_32_mb_each_way_in_pieces(self):
+    def test_streams_32_mb_each_way(self):
         before, wanted = self.most_kb(), hashlib.sha256(self.body).hexdigest()
         done = []
         threads = [
