--- a/tests/test_local_failures.py
+++ b/tests/test_local_failures.py
@@ -1,4 +1,4 @@
-"""Calls that fail on the node's own machine: told apart from failures of servers, tried again soon."""
+"""Failures of local system calls are retried and not attributed to servers."""
 
 import errno
 import time
@@ -20,16 +20,16 @@
 
 
 class Connecting(OnFaultyMachine):
-    """Connections to a server that is well cannot be made for a while."""
+    """Connecting to a healthy server fails locally for a while."""
 
     names = ('c0',)
 
     def setUp(self):
         super().setUp()
-        self.servers['c0'].socket.settimeout(2)  # what does not come at once does not come
+        self.servers['c0'].socket.settimeout(2)  # seconds; an expected event comes at once
 
-    def assert_served_after(self, call, number):
-        """Clients come one after another while a call fails; right after that they are served."""
+    def assert_served_after_failures_of(self, call, number):
+        """Clients are refused while a call fails, and served right after."""
         self.board.put(calls=[{'call': call, 'errno': number}])
         for index in range(CLIENTS):
             line = self.client()
@@ -47,31 +47,31 @@
             [line for line in lines if 'call failed' in line and errno.errorcode[number] in line], lines
         )
 
-    def test_a_connect_that_fails_here_sets_no_server_aside(self):
+    def test_local_connect_failure_does_not_mark_server(self):
         for number in CONNECT_ERRNOS:
             with self.subTest(errno=errno.errorcode[number]):
-                self.assert_served_after('connect', number)
+                self.assert_served_after_failures_of('connect', number)
 
-    def test_a_socket_that_cannot_be_made_sets_no_server_aside(self):
+    def test_socket_creation_failure_does_not_mark_server(self):
         for number in SOCKET_ERRNOS:
             with self.subTest(errno=errno.errorcode[number]):
-                self.assert_served_after('socket', number)
+                self.assert_served_after_failures_of('socket', number)
 
-    def test_a_failure_that_ends_in_time_costs_no_request(self):
+    def test_short_failure_costs_no_request(self):
         self.board.put(calls=[{'call': 'connect', 'errno': errno.ENOBUFS, 'for_s': 0.15}])
         self.served(self.client(), 'during')
 
 
 class OnConnections(OnFaultyMachine):
-    """Calls on connections, and for new ones, that fail for a moment and leave the connection as it was."""
+    """Calls on existing and new connections fail briefly without affecting the connection."""
 
-    SPAN = 0.12  # seconds for which a call fails
+    SPAN = 0.12  # seconds
 
     def setUp(self):
         super().setUp()
         self.servers['c0'].socket.settimeout(5)
 
-    def assert_served_through(self, call, *numbers):
+    def assert_served_despite(self, call, *numbers):
         for number in numbers:
             with self.subTest(call=call, errno=errno.errorcode[number]):
                 self.board.put(calls=[{'call': call, 'errno': number, 'for_s': self.SPAN}])
@@ -81,23 +81,23 @@
                 self.board.put()
                 line.close()
 
-    def test_bytes_that_cannot_be_moved_now_are_moved_later(self):
-        self.assert_served_through('send', errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
-        self.assert_served_through('recv', errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
+    def test_failed_send_and_recv_are_retried(self):
+        self.assert_served_despite('send', errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
+        self.assert_served_despite('recv', errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
 
-    def test_interest_that_cannot_be_set_now_is_set_later(self):
-        self.assert_served_through('epoll_ctl', errno.ENOMEM, errno.ENOSPC)
+    def test_failed_epoll_ctl_is_retried(self):
+        self.assert_served_despite('epoll_ctl', errno.ENOMEM, errno.ENOSPC)
 
-    def test_connections_that_cannot_be_accepted_now_are_accepted_later(self):
-        self.assert_served_through('accept', errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE)
+    def test_failed_accept_is_retried(self):
+        self.assert_served_despite('accept', errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EMFILE)
 
-    def test_options_that_cannot_be_set_or_read_are_done_without(self):
-        self.assert_served_through('setsockopt', errno.ENOBUFS, errno.ENOMEM)
-        self.assert_served_through('getsockopt', errno.ENOBUFS, errno.ENOMEM)
-        self.assert_served_through('getpeername', errno.ENOBUFS)
-        self.assert_served_through('getsockname', errno.ENOBUFS)
+    def test_failed_socket_options_are_optional(self):
+        self.assert_served_despite('setsockopt', errno.ENOBUFS, errno.ENOMEM)
+        self.assert_served_despite('getsockopt', errno.ENOBUFS, errno.ENOMEM)
+        self.assert_served_despite('getpeername', errno.ENOBUFS)
+        self.assert_served_despite('getsockname', errno.ENOBUFS)
 
-    def test_a_few_bytes_at_a_time(self):
+    def test_short_sends_and_receives(self):
         for call in ('send', 'recv'):
             with self.subTest(call=call):
                 self.board.put(calls=[{'call': call, 'size': 3}])
@@ -106,7 +106,7 @@
 
 
 class Starting(OnFaultyMachine):
-    """A start whose first calls to discovery fail on this machine."""
+    """The first calls to discovery fail locally at startup."""
 
     names, watches = ('c0', 'c1'), False
 
@@ -114,12 +114,12 @@
         super().prepare()
         self.board.put(calls=[{'call': 'connect', 'errno': errno.ENOBUFS, 'count': 4}])
 
-    def test_nobody_is_served_by_the_remembered_list_before_discovery_was_asked(self):
+    def test_remembered_list_is_not_used_before_discovery_is_asked(self):
         watch, _ = self.agent.watch()
         lines = [self.client() for _ in range(CLIENTS)]
         for index, line in enumerate(lines):
             self.ask(line, 'early%d' % index, path='/read/k%d' % index)
-        time.sleep(0.2)  # in which nothing has come of discovery yet
+        time.sleep(0.2)  # discovery has not answered yet
         watch.say(chunk(told(5, self.row('c0', lifecycle='DRAINING'), self.row('c1'))))
         for _ in lines:
             hop = self.servers['c1'].take()
