--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,4 +1,4 @@
-"""What tests of a failing machine stand on: the very program over a shim beneath its libraries."""
+"""Base class for tests that run the program with injected system call failures."""
 
 import os
 
@@ -8,7 +8,7 @@
 
 
 class OnFaultyMachine(Crossing):
-    """One node as a process whose machine fails as its board says."""
+    """A node process whose system calls fail as its board prescribes."""
 
     def prepare(self):
         self.board = Board(os.path.join(self.folder.name, 'board'))
