--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -1,6 +1,7 @@
-"""What the tests of crossings stand on: the very program as a process, and servers, agents and clients that
-do nothing by themselves. Each is a blocking socket that holds, answers, resets or ends when the test says so;
-what is waited for is what the other side did, never a while.
+"""Fixtures for tests that run the program as a process.
+
+Servers, agents and clients are blocking sockets that act only when the test says so. Tests wait for
+events, not for fixed times.
 """
 
 import json
@@ -20,23 +21,23 @@
 from .helpers import SETTINGS, entry, page
 from .test_upgrade import free
 
-PATIENCE = 20  # seconds after which an event that was to come counts as not come
+PATIENCE = 20  # seconds to wait for an expected event
 HEAD = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 
 
 class Line:
-    """One connection, from the test's side."""
+    """A connection from the test's side."""
 
     def __init__(self, socket_):
         self.socket, self.buffer, self.seen = socket_, b'', []
-        self.was_reset = False  # whether its end was no orderly one
+        self.was_reset = False  # whether it ended with a reset
         socket_.settimeout(PATIENCE)
 
     def say(self, data):
         self.socket.sendall(data)
 
     def head(self):
-        """The next head that comes, without its empty line; b'' once the connection has ended."""
+        """Return the next head without its empty line, or b'' at the end of the connection."""
         while b'\r\n\r\n' not in self.buffer:
             more = self.more()
             if not more:
@@ -45,7 +46,7 @@
         return head
 
     def more(self):
-        """The next bytes, which are kept; b'' at the end, however it came."""
+        """Receive and buffer more bytes; return them, or b'' at the end, orderly or not."""
         try:
             data = self.socket.recv(65_536)
         except ConnectionError:
@@ -54,7 +55,7 @@
         return data
 
     def request(self):
-        """The id of the next request, its body read as well; None if the connection ends first."""
+        """Read the next request with its body and return its id, or None at the end."""
         head = self.head()
         if not head:
             return None
@@ -70,7 +71,7 @@
         self.say(b'HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s' % (status, len(body), more, body))
 
     def answered(self):
-        """The next answer: (status, body); (None, b'') if the connection ends first."""
+        """Return the next answer: (status, body), or (None, b'') at the end."""
         head = self.head()
         if not head:
             return None, b''
@@ -81,14 +82,14 @@
         return int(head[9:12]), body
 
     def ended_yet(self):
-        """Whether its end has come; what comes before that is kept."""
+        """Return whether the connection has ended; data received before that is buffered."""
         while select.select([self.socket], [], [], 0)[0]:
             if not self.more():
                 return True
         return False
 
     def ended(self):
-        """Wait for its end."""
+        """Wait for the end of the connection."""
         while self.more():
             pass
         return True
@@ -102,7 +103,7 @@
 
 
 def field(head, name):
-    """A header field's value as text, or None."""
+    """Return a header field's value as text, or None."""
     for line in head.split(b'\r\n')[1:]:
         if line.lower().startswith(name + b':'):
             return line.partition(b':')[2].strip().decode()
@@ -110,8 +111,10 @@
 
 
 class Stand:
-    """A listening socket that takes nobody by itself. held: connections to it do not come up until it lets
-    them."""
+    """Listening socket that accepts only when told to.
+
+    held: connections are not established until let() is called.
+    """
 
     def __init__(self, held=False, port=0):
         self.socket, self.lines, self.filler = socket.socket(), [], None
@@ -121,30 +124,31 @@
         self.socket.settimeout(PATIENCE)
         self.port = self.socket.getsockname()[1]
         self.address = '127.0.0.1:%d' % self.port
-        if held:  # the queue holds one; the system answers nobody else meanwhile
+        if held:  # fills the backlog of one, so that no other connection is established
             self.filler = socket.create_connection(('127.0.0.1', self.port))
 
     def let(self):
-        """Connections come up from now on: those that were not answered ask again within a second."""
+        """Let connections be established; clients that were not answered retransmit within a second."""
         self.socket.accept()[0].close()
         self.filler.close()
         self.socket.listen(64)
 
     def take(self):
-        """The next connection."""
+        """Accept the next connection."""
         self.lines.append(Line(self.socket.accept()[0]))
         return self.lines[-1]
 
     def watch(self):
-        """The next connection as a watch, with its request read and answered: (it, the request's first
-        line)."""
+        """Accept a watch, read its request and send the answer head: (connection, first line of the
+        request).
+        """
         line = self.take()
         first = line.head().split(b'\r\n')[0]
         line.say(HEAD)
         return line, first
 
     def all_seen(self):
-        """Ids of all requests of which anything ever came, once the node is gone."""
+        """Return the ids of all requests received; to be called after the node has exited."""
         self.socket.settimeout(0)
         try:
             while True:
@@ -156,7 +160,7 @@
                 while line.request() is not None:
                     pass
             except OSError:
-                pass  # the test closed it
+                pass  # closed by the test
         return [name for line in self.lines for name in line.seen]
 
 
@@ -165,7 +169,7 @@
 
 
 def told(generation, *rows, reset=True, indent=None):
-    """A list as an agent words it."""
+    """Return a list in discovery's format."""
     return (
         json.dumps({'generation': generation, 'reset': reset, 'instances': rows}, indent=indent).encode()
         + b'\n'
@@ -173,7 +177,7 @@
 
 
 def settings(**limits):
-    """Settings under which a second's standstill makes nothing late; limits put otherwise."""
+    """Return settings with generous limits, so that a one-second pause makes nothing late."""
     made = deepcopy(SETTINGS)
     for profile in made['profiles']:
         profile.update(serviceGoalS=4.0, hardLimitS=6.0)
@@ -182,10 +186,10 @@
 
 
 class Crossing(unittest.TestCase):
-    """One node as a process, with servers c0, c1 (where there are two) and the origin, and an agent."""
+    """A node process with servers named in `names` (caches and the origin `o`) and an agent."""
 
     names, held, limits, watches = ('c0', 'o'), (), {}, True
-    sockets = 1024  # descriptors that it may have
+    sockets = 1024  # descriptor limit
     settings = staticmethod(settings)
 
     def setUp(self):
@@ -222,7 +226,7 @@
             line.close()
 
     def row(self, name, **other):
-        """One server as the agent lists it."""
+        """Return a server's entry as listed by the agent."""
         return entry(
             name, 'origin' if name == 'o' else 'std', **{'hostPort': self.servers[name].address, **other}
         )
@@ -252,7 +256,7 @@
         threading.Thread(target=self.listen, args=(self.running.stderr,), daemon=True).start()
 
     def program(self):
-        """The module that is run as the program, with what goes before its command."""
+        """Return the module to run, preceded by its wrapper if any."""
         return ['lilacdyke']
 
     def listen(self, pipe):
@@ -260,10 +264,10 @@
             for line in pipe:
                 self.events.put(line)
         except ValueError:
-            pass  # closed at the test's end
+            pass  # closed at the end of the test
 
     def until(self, event):
-        """Wait until the node logs it."""
+        """Wait until the node logs this event."""
         while (
             'event="%s"' % event not in (line := self.events.get(timeout=PATIENCE))
             and 'event=%s' % event not in line
@@ -271,10 +275,10 @@
             pass
         return line
 
-    # --- what happens to the process ----------------------------------------------------------------------
+    # Process control
 
     def stop(self):
-        """It stands still from here on."""
+        """Stop the process with SIGSTOP."""
         os.kill(self.running.pid, signal.SIGSTOP)
         os.waitpid(self.running.pid, os.WUNTRACED)
 
@@ -284,7 +288,7 @@
     def signal(self, signum):
         os.kill(self.running.pid, signum)
 
-    # --- clients ------------------------------------------------------------------------------------------
+    # Clients
 
     def client(self):
         self.clients.append(Line(socket.create_connection(('127.0.0.1', self.port), PATIENCE)))
@@ -301,7 +305,7 @@
         )
 
     def served(self, line, name, server='c0'):
-        """A request from its start to its end: on which connection the server had it."""
+        """Send a request and have it served; return the server's connection."""
         self.ask(line, name)
         hop = self.servers[server].take()
         self.assertEqual(hop.request(), name)
@@ -310,7 +314,7 @@
         return hop
 
     def seen_so_far(self):
-        """The node has dealt with all that clients did before this."""
+        """Wait until the node has processed all earlier client events."""
         line = self.client()
         for _ in range(3):
             line.say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -318,7 +322,7 @@
         line.close()
 
     def finish(self):
-        """Have it end: all that servers ever had of it."""
+        """End the node and return the ids of all requests that servers received."""
         for line in self.clients:
             line.close()
         self.signal(signal.SIGTERM)
