--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests build their states from."""
+"""Builders for the states and objects that tests start from."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 def terms(**other):
-    """A site with one profile of each kind; times in tenths of a millisecond."""
+    """Return the terms of a site with one profile of each kind; times in tenths of a millisecond."""
     given = dict(
         profiles=[
             Profile('read', IDEMPOTENT, 'all', 0, 5000, 0),
@@ -46,7 +46,7 @@
 
 
 def router(caches=3, origin=False, seed=1, **other):
-    """A router that knows so many warm caches, as in router.caches, and maybe an origin."""
+    """Return a router with this many warm caches, and an origin if asked for."""
     made = Router(terms(aside=origin, **other), seed, 0)
     for number in range(caches):
         enlist(made, 'c%d' % number)
@@ -57,7 +57,7 @@
 
 
 def enlist(made, name, origin=False, started=None, state='ready', zone=0):
-    """Put one server on the router's list."""
+    """Add a server to the router's list."""
     server = Server(name, origin)
     made.list_entry(0, server, state, 1, started, zone, 0)
     made.relist()
@@ -65,12 +65,12 @@
 
 
 def taken(made, row=READ, key='k', now=0, limit=20_000, write=False):
-    """A transaction just taken, with nothing decided yet."""
+    """Return a transaction that was just accepted, with nothing decided yet."""
     return made.take(now, row, key, limit, write, now)
 
 
 def out(made, tx, server, sent=0, copy=False):
-    """A hop of the transaction that is out at a server."""
+    """Add a hop of the transaction that is in flight at a server."""
     hop = Hop(tx, server, sent, copy)
     tx.hops.append(hop)
     tx.out += 1
@@ -80,7 +80,7 @@
 
 
 def ended(made, tx, server, how, sent=0, ran=True):
-    """A hop of the transaction that has ended."""
+    """Add a hop of the transaction that has ended."""
     hop = out(made, tx, server, sent)
     hop.out, hop.ran = False, ran
     tx.out -= 1
@@ -89,7 +89,7 @@
     return hop
 
 
-# --- the node on sockets ------------------------------------------------------------------------------------------
+# Nodes on in-memory transports
 
 SETTINGS = {
     'balancers': 2,
@@ -154,7 +154,7 @@
 
 
 def grown(**other):
-    """Settings put otherwise here and there: values, or parts of tables."""
+    """Return the settings with some values, or entries of tables, replaced."""
     return {
         **SETTINGS,
         **{
@@ -165,7 +165,7 @@
 
 
 def entry(name, kind='std', state='SERVING', **other):
-    """One server as discovery lists it."""
+    """Return one server as listed by discovery."""
     row = {
         'instanceId': name,
         'hostPort': '127.0.0.1:8000',
@@ -181,7 +181,7 @@
 
 
 def page(**other):
-    """A node's page, as text."""
+    """Return a node's page as text."""
     given = {
         'name': 'n0',
         'listen': '127.0.0.1:9000',
@@ -196,27 +196,27 @@
 
 
 class Wire(StringTransport):
-    """A connection that holds what is written and may have something unread."""
+    """In-memory transport that records what is written and may have data unread."""
 
     unread, aborted, half_closed, age, stuck = None, False, False, 0, False
     state, closed = 1, False
     dataBuffer, offset, _tempDataBuffer = b'', 0, ()
 
     def setTcpNoDelay(self, on):
-        """Nothing to set here."""
+        """Does nothing."""
 
     def getHandle(self):
         return self
 
     def getsockopt(self, level, option, size):
-        """The system's word on when the last bytes came, age milliseconds ago."""
+        """Return a struct tcp_info with this state and time since the last bytes (`age`, milliseconds)."""
         return bytes([self.state]) + bytes(51) + self.age.to_bytes(4, 'little')
 
     def close(self):
         self.closed = True
 
     def send(self, data, flags=0):
-        """The system takes all, or nothing while the connection is stuck."""
+        """Accept everything, or nothing while the connection is stuck."""
         if self.stuck:
             raise BlockingIOError
         self.write(data)
@@ -233,7 +233,7 @@
             producer.resumeProducing()
 
     def flush(self):
-        """All that was written has left."""
+        """Let everything written be sent."""
         if self.producer:
             self.producer.resumeProducing()
 
@@ -249,19 +249,19 @@
 
 
 class Port:
-    """A listening port that nobody comes to."""
+    """Listening port without connections."""
 
     def __init__(self, *given, **named):
         self.socket = self
 
     def setsockopt(self, *given):
-        """Nothing to set here."""
+        """Does nothing."""
 
     stopReading = startReading = stopListening = doRead = lambda self: None
 
 
 class Machine(System):
-    """This one, but for the clocks, which are a reactor's."""
+    """The local system with the reactor's clocks."""
 
     def __init__(self, reactor):
         self.elapsed = reactor.seconds
@@ -269,35 +269,35 @@
 
 
 def unbegun(**other):
-    """A node on a reactor of its own; its clock is that reactor's."""
+    """Return a node on a reactor of its own, which is also its clock; not started."""
     reactor = MemoryReactorClock()
     reactor.listenTCP = Port
     return Node(place(page(**other)), reactor, Machine(reactor))
 
 
 def starting(**other):
-    """The same, begun; it has heard nothing yet."""
+    """Return a started node that has not received a list yet."""
     made = unbegun(**other)
     made.start()
     return made
 
 
 def node(**other):
-    """The same, serving."""
+    """Return a node that serves."""
     made = starting(**other)
     made.serve()
     return made
 
 
 def client(made):
-    """A client's connection to the node: (protocol, wire)."""
+    """Connect a client to the node: (protocol, wire)."""
     protocol, wire = made.listener.buildProtocol(None), Wire()
     protocol.makeConnection(wire)
     return protocol, wire
 
 
 def dialled(made, which=-1, stuck=False):
-    """Let a connection that the node opens come up: its wire."""
+    """Establish a connection that the node opens, and return its wire."""
     wire = Wire()
     wire.stuck = stuck
     wire.protocol = made.reactor.tcpClients[which][2].buildProtocol(None)
@@ -306,12 +306,12 @@
 
 
 def refused(made, which=-1):
-    """Let a connection that the node opens be refused."""
+    """Refuse a connection that the node opens."""
     made.reactor.tcpClients[which][2].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
 
 def asked(made, text='GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n\r\n'):
-    """A client that has sent a request, under an id that is not open: its wire."""
+    """Return the wire of a client that has sent a request with an unused id."""
     protocol, wire = client(made)
     text = text.replace('%d', str(len(made.ids) + 7))
     protocol.dataReceived(text.encode())
@@ -320,15 +320,15 @@
 
 
 def sent(made, *given):
-    """A client whose request has gone to a cache whole: (client's wire, cache's wire)."""
+    """Return (client's wire, cache's wire) of a request that has been sent to a cache."""
     return asked(made, *given), dialled(made)
 
 
 def lost(wire):
-    """The connection ends."""
+    """End the connection."""
     wire.protocol.connectionLost(Failure(ConnectionDone()))
 
 
 def said(status=200, body='abc', more=''):
-    """A cache's answer."""
+    """Return a cache server's answer."""
     return ('HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s' % (status, len(body), more, body)).encode()
