--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,6 @@
-"""Two events that meet: each crossing of docs/design/crossings.md that needs sockets, forced on the very program."""
+"""Pairs of concurrent events that need real sockets (docs/design/crossings.md), forced on a running
+node.
+"""
 
 import os
 import resource
@@ -13,12 +15,12 @@
 
 
 class Leaving(Crossing):
-    """Clients that leave while their request waits."""
+    """Clients that disconnect while their request waits."""
 
     names = ('c0', 'c1', 'o')
 
     def leave_unread(self, go):
-        """On a connection that is kept, a request and its client's end lie unread together."""
+        """A request and its client's end lie unread together on a persistent connection."""
         gone, stays = self.client(), self.client()
         for line, name in ((gone, 'a'), (stays, 'b')):
             self.ask(line, name)
@@ -34,15 +36,15 @@
         self.seen_so_far()
         self.assertEqual(self.finish(), ['a', 'b', 'stays'])
 
-    def test_by_an_orderly_end_that_lies_unread_behind_the_request(self):
+    def test_client_end_unread_behind_request(self):
         self.leave_unread(Line.close)
 
-    def test_by_a_reset_behind_the_request(self):
+    def test_client_reset_behind_request(self):
         self.leave_unread(Line.reset)
 
-    def test_a_retry_is_due_as_its_client_leaves(self):
+    def test_retry_due_as_client_leaves(self):
         client, hops, number = self.client(), {}, 0
-        while len(hops) < 2:  # a connection rests at either cache
+        while len(hops) < 2:  # until both caches have an idle connection
             number += 1
             self.ask(client, 'w%d' % number, path='/read/%d' % number)
             hop = self.next_hop(hops.values())
@@ -61,13 +63,13 @@
         self.assertEqual(self.finish().count('gone'), 1)
 
     def next_hop(self, lines):
-        """The connection to either cache on which a request comes, one of these or a new one."""
+        """Return the next connection with a request: one of `lines`, or a new one to either cache."""
         stands = {self.servers[name].socket: self.servers[name] for name in ('c0', 'c1')}
         known = {line.socket: line for line in lines}
         ready = select.select([*stands, *known], [], [], PATIENCE)[0][0]
         return known[ready] if ready in known else stands[ready].take()
 
-    def test_one_that_ended_its_sending_alone_counts_as_gone_and_its_hop_is_ended(self):
+    def test_half_closed_client_counts_as_gone(self):
         client = self.client()
         self.ask(client, 'half')
         hop = self.next_hop(())
@@ -78,12 +80,12 @@
 
 
 class Waiting(Crossing):
-    """Hops that wait for a connection, which comes up late."""
+    """Hops that wait for a connection that is established late."""
 
     held, limits = ('c0',), {'connectTimeoutS': 10.0, 'cancel': False}
 
     def come_up(self):
-        """The connection comes up, and the next request is the first that the server ever has."""
+        """Let the connection come up; the next request has to be the first that the server sees."""
         self.servers['c0'].let()
         self.ask(self.client(), 'next')
         line = self.servers['c0'].take()
@@ -91,7 +93,7 @@
         line.answer()
         return self.finish()
 
-    def test_their_client_leaves_where_nothing_may_be_cancelled(self):
+    def test_client_leaves_without_cancellation(self):
         client = self.client()
         self.ask(client, 'gone')
         self.seen_so_far()
@@ -99,14 +101,14 @@
         self.seen_so_far()
         self.assertEqual(self.come_up(), ['next'])
 
-    def test_their_client_leaves_while_the_node_stands_still(self):
+    def test_client_leaves_while_node_is_stopped(self):
         client = self.client()
         self.ask(client, 'gone')
         self.seen_so_far()
         self.stop()
         client.close()
         self.servers['c0'].let()
-        line = self.servers['c0'].take()  # it is up: that, and the end, lie there as the node goes on
+        line = self.servers['c0'].take()  # established, and the client gone, before the node continues
         self.resume()
         self.ask(self.client(), 'next')
         self.assertEqual(line.request() or self.servers['c0'].take().request(), 'next')
@@ -127,7 +129,7 @@
         self.finish()
         self.assertEqual(self.servers['c0'].all_seen(), [])
 
-    def test_the_server_begins_to_drain(self):
+    def test_server_drains_while_connecting(self):
         self.ask(self.client(), 'late')
         self.seen_so_far()
         self.watch.say(chunk(told(6, self.row('c0', lifecycle='DRAINING'), reset=False)))
@@ -138,11 +140,11 @@
 
 
 class Bodies(Crossing):
-    """A large request whose body waits, unread, for a connection."""
+    """Large requests whose body lies unread until a connection is established."""
 
     held, limits = ('o',), {'connectTimeoutS': 10.0}
 
-    def test_its_client_leaves_behind_bytes_that_nobody_reads(self):
+    def test_client_leaves_with_body_unread(self):
         client = self.client()
         self.ask(client, 'gone', 'PUT', '/once/k', b'x' * 100_000)
         self.seen_so_far()
@@ -151,7 +153,7 @@
         self.servers['o'].let()
         self.ask(self.client(), 'next', 'PUT', '/once/k', b'hi')
         name = None
-        while name is None:  # a connection without a request is no send
+        while name is None:  # connections without a request do not count
             name = self.servers['o'].take().request()
         self.assertEqual(name, 'next')
         self.assertEqual(self.finish(), ['next'])
@@ -160,28 +162,28 @@
         self.assertIn(client.answered()[0], statuses)
         self.assertLess(time.monotonic() - begun, 0.9)
 
-    def test_its_connection_does_not_come_up_within_its_limit(self):
+    def test_connect_exceeds_limit_of_large_request(self):
         client, begun = self.client(), time.monotonic()
         self.ask(client, 'late', 'PUT', '/once/k', b'x' * 100_000, 'Req-Deadline: 0.5\r\n')
-        self.in_time(client, begun, (503,))  # it surely never left
+        self.in_time(client, begun, (503,))  # it was never sent
 
-    def test_its_last_byte_lies_unread_while_the_server_takes_no_more(self):
+    def test_last_byte_unread_while_server_does_not_read(self):
         self.servers['o'].let()
         client = self.client()
         self.ask(client, 'late', 'PUT', '/once/k', b'', 'Content-Length: 8000000\r\nReq-Deadline: 0.5\r\n')
         client.socket.setblocking(False)
         try:
             while client.socket.send(b'x' * 65_536):
-                pass  # as much as the systems between take
+                pass  # until the socket buffers are full
         except BlockingIOError:
             client.socket.settimeout(PATIENCE)
         self.in_time(client, time.monotonic(), (503,))
 
 
 class Watches(Crossing):
-    """Lists that fall silent, break, or come oddly."""
+    """Watches that fall silent, break, or deliver lists in unusual pieces."""
 
-    def test_a_list_comes_indented_over_many_chunks(self):
+    def test_indented_list_over_many_chunks(self):
         rows = [self.row('o'), entry('c9 "}', hostPort=self.servers['c0'].address)]
         for at in range(0, len(text := told(6, *rows, indent=2)), 7):
             self.watch.say(chunk(text[at : at + 7]))
@@ -189,7 +191,7 @@
         self.watch.say(chunk(b'\n') + chunk(told(7, self.row('c0'), reset=False)))
         self.assertIn('caches=2', self.until('list'))
 
-    def test_one_that_answers_its_head_and_says_no_more_is_opened_anew(self):
+    def test_watch_silent_after_head_is_reopened(self):
         self.watch.close()
         silent, first = self.agent.watch()
         begun = time.monotonic()
@@ -199,15 +201,15 @@
         self.assertLess(time.monotonic() - begun, 5.0)
         self.assertTrue(silent.ended())
 
-    def test_one_is_reset_while_a_line_lies_unread(self):
+    def test_watch_reset_with_line_unread(self):
         self.stop()
         self.watch.say(chunk(told(6, self.row('c0', lifecycle='DRAINING'), reset=False)))
         self.watch.reset()
         self.resume()
-        self.assertIn('caches=0', self.until('list'))  # the system keeps what came before the reset
+        self.assertIn('caches=0', self.until('list'))  # data received before the reset is kept
         self.assertIn(b'index=6', self.agent.watch()[1])
 
-    def test_one_ends_with_a_line_half_there_and_the_next_tells_the_drain(self):
+    def test_watch_ends_within_line_and_next_reports_drain(self):
         line = told(6, self.row('c0', lifecycle='DRAINING'), reset=False)
         self.watch.say(chunk(line)[:60])
         self.watch.close()
@@ -216,7 +218,7 @@
         again.say(chunk(line))
         self.assertIn('caches=0', self.until('list'))
 
-    def test_sighup_moves_the_address_while_a_retry_is_due(self):
+    def test_sighup_moves_address_while_retry_is_due(self):
         other = Stand()
         self.addCleanup(other.socket.close)
         self.write(other)
@@ -226,15 +228,14 @@
         self.resume()
         watch, first = other.watch()
         self.assertIn(b'index=5', first)
-        watch.say(
-            chunk(told(3, self.row('o'), self.row('c0', lifecycle='DRAINING')))
-        )  # it is behind, and says so
+        # A complete list of an older generation.
+        watch.say(chunk(told(3, self.row('o'), self.row('c0', lifecycle='DRAINING'))))
         self.assertIn('caches=0', self.until('list'))
         self.finish()
         self.assertEqual((len(other.lines), other.all_seen()), (1, []))
         watch.close()
 
-    def test_a_new_agent_has_fewer_servers(self):
+    def test_new_agent_lists_fewer_servers(self):
         self.watch.close()
         again, _ = self.agent.watch()
         again.say(chunk(told(2, self.row('o'))))
@@ -246,13 +247,13 @@
 
     watches = False
 
-    def test_sigterm_before_discoverys_first_word_sends_nobody_by_a_remembered_list(self):
+    def test_sigterm_before_first_list_does_not_use_remembered_list(self):
         watch, _ = self.agent.watch()
         client = self.client()
         self.ask(client, 'early')
         self.signal(signal.SIGTERM)
         self.signal(signal.SIGHUP)
-        self.until('page read')  # in the turn of the one it deals with the other
+        self.until('page read')  # both signals are handled in the same iteration
         self.assertEqual(
             select.select([self.servers[name].socket for name in self.names], [], [], 0.3)[0], []
         )
@@ -261,7 +262,7 @@
         self.assertEqual(client.answered()[0], 503)
         self.assertEqual(self.finish(), [])
 
-    def test_sigterm_before_it_and_the_watch_breaks(self):
+    def test_sigterm_before_first_list_and_watch_lost(self):
         watch, _ = self.agent.watch()
         self.signal(signal.SIGTERM)
         client = self.client()
@@ -287,11 +288,11 @@
             for number in range(1_022)
         ]
 
-    def test_it_is_ready_in_time_without_discovery_and_takes_the_list_indented(self):
+    def test_ready_without_discovery_and_indented_list(self):
         begun = time.monotonic()
         status = None
         while status != 200:
-            self.assertLess(time.monotonic() - begun, 5.0)  # its agent takes nobody
+            self.assertLess(time.monotonic() - begun, 5.0)  # the agent does not accept connections
             try:
                 line = self.client()
                 line.say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -300,9 +301,9 @@
                 time.sleep(0.02)
         with open('/proc/%d/stat' % self.running.pid, encoding='ascii') as file:
             spent = sum(map(int, file.read().rpartition(')')[2].split()[11:13])) / os.sysconf('SC_CLK_TCK')
-        self.assertLess(spent, 1.5)  # seconds of a core: ready within 10 s with a sixth of one
+        self.assertLess(spent, 1.5)  # CPU seconds: ready within 10 s on a sixth of a core
         watch = self.agent.take()
-        while watch.ended_yet():  # those that were given up meanwhile
+        while watch.ended_yet():  # attempts that were cancelled meanwhile
             watch = self.agent.take()
         self.assertIn(b'index=4', watch.head())
         watch.say(HEAD)
@@ -316,11 +317,11 @@
 
 
 class Crowd(Crossing):
-    """Idle clients that fill the descriptors while discovery is down."""
+    """Idle clients exhaust the descriptors while discovery is down."""
 
     sockets = 64
 
-    def test_the_watch_comes_back_the_drain_is_kept_and_who_waits_is_answered(self):
+    def test_watch_returns_drain_holds_and_waiting_clients_are_answered(self):
         resource.prlimit(self.running.pid, resource.RLIMIT_NOFILE, (self.sockets, self.sockets))
         waits = self.client()
         self.ask(waits, 'waits')
@@ -328,7 +329,7 @@
         hop.request()
         port = self.agent.port
         self.watch.close()
-        self.agent.socket.close()  # from here on dials are refused
+        self.agent.socket.close()  # connections are refused from here on
         idle = [self.client() for _ in range(3 * self.sockets)]
         for line in idle[::2]:
             line.say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -351,7 +352,7 @@
 
 
 class Hangup(Crossing):
-    """SIGHUP while the page is being read, before the node is there."""
+    """SIGHUP while the page is being read at startup."""
 
     watches = False
 
@@ -359,12 +360,12 @@
         os.mkfifo(self.path)
 
     def give(self, agent):
-        """Wait until the program opens its page, and write it. A program that has ended opens nothing."""
+        """Wait until the program opens its page, then write it. Fails if the program has exited."""
         while True:
             try:
                 pipe = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
                 break
-            except OSError:  # nobody has it open yet
+            except OSError:  # not opened yet
                 self.assertIsNone(self.running.poll())
                 time.sleep(0.01)
         os.set_blocking(pipe, True)
@@ -372,13 +373,13 @@
             yield
             file.write(self.page(agent))
 
-    def test_it_ends_nobody_and_the_page_is_read_once_more(self):
+    def test_sighup_during_startup_rereads_the_page(self):
         other = Stand()
         self.addCleanup(other.socket.close)
         reading = self.give(self.agent)
         next(reading)
         self.signal(signal.SIGHUP)
-        os.unlink(self.path)  # who opens it again has another pipe
+        os.unlink(self.path)  # the next open gets another pipe
         os.mkfifo(self.path)
         for _ in reading:
             pass
@@ -392,9 +393,9 @@
 
 
 class Ending(Crossing):
-    """SIGTERM, and what comes just then."""
+    """SIGTERM together with other events."""
 
-    def test_a_request_crosses_the_end_of_its_idle_connection_and_comes_again(self):
+    def test_request_crosses_idle_close_and_is_sent_again(self):
         client = self.client()
         hop = self.served(client, 'first')
         self.signal(signal.SIGTERM)
@@ -411,19 +412,19 @@
             line.close()
         return self.running.wait(20)
 
-    def test_several_wait_in_the_queue_as_the_door_is_to_be_shut(self):
+    def test_queued_clients_are_served_before_listener_closes(self):
         self.signal(signal.SIGTERM)
         self.until('draining')
         self.stop()
         waiting = [self.client() for _ in range(6)]
         for line in waiting:
             line.say(b'GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n')
-        time.sleep(1.0)  # the time at which the door is shut has passed
+        time.sleep(1.0)  # past the time at which the listener closes
         self.resume()
         self.assertEqual([line.answered()[0] for line in waiting], [404] * 6)
         self.assertEqual(self.finish_only(), 0)
 
-    def test_signals_come_again_while_it_drains(self):
+    def test_repeated_signals_while_draining(self):
         client = self.client()
         self.ask(client, 'open')
         hop = self.servers['c0'].take()
@@ -437,7 +438,7 @@
         self.assertEqual(client.answered(), (200, b'abc'))
         self.assertEqual(self.finish_only(), 0)
 
-    def test_its_servers_hang_and_all_have_an_answer_before_the_end(self):
+    def test_hanging_servers_and_all_clients_answered_at_exit(self):
         clients = [self.client() for _ in range(3)]
         for number, line in enumerate(clients):
             self.ask(line, 'h%d' % number, more='Req-Deadline: 0.4\r\n')
@@ -447,9 +448,9 @@
         self.assertEqual({line.answered()[0] for line in clients}, {503})
         self.assertEqual(self.finish_only(), 0)
 
-    def test_its_servers_hang_for_longer_than_sigkill_waits(self):
+    def test_servers_hang_until_sigkill(self):
         reads, writes = self.client(), self.client()
-        self.ask(reads, 'r')  # the limit is 6 s, and SIGKILL may come 3.7 s after SIGTERM
+        self.ask(reads, 'r')  # limit 6 s; SIGKILL may follow SIGTERM after 3.7 s
         self.ask(writes, 'w', 'PUT', '/once/k', b'hi')
         for name in 'co':
             self.servers['c0' if name == 'c' else 'o'].take().request()
@@ -461,9 +462,9 @@
 
 
 class Hops(Crossing):
-    """Connections to servers that end, or say more, at the wrong instant."""
+    """Server connections that end, or deliver more data, at critical moments."""
 
-    def test_a_resting_one_is_ended_while_the_node_stands_still(self):
+    def test_idle_connection_ends_while_node_is_stopped(self):
         client = self.client()
         hop = self.served(client, 'first')
         self.stop()
@@ -475,7 +476,7 @@
         again.answer()
         self.assertEqual(client.answered()[0], 200)
 
-    def test_a_second_answer_comes_late_and_is_nobodys(self):
+    def test_late_second_answer_is_discarded(self):
         client = self.client()
         hop = self.served(client, 'first')
         self.stop()
@@ -487,7 +488,7 @@
         again.answer(body=b'asked for')
         self.assertEqual(client.answered(), (200, b'asked for'))
 
-    def test_a_decline_and_the_end_of_its_connection_come_together(self):
+    def test_decline_arrives_with_connection_end(self):
         client = self.client()
         self.ask(client, 'a', 'PUT', '/once/k', b'hi')
         hop = self.servers['o'].take()
@@ -496,14 +497,12 @@
         hop.answer(503, b'', b'Srv-Declined: 1\r\nConnection: close\r\n')
         hop.close()
         self.resume()
-        again = self.servers[
-            'o'
-        ].take()  # it surely never ran, so it goes once more, on a connection of its own
+        again = self.servers['o'].take()  # it did not run and is retried on a new connection
         self.assertEqual(again.request(), 'a')
         again.answer()
         self.assertEqual(client.answered()[0], 200)
 
-    def test_an_answer_comes_before_the_request_has_left(self):
+    def test_answer_arrives_before_request_is_sent(self):
         client = self.client()
         client.say(
             b'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nContent-Length: 100000\r\n\r\n' + b'x' * 80_000
@@ -514,7 +513,7 @@
         self.assertEqual(client.answered()[0], 503)
         self.assertTrue(hop.ended())
 
-    def test_a_word_before_the_answer_that_never_comes(self):
+    def test_interim_answer_without_final_answer(self):
         client = self.client()
         self.ask(client, 'a', more='Req-Deadline: 0.3\r\n')
         hop = self.servers['c0'].take()
@@ -523,20 +522,20 @@
         self.assertEqual(client.answered()[0], 503)
         self.assertTrue(hop.ended())
 
-    def test_its_client_reads_late_and_the_system_holds_the_rest(self):
+    def test_client_reads_late_after_answer_left_the_process(self):
         client = self.client()
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         self.ask(client, 'a', more='Connection: close\r\n')
         hop = self.servers['c0'].take()
         hop.request()
         hop.answer(body=b'x' * 1_000_000)
-        time.sleep(2.0)  # twice as long as a client may take to close
+        time.sleep(2.0)  # twice the time a client has to close
         status, body = client.answered()
         self.assertEqual((status, len(body)), (200, 1_000_000))
 
 
 class Crowded(Crossing):
-    """Half of the places for clients are taken, so that who rests for a second makes way."""
+    """Half of the client slots are taken, so that idle connections are closed after a second."""
 
     sockets = 64
 
@@ -547,24 +546,24 @@
         hop.request()
         hop.answer(body=b'x' * 800_000)
         others = [self.client() for _ in range(14)]
-        for number in range(25):  # over two seconds
+        for number in range(25):  # 2.5 s
             others[number % 14].say(b'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n')
             time.sleep(0.1)
         status, body = client.answered()
         self.assertEqual((status, len(body)), (200, 800_000))
         self.assertEqual((client.ended(), client.was_reset), (True, False))
 
-    def test_an_answer_still_on_its_way_to_a_slow_client_that_rests_comes_whole(self):
+    def test_answer_to_slow_idle_client_is_complete(self):
         self.comes_whole('')
 
-    def test_and_to_one_that_is_to_close(self):
+    def test_answer_to_slow_closing_client_is_complete(self):
         self.comes_whole('Connection: close\r\n')
 
 
 class Flows(Crossing):
-    """Large answers, which are passed on as they come."""
+    """Large answers, which are streamed."""
 
-    def test_an_answer_without_a_length_is_on_its_way_at_the_exit(self):
+    def test_answer_without_length_is_aborted_at_exit(self):
         client = self.client()
         client.say(b'GET /read/k HTTP/1.0\r\nHost: x\r\nReq-Id: a\r\n\r\n')
         hop = self.servers['c0'].take()
@@ -574,25 +573,25 @@
         begun = time.monotonic()
         self.signal(signal.SIGTERM)
         client.ended()
-        self.assertTrue(client.was_reset)  # an orderly end would say that this was all
+        self.assertTrue(client.was_reset)  # an orderly end would mark the answer as complete
         self.assertEqual(self.running.wait(PATIENCE), 0)
         self.assertLess(time.monotonic() - begun, 3.7)
 
-    def test_a_large_answer_that_its_server_still_gives_at_the_limit_comes_whole(self):
+    def test_large_answer_still_sent_at_limit_is_complete(self):
         client = self.client()
         self.ask(client, 'a', more='Req-Deadline: 0.5\r\n')
         hop = self.servers['c0'].take()
         hop.request()
         hop.say(b'HTTP/1.1 200 X\r\nContent-Length: 150000\r\n\r\n' + b'x' * 90_000)
         client.head()
-        for _ in range(6):  # to some two seconds after the limit
+        for _ in range(6):  # until about two seconds after the limit
             time.sleep(0.4)
             hop.say(b'x' * 10_000)
         while len(client.buffer) < 150_000 and client.more():
             pass
         self.assertEqual(len(client.buffer), 150_000)
 
-    def test_a_large_answer_that_never_ends_is_broken_off_soon_after_the_limit(self):
+    def test_endless_large_answer_is_aborted_after_limit(self):
         client = self.client()
         self.ask(client, 'a', more='Req-Deadline: 0.5\r\n')
         hop = self.servers['c0'].take()
@@ -605,8 +604,9 @@
         self.assertTrue(hop.ended())
 
     def unmeasured_answer(self, in_chunks, minor=1, pause=0.1):
-        """A read with a limit of 0.5 s, whose server gives 200 kB of no told length, 10 kB at a time: all that the client
-        was sent, its head left out, and how long its first bytes took (seconds)."""
+        """Read with a limit of 0.5 s from a server that sends 200 kB of unknown length in pieces of 10
+        kB: (the client with everything received behind the head, seconds until the first bytes).
+        """
         client = self.client()
         begun = time.monotonic()
         client.say(b'GET /read/k HTTP/1.%d\r\nHost: x\r\nReq-Id: a\r\nReq-Deadline: 0.5\r\n\r\n' % minor)
@@ -625,7 +625,7 @@
                 else:
                     hop.socket.shutdown(socket.SHUT_WR)
             except OSError:
-                pass  # the node gave it up, as what the client got shows
+                pass  # the node closed the connection
 
         server = threading.Thread(target=give)
         server.start()
@@ -637,17 +637,17 @@
         self.assertEqual(status, b'200')
         return client, first
 
-    def test_an_answer_of_no_told_length_that_comes_slowly_is_passed_on_in_time_and_whole(self):
+    def test_slow_answer_of_unknown_length_is_streamed(self):
         client, first = self.unmeasured_answer(True)
         self.assertEqual((client.buffer.count(b'x'), client.buffer[-5:]), (200_000, b'0\r\n\r\n'))
         self.assertLess(first, 0.5)
 
-    def test_one_that_lasts_until_the_connection_ends_is_too(self):
+    def test_slow_close_delimited_answer_is_streamed(self):
         client, first = self.unmeasured_answer(False)
         self.assertEqual((client.buffer.count(b'x'), client.buffer[-5:]), (200_000, b'0\r\n\r\n'))
         self.assertLess(first, 0.5)
 
-    def test_a_client_of_http_1_0_gets_it_whole_too_and_an_orderly_end(self):
+    def test_slow_answer_to_http_1_0_client_is_complete(self):
         client, first = self.unmeasured_answer(True, minor=0)
         self.assertEqual((len(client.buffer), client.was_reset), (200_000, False))
         self.assertLess(first, 0.5)
