--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -126,7 +126,7 @@
                 # An empty line is a heartbeat and cannot be part of a list.
                 raise BadLine('incomplete list')
             if line and (whole := self.assemble_list(line)):
-                self.discovery.apply_list(read_list(json.loads(whole)))
+                self.discovery.told(read_list(json.loads(whole)))
             if not self.open:
                 self.discovery.whole = self.discovery.last_word = self.discovery.heard
         if len(self.line) + len(self.open) > MAX_LIST:
@@ -266,7 +266,7 @@
         else:
             self.deadlines.at(due, self.silent, number)
 
-    def apply_list(self, lines):
+    def told(self, lines):
         """Pass a list or change to the node."""
         self.redials = 0
         self.node.listed(*lines[1:])
