--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -8,7 +8,7 @@
 from . import http
 from .flow import STALL_TIMEOUT, Flow
 from .phases import ASKED, LOOK, MAX_BODY_PAUSE, STREAMING
-from .sockets import quiet, unread_for
+from .sockets import nothing_unread, unread_for
 
 
 class Upload:
@@ -38,7 +38,7 @@
             client.listener.put(client, ASKED)
         link.body(data, whole)
         if whole and client.active:
-            client.listener.node.body_came(client.active, client.came)
+            client.listener.node.body_came(client.active, client.received_at)
 
     def attach(self, link):
         """Attach the connection that carries the request; the body goes to it and to no other from here
@@ -48,7 +48,7 @@
         self.client.listener.node.body_spent(self.client.active)
         self.progressed()
         self.resume()
-        self.client.listener.again(self.client)
+        self.client.listener.schedule_read(self.client)
 
     def detach(self, link):
         """Detach the connection when its attempt ends."""
@@ -162,7 +162,7 @@
         if self.until is None or now < self.until:
             return
         silent = not self.flow.paused and now >= since + STALL_TIMEOUT
-        if silent and quiet(self.source.transport):
+        if silent and nothing_unread(self.source.transport):
             self.cut_off()
         else:
             self.set_deadline(max(now + LOOK, since + STALL_TIMEOUT))
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -11,18 +11,18 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone
 
-from .flow import PIECE, STALL_TIMEOUT, Flow
+from .flow import PIECE_SIZE, STALL_TIMEOUT, Flow
 from .http import ANSWER, BadMessage, Reader, request
 from .local_errors import NO_DESCRIPTOR, connecting_errno, local_errno
-from .sockets import Outgoing, buffered_bytes, connect, no_delay, push, quiet
+from .sockets import Outgoing, buffered_bytes, connect, no_delay, nothing_unread, send_now
 from .tables import Table
 
-KEPT = 0.6  # fraction of the server's idle timeout after which idle connections are closed
+IDLE_FRACTION = 0.6  # fraction of the server's idle timeout after which idle connections are closed
 SETTLE_TIME = 100  # ticks after an answer before its connection carries the next hop
 # After a local failure to connect: shortest and longest backoff in ticks. A hop waits for 1/HOLD_DIVISOR of
 # its remaining time and at most MAX_HOLD ticks, as all hops that wait reach the server at once.
 MIN_REDIAL_DELAY, MAX_REDIAL_DELAY, HOLD_DIVISOR, MAX_HOLD = 50, 500, 8, 2_500
-CROWDED = 3 * SETTLE_TIME  # ticks an idle connection is kept while the server has no free slots
+SHORT_IDLE_TIME = 3 * SETTLE_TIME  # ticks an idle connection is kept while the server has no free slots
 NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
@@ -92,7 +92,7 @@
     @property
     def unread(self):
         """Whether data from the server, or the connection's end, lies unread."""
-        return self.link is not None and not quiet(self.link.transport)
+        return self.link is not None and not nothing_unread(self.link.transport)
 
     def complete(self, how, answer=None):
         """End the hop; called once."""
@@ -137,7 +137,7 @@
             self.flow = Flow(source, self.transport, exchange.message.length is None, source.progressed)
             source.attach(self)
             return
-        self.unsent = data[push(self.transport, data) :]
+        self.unsent = data[send_now(self.transport, data) :]
         self.left = not self.unsent
         self.buffered_at_send = len(data) if len(self.unsent) == len(data) else 0
         if self.unsent:
@@ -225,7 +225,7 @@
         """
         if not self.holds_part or self.last_piece - self.first_piece < spread:
             return False
-        return now < self.last_piece + STALL_TIMEOUT or not quiet(self.transport)
+        return now < self.last_piece + STALL_TIMEOUT or not nothing_unread(self.transport)
 
     def pass_on_part(self):
         """Start streaming the partial answer as a large one."""
@@ -250,7 +250,7 @@
         how = ending(answer)
         if how == 'committed':
             answer.source = self
-            self.transport.bufferSize = PIECE
+            self.transport.bufferSize = PIECE_SIZE
         self.finish(how, answer)
         if not self.sink:
             self.close('streamed answer not wanted')
@@ -350,17 +350,27 @@
     """Connections to one server."""
 
     __slots__ = (
-        *('caches', 'server', 'address', 'resting', 'waiting', 'dials', 'refused', 'crowded', 'links'),
+        *(
+            'caches',
+            'server',
+            'address',
+            'idle_links',
+            'waiting',
+            'dials',
+            'refused',
+            'slots_short_until',
+            'links',
+        ),
         *('backoff', 'redial_at'),
     )
 
     def __init__(self, caches, server, address):
         self.caches, self.server, self.address = caches, server, address
-        self.resting = []  # idle connections, most recently used last
+        self.idle_links = []  # idle connections, most recently used last
         self.waiting = deque()  # hops that wait for a connection
         self.dials = 0  # connections being opened
         self.links = 0  # all connections, including those being opened
-        self.crowded = 0  # until when the server counts as short of connection slots
+        self.slots_short_until = 0  # until when the server counts as short of connection slots
         self.backoff = 0  # backoff in ticks after local failures; 0: none
         self.redial_at = None  # time of the next attempt after a local failure; None: not scheduled
         self.refused = False  # whether an attempt was refused since, so that the server's process had ended
@@ -371,7 +381,7 @@
         if not exchange.wanted():
             exchange.complete('unsent')
             return
-        for link in self.resting[::-1]:
+        for link in self.idle_links[::-1]:
             if link.ready_at <= now and self.claim(link):
                 link.carry(exchange)
                 return
@@ -400,7 +410,7 @@
         capacity for more connections. Idle ones are then closed early, so that other nodes can use
         their slots.
         """
-        self.crowded = self.caches.clock() + self.caches.keep
+        self.slots_short_until = self.caches.clock() + self.caches.idle_ticks
 
     def dial(self):
         """Open a connection, within the site's connect timeout."""
@@ -411,7 +421,7 @@
         link.number = caches.table.add(link)
         opening = connect(caches.reactor, self.address, link)
         number = caches.dialling.add(opening)
-        caches.deadlines.at(caches.clock() + caches.within, caches.dial_due, number)
+        caches.deadlines.at(caches.clock() + caches.connect_timeout, caches.dial_due, number)
         opening.addCallbacks(self.dialled, self.failed, (number,), None, (number, link))
         opening.addErrback(caches.fault)
 
@@ -537,7 +547,7 @@
             link.close('server not ready')
             return
         link.ready_at = self.caches.clock() + SETTLE_TIME
-        self.resting.append(link)
+        self.idle_links.append(link)
         self.caches.keep_idle(link)
         if self.waiting:
             self.caches.deadlines.at(link.ready_at, self.caches.settled_due, link.number)
@@ -550,19 +560,19 @@
     def claim(self, link):
         """Take a connection out of the idle ones; return whether it is still usable."""
         self.remove_idle(link)
-        if quiet(link.transport):
+        if nothing_unread(link.transport):
             return True
         link.close('ended by server while idle')
         return False
 
     def remove_idle(self, link):
         """Remove a connection from the idle ones."""
-        self.resting.remove(link)
-        self.caches.resting.pop(link.number)
+        self.idle_links.remove(link)
+        self.caches.idle_links.pop(link.number)
 
     def forget(self, link):
         """Unregister a connection that ends or was never established; its slot is free."""
-        if link.number in self.caches.resting:
+        if link.number in self.caches.idle_links:
             self.remove_idle(link)
         if self.caches.table.get(link.number) is link:
             self.count(-1)
@@ -570,7 +580,7 @@
 
     def close_idle(self):
         """Close the idle connections."""
-        for link in self.resting[:]:
+        for link in self.idle_links[:]:
             link.close('server not ready')
 
 
@@ -581,13 +591,13 @@
         self, reactor, deadlines, clock, place, budget, broken, fault, returned, events, call_failed
     ):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.within, self.keep = place.connect_within, int(place.idle * KEPT)
+        self.connect_timeout, self.idle_ticks = place.connect_within, int(place.idle * IDLE_FRACTION)
         self.budget = budget
         self.broken, self.fault = broken, fault  # called for malformed answers and for internal errors
         self.returned = returned  # called for a server that accepts connections again after refusing them
         self.pools, self.table, self.dialling = {}, Table(), Table()
         self.redials = Table()  # pools with a scheduled attempt to connect
-        self.resting = {}  # idle connections by number, longest idle first
+        self.idle_links = {}  # idle connections by number, longest idle first
         self.call_failed = call_failed  # called for local failures
         self.events = events  # log of individual connections (events.py)
         self.shares = None  # this node's share of the fleet's limits; None: no fleet
@@ -633,7 +643,7 @@
             message,
             until,
             wanted,
-            self.clock() + self.within if repeat else None,
+            self.clock() + self.connect_timeout if repeat else None,
             leaves,
         )
         exchange.pool.send(exchange)
@@ -649,20 +659,20 @@
         """Close idle connections and limit the budget to the open ones plus `spare`: another process of
         this node uses the rest.
         """
-        for link in list(self.resting.values()):
+        for link in list(self.idle_links.values()):
             link.close('budget handed to another process')
         self.budget = self.open + spare
 
     def trim(self, over):
         """Close excess idle connections; over(server) returns their number."""
         for pool in self.pools.values():
-            for link in pool.resting[: max(0, over(pool.server))]:
+            for link in pool.idle_links[: max(0, over(pool.server))]:
                 link.close('too many idle connections')
 
     def evict_idle(self):
         """Close the connection that has been idle longest, if any."""
-        if self.resting:
-            next(iter(self.resting.values())).close('evicted to free a descriptor')
+        if self.idle_links:
+            next(iter(self.idle_links.values())).close('evicted to free a descriptor')
 
     def keep_idle(self, link):
         """Register an idle connection.
@@ -670,12 +680,12 @@
         It is closed well before the server's idle timeout, and much sooner if the server is short of
         slots.
         """
-        self.resting[link.number] = link
+        self.idle_links[link.number] = link
         now = self.clock()
-        link.idle_until = now + (CROWDED if now < link.pool.crowded else self.keep)
-        self.time(link)
+        link.idle_until = now + (SHORT_IDLE_TIME if now < link.pool.slots_short_until else self.idle_ticks)
+        self.schedule_idle_check(link)
 
-    def time(self, link):
+    def schedule_idle_check(self, link):
         """Schedule the deadline of an idle connection: one per connection however often it is reused,
         and another if it has to be closed sooner.
         """
@@ -690,15 +700,15 @@
             return
         if link.deadline_at <= self.clock():
             link.deadline_at = 0
-        if number in self.resting:
+        if number in self.idle_links:
             if self.clock() >= link.idle_until:
                 link.close('idle')
             else:
-                self.time(link)
+                self.schedule_idle_check(link)
 
     def settled_due(self, number):
         """Serve waiting hops once a released connection may be reused."""
-        if number in self.resting:
+        if number in self.idle_links:
             link = self.table.get(number)
             link.pool.serve_waiting(link)
 
--- a/lilacdyke/net/client.py
+++ b/lilacdyke/net/client.py
@@ -12,7 +12,7 @@
 from .http import BadMessage, Reader
 from .logs import LOG
 from .phases import ASKED, CLOSING, FRESH, IDLE, RECEIVING, STREAMING
-from .sockets import left, no_delay, push, unread_for, waiting
+from .sockets import no_delay, peer_closed, send_now, unread_for, waiting
 
 MIN_BODY_RATE = 16_384  # bytes per second; each byte received extends the time for the rest
 MAX_READ_AHEAD = 2 * http.MAX_BODY  # bytes of pipelined input; then reading is paused
@@ -27,7 +27,7 @@
         self.active = None  # the node's record of the current request
         self.phase = None  # see phases.py; None: the connection has ended
         self.since = 0  # start of the phase; for a request, when its first byte was received
-        self.came = 0  # when the last bytes read were received by the system
+        self.received_at = 0  # when the last bytes read were received by the system
         self.lasting = True  # whether the connection stays open after this request
         self.answered = False  # whether any answer was sent
         self.bad_requests = 0  # requests with unknown paths or methods
@@ -35,7 +35,7 @@
         self.download = None  # large answer being sent
         self.discards_body = False  # whether the rest of a large body is read and discarded
         self.discarded = 0  # bytes discarded since the last answer
-        self.spared = False  # whether this request was granted a reprieve (phases.py)
+        self.reprieved = False  # whether this request was granted a reprieve (phases.py)
         self.closed_for = None  # why this side closes the connection; None: it does not
 
     # Transport events
@@ -50,9 +50,9 @@
             return
         if self.phase == RECEIVING:
             self.extend_deadline(len(data))
-        self.came = self.listener.clock() - unread_for(self.transport)
+        self.received_at = self.listener.clock() - unread_for(self.transport)
         if self.phase in (FRESH, IDLE):
-            if self.listener.too_late(self.came, data):
+            if self.listener.too_late(self.received_at, data):
                 self.reply(self.listener.refusal(True))
                 return
             self.begin()
@@ -102,8 +102,8 @@
 
     def begin(self):
         """Start the time of a request, from when its first bytes were received."""
-        self.spared = False
-        self.listener.put(self, ASKED, self.came)
+        self.reprieved = False
+        self.listener.put(self, ASKED, self.received_at)
 
     def read_on(self):
         """Process received data: successive requests, or more of a large body."""
@@ -190,7 +190,7 @@
         self.active, self.answered = None, True
         data = b''.join(pieces)
         if not waiting(self.transport):
-            data = data[push(self.transport, data) :]
+            data = data[send_now(self.transport, data) :]
         self.finish_reply(data)
 
     def stream(self, answer, minor, until):
@@ -211,9 +211,11 @@
         if not self.lasting:
             self.close_after_reply()
         elif self.reader.has_input:
-            self.came = self.listener.clock()
+            self.received_at = self.listener.clock()
             self.begin()
-            self.listener.again(self)  # in a later reactor iteration: many small requests may be pipelined
+            self.listener.schedule_read(
+                self
+            )  # in a later reactor iteration: many small requests may be pipelined
         else:
             self.listener.put(self, IDLE)
         self.transport.resumeProducing()
@@ -222,7 +224,7 @@
 
     def left(self):
         """Return whether the client has gone, even if that lies unread."""
-        return self.phase is None or left(self.transport)
+        return self.phase is None or peer_closed(self.transport)
 
     def see_off(self):
         """Drop a client that has gone, together with its request."""
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -84,7 +84,10 @@
     def __init__(self, discovery):
         self.discovery, self.reader = discovery, Reader(ANSWER)
         self.number, self.chunks, self.line = None, None, bytearray()
-        self.open, self.depth = bytearray(), 0  # open: received part of an indented list; depth: its nesting
+        self.partial_list, self.depth = (
+            bytearray(),
+            0,
+        )  # open: received part of an indented list; depth: its nesting
         self.throttled = False  # whether discovery rejected the call for load
 
     def connectionMade(self):
@@ -96,17 +99,17 @@
             return
         try:
             self.reader.feed(data)
-            if self.chunks or self.head():
-                self.discovery.heard = self.discovery.clock()
+            if self.chunks or self.read_head():
+                self.discovery.last_received = self.discovery.clock()
                 self.line += self.chunks.read(self.reader.buffer)
-                self.lines()
+                self.process_lines()
         except (BadMessage, BadLine, ValueError, RecursionError) as err:
             self.discovery.lost(self, 'invalid answer: %s' % err)
         except Exception:
             LOG.exception('fault')
             self.discovery.lost(self, 'fault')
 
-    def head(self):
+    def read_head(self):
         """Parse the head of the answer; return whether the stream of lines begins."""
         message = self.reader.take_head()
         if message is None:
@@ -117,19 +120,19 @@
         self.chunks = Chunks(None)
         return True
 
-    def lines(self):
+    def process_lines(self):
         """Process each complete line; an empty line is a heartbeat."""
         while (end := self.line.find(b'\n')) >= 0:
             line = bytes(self.line[:end]).strip()
             del self.line[: end + 1]
-            if not line and self.open:
+            if not line and self.partial_list:
                 # An empty line is a heartbeat and cannot be part of a list.
                 raise BadLine('incomplete list')
             if line and (whole := self.assemble_list(line)):
                 self.discovery.told(read_list(json.loads(whole)))
-            if not self.open:
-                self.discovery.whole = self.discovery.last_word = self.discovery.heard
-        if len(self.line) + len(self.open) > MAX_LIST:
+            if not self.partial_list:
+                self.discovery.last_complete = self.discovery.last_word = self.discovery.last_received
+        if len(self.line) + len(self.partial_list) > MAX_LIST:
             raise BadLine('line too long')
         if self.chunks.ended:
             self.discovery.lost(self, 'ended')
@@ -139,12 +142,12 @@
 
         An indented list spans several lines.
         """
-        if self.open or nesting_change(line):
+        if self.partial_list or nesting_change(line):
             self.depth += nesting_change(TEXT.sub(b'', line))
-        self.open += line + b' '
+        self.partial_list += line + b' '
         if self.depth > 0:
             return None
-        whole, self.open, self.depth = self.open, bytearray(), 0
+        whole, self.partial_list, self.depth = self.partial_list, bytearray(), 0
         return whole
 
     def connectionLost(self, reason=None):
@@ -156,19 +159,19 @@
 
     def __init__(self, reactor, deadlines, clock, place, chance, node):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.where, self.chance, self.table = place.discovery, chance, Table()
+        self.target, self.chance, self.table = place.discovery, chance, Table()
         self.node = node
         # otherwise the router decides when to open a watch; retries are made here
         self.pushed = not place.terms.watched
         self.backoff, self.max_backoff = (
             max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
         )
-        self.within = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
+        self.head_timeout = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
         # failures: consecutive; throttled: those rejected for load
         self.version, self.failures, self.throttled = None, 0, 0
         self.watch, self.opening = None, None
         # times of the last bytes, and of the last complete line (or of opening)
-        self.heard, self.whole = 0, 0
+        self.last_received, self.last_complete = 0, 0
         self.attempt = 0  # number of watches opened; a retry scheduled for an earlier one is void
         self.backing_off = False  # whether a retry is scheduled
         self.last_word = None  # time of the last complete line; None: never
@@ -185,15 +188,15 @@
         else:
             self.opening.cancel()
 
-    def move(self, where):
+    def move(self, target):
         """Switch to another address immediately, from the current version.
 
         Return whether the address changed.
         """
-        if where == self.where:
+        if target == self.target:
             return False
         self.close()
-        self.where, self.failures, self.throttled = where, 0, 0
+        self.target, self.failures, self.throttled = target, 0, 0
         if self.attempt:  # before the first watch, startup opens it
             self.open()
         return True
@@ -202,7 +205,7 @@
         """Return the request head that asks for changes since the current version."""
         index = '' if self.version is None else '&index=%d' % self.version
         return (
-            'GET /v1/endpoints?stream=1%s HTTP/1.1\r\nHost: %s\r\n\r\n' % (index, '%s:%d' % self.where)
+            'GET /v1/endpoints?stream=1%s HTTP/1.1\r\nHost: %s\r\n\r\n' % (index, '%s:%d' % self.target)
         ).encode()
 
     def retry(self, attempt):
@@ -223,12 +226,12 @@
             return
         self.attempt, self.backing_off = self.attempt + 1, False
         self.watch = Watch(self)
-        self.heard = self.whole = self.clock()
+        self.last_received = self.last_complete = self.clock()
         self.watch.number = self.table.add(self.watch)
-        self.opening = connect(self.reactor, self.where, self.watch)
+        self.opening = connect(self.reactor, self.target, self.watch)
         watch = self.watch
         self.opening.addErrback(self.not_connected, watch)
-        self.deadlines.at(self.heard + self.within, self.silent, watch.number)
+        self.deadlines.at(self.last_received + self.head_timeout, self.silent, watch.number)
 
     def not_connected(self, failure, watch):
         """Handle a failed connection attempt.
@@ -257,9 +260,9 @@
         if watch is None:
             return
         due = (
-            min(self.heard + SILENCE_TIMEOUT, self.whole + PARTIAL_LINE_TIMEOUT)
+            min(self.last_received + SILENCE_TIMEOUT, self.last_complete + PARTIAL_LINE_TIMEOUT)
             if watch.chunks
-            else self.heard + self.within
+            else self.last_received + self.head_timeout
         )
         if self.clock() >= due:
             self.lost(watch, 'silent')
--- a/lilacdyke/net/flow.py
+++ b/lilacdyke/net/flow.py
@@ -5,7 +5,7 @@
 as if it were complete.
 """
 
-PIECE = 32_768  # read size, and bytes buffered in a transport before its source is paused
+PIECE_SIZE = 32_768  # read size, and bytes buffered in a transport before its source is paused
 STALL_TIMEOUT = 20_000  # ticks without data after which a source counts as stalled
 
 
@@ -18,7 +18,7 @@
         self.source, self.transport, self.chunked = source, transport, chunked
         self.progressed = progressed  # called when the sink accepts data again
         self.paused = self.finished = False
-        transport.bufferSize = PIECE
+        transport.bufferSize = PIECE_SIZE
         transport.registerProducer(self, True)
 
     def framed(self, data):
--- a/lilacdyke/net/listener.py
+++ b/lilacdyke/net/listener.py
@@ -17,7 +17,7 @@
 from .tables import Table
 
 EVICTION_SHARE = 0.5  # share of the budget in use from which each new connection evicts an idle one
-QUIET = 2_500  # ticks without a new connection after which none is expected
+QUIET_PERIOD = 2_500  # ticks without a new connection after which none is expected
 RESERVED_SLOTS = 2  # free slots at which connections are closed after their answer
 MAX_BAD_REQUESTS = 4  # unknown paths or methods per connection before it is closed
 
@@ -37,7 +37,7 @@
         self.phases = Phases(clock)
         self.port, self.full, self.shut = None, False, False
         self.yielded = False  # whether another process of this node accepts connections
-        self.came, self.met = 0, 0  # time of the last connection; number of connections
+        self.last_connected, self.connections = 0, 0  # time of the last connection; number of connections
         self.idle_closed_at = 0  # when an idle connection was last closed
 
     def listen(self, reactor, host, port, given=None):
@@ -85,7 +85,7 @@
         connections wait in the system's queue.
         """
         client.number = self.table.add(client)
-        self.came, self.met = self.clock(), self.met + 1
+        self.last_connected, self.connections = self.clock(), self.connections + 1
         self.put(client, FRESH)
         if len(self.table) > self.budget * EVICTION_SHARE:
             self.phases.make_room(1, BUSY)
@@ -147,12 +147,12 @@
         (counted from `until` at the latest) and none is queued. Also waits for clients that reconnect
         because their request crossed the end of an idle connection.
         """
-        if self.clock() < max(min(self.came, until), self.idle_closed_at) + QUIET:
+        if self.clock() < max(min(self.last_connected, until), self.idle_closed_at) + QUIET_PERIOD:
             return False
         if not (self.full or self.shut or self.yielded):
-            met, self.port.numberAccepts = self.met, 1
+            before, self.port.numberAccepts = self.connections, 1
             self.port.doRead()
-            return self.met == met
+            return self.connections == before
         return True
 
     def shut_door(self):
@@ -167,7 +167,7 @@
         self.table.remove(client.number)
         self.see_to_room()
 
-    def again(self, client):
+    def schedule_read(self, client):
         """Schedule reading of pipelined requests in a later reactor iteration."""
         self.deadlines.at(self.clock(), self.read_on, client.number)
 
@@ -203,7 +203,7 @@
         New connections get more time, as their first request may be on its way.
         """
         now = self.clock()
-        self.phases.close_idle(now - max(rested, QUIET), now - rested)
+        self.phases.close_idle(now - max(rested, QUIET_PERIOD), now - rested)
 
     def requested(self, client, message):
         """Route a complete request: answer it here, or pass it to the node."""
@@ -251,7 +251,7 @@
             client.refuse(409, 'this Req-Id is open')
             return
         key = parts[-1].decode('latin-1') if parts and parts[-1] else None
-        self.node.take(client, message, row, key, wait, client.came)
+        self.node.take(client, message, row, key, wait, client.received_at)
 
     def stay(self, client):
         """Return whether the connection is kept open after this answer; it is closed when slots are
--- a/lilacdyke/net/phases.py
+++ b/lilacdyke/net/phases.py
@@ -4,7 +4,7 @@
 Never closes a connection on which an answer is due or a request lies unread.
 """
 
-from .sockets import quiet, waiting
+from .sockets import nothing_unread, waiting
 
 # FRESH: nothing received yet. IDLE: between requests. RECEIVING: a request is incomplete. ASKED: a request
 # is being answered. CLOSING: the last answer is written. STREAMING: a large answer is being sent.
@@ -63,7 +63,7 @@
         """Return a snapshot of the connections in a phase."""
         return list(self.by_phase[phase].values())
 
-    def make_room(self, places, need):
+    def make_room(self, places, pressure):
         """Close connections that are overdue at this pressure (NORMAL, BUSY, FULL).
 
         Idle ones come last, and only until so many slots are free. Guards against clients that never
@@ -72,7 +72,7 @@
         now, freed = self.clock(), 0
         for phase, stays in STAYS.items():
             for client in self.listed(phase):
-                if now < client.since + stays[need] or phase == IDLE and freed >= places:
+                if now < client.since + stays[pressure] or phase == IDLE and freed >= places:
                     if phase in TRAFFIC_TIMED:
                         continue
                     break
@@ -123,8 +123,8 @@
     upload = client.upload
     if upload and upload.reading_paused and now < client.since + MAX_WRITE_STALL:
         return False  # reading is paused on this side
-    spared, client.spared = client.spared, True
-    if not spared and not quiet(client.transport):
+    reprieved, client.reprieved = client.reprieved, True
+    if not reprieved and not nothing_unread(client.transport):
         return False
     client.cancel_request()
     client.refuse(408, 'the request did not come')
@@ -133,7 +133,7 @@
 
 def idle_overdue(client, now):
     """Close a connection that has no request in progress, unless one lies unread."""
-    if not quiet(client.transport):
+    if not nothing_unread(client.transport):
         return False
     client.close_unused()
     return True
--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -22,7 +22,7 @@
 
 LAST_RECEIVED_OFFSET = 52  # byte offset of tcpi_last_data_recv in struct tcp_info
 LISTEN_TRIES, LISTEN_PAUSE_SECONDS = 20, 0.05  # retries while out of memory or descriptors
-CLOSED = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT
+CLOSED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT
 
 
 class AnswersFirst:
@@ -115,31 +115,31 @@
         self.up.callback(self)
 
 
-class Dial(ClientFactory):
+class SingleConnectionFactory(ClientFactory):
     """Factory that connects a single, existing protocol instance."""
 
     noisy = False
 
-    def __init__(self, made):
-        self.made, self.connector = made, None
-        made.up = Deferred(lambda _: self.connector.disconnect())
+    def __init__(self, instance):
+        self.instance, self.connector = instance, None
+        instance.up = Deferred(lambda _: self.connector.disconnect())
 
     def buildProtocol(self, addr):
-        return self.made
+        return self.instance
 
     def clientConnectionFailed(self, connector, reason):
-        if not self.made.up.called:  # already fired if the attempt was cancelled
-            self.made.up.errback(reason)
+        if not self.instance.up.called:  # already fired if the attempt was cancelled
+            self.instance.up.errback(reason)
 
 
 def connect(reactor, address, protocol):
     """Connect a protocol to an address and return its Deferred. The caller enforces the timeout."""
-    dial = Dial(protocol)
+    dial = SingleConnectionFactory(protocol)
     dial.connector = reactor.connectTCP(*address, dial, timeout=None)
     return protocol.up
 
 
-def quiet(transport):
+def nothing_unread(transport):
     """Return whether a connection has nothing unread, not even its end.
 
     Guards against sending on a connection that has ended, and against closing one on which a request
@@ -185,7 +185,7 @@
                     continue
                 raise BlockingIOError(EAGAIN, name_of(err.errno)) from None
             state, waited = tcp_info(came)
-            if state in CLOSED:
+            if state in CLOSED_STATES:
                 came.close()  # the client is gone
             elif not self.late(waited) or not self.reject(came):
                 return came, address
@@ -272,12 +272,12 @@
         transport.getHandle().setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def left(transport):
+def peer_closed(transport):
     """Return whether the peer has closed or reset the connection, even if that lies unread.
 
     A peer that has only shut down its sending side looks the same and counts as gone.
     """
-    return tcp_info(transport.getHandle())[0] in CLOSED
+    return tcp_info(transport.getHandle())[0] in CLOSED_STATES
 
 
 def waiting(transport):
@@ -290,7 +290,7 @@
     return len(transport.dataBuffer) - transport.offset + sum(map(len, transport._tempDataBuffer))
 
 
-def push(transport, data):
+def send_now(transport, data):
     """Send immediately, bypassing the transport's buffer, which must be empty; return the number of
     bytes sent. Errors are left for the transport to discover.
     """
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -698,7 +698,7 @@
             made = node()
             _, cache = sent(made)
             cache.protocol.dataReceived(answer)
-            self.assertEqual((cache.disconnecting, made.caches.resting), (True, {}))
+            self.assertEqual((cache.disconnecting, made.caches.idle_links), (True, {}))
 
     def test_idle_connections_close_before_the_server_timeout(self):
         made = node()
@@ -993,7 +993,7 @@
                 file.write(text)
                 file.flush()
                 made.reread(file.name)
-                self.assertEqual((made.discovery.where[1], made.discovery.watch is None), (port, False))
+                self.assertEqual((made.discovery.target[1], made.discovery.watch is None), (port, False))
         made.reread('/nowhere')
         self.assertEqual(len(made.reactor.tcpClients), 3)
 
