--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -350,17 +350,7 @@
     """Connections to one server."""
 
     __slots__ = (
-        *(
-            'caches',
-            'server',
-            'address',
-            'idle_links',
-            'waiting',
-            'dials',
-            'refused',
-            'slots_short_until',
-            'links',
-        ),
+        *('caches', 'server', 'address', 'idle_links', 'waiting', 'dials', 'refused', 'short_until', 'links'),
         *('backoff', 'redial_at'),
     )
 
@@ -370,7 +360,7 @@
         self.waiting = deque()  # hops that wait for a connection
         self.dials = 0  # connections being opened
         self.links = 0  # all connections, including those being opened
-        self.slots_short_until = 0  # until when the server counts as short of connection slots
+        self.short_until = 0  # until when the server counts as short of connection slots
         self.backoff = 0  # backoff in ticks after local failures; 0: none
         self.redial_at = None  # time of the next attempt after a local failure; None: not scheduled
         self.refused = False  # whether an attempt was refused since, so that the server's process had ended
@@ -410,7 +400,7 @@
         capacity for more connections. Idle ones are then closed early, so that other nodes can use
         their slots.
         """
-        self.slots_short_until = self.caches.clock() + self.caches.idle_ticks
+        self.short_until = self.caches.clock() + self.caches.idle_ticks
 
     def dial(self):
         """Open a connection, within the site's connect timeout."""
@@ -435,7 +425,7 @@
             self.refused = False
             self.caches.returned(self.server)
         if link.address != self.address:
-            link.close('server address changed')  # its address changed during the attempt
+            link.close('server address changed')
             self.drop_waiter('unsent')
         else:
             self.offer(link)
@@ -682,7 +672,7 @@
         """
         self.idle_links[link.number] = link
         now = self.clock()
-        link.idle_until = now + (SHORT_IDLE_TIME if now < link.pool.slots_short_until else self.idle_ticks)
+        link.idle_until = now + (SHORT_IDLE_TIME if now < link.pool.short_until else self.idle_ticks)
         self.schedule_idle_check(link)
 
     def schedule_idle_check(self, link):
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -84,10 +84,8 @@
     def __init__(self, discovery):
         self.discovery, self.reader = discovery, Reader(ANSWER)
         self.number, self.chunks, self.line = None, None, bytearray()
-        self.partial_list, self.depth = (
-            bytearray(),
-            0,
-        )  # open: received part of an indented list; depth: its nesting
+        # partial_list: received part of an indented list; depth: its nesting
+        self.partial_list, self.depth = bytearray(), 0
         self.throttled = False  # whether discovery rejected the call for load
 
     def connectionMade(self):
@@ -161,7 +159,7 @@
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
         self.target, self.chance, self.table = place.discovery, chance, Table()
         self.node = node
-        # otherwise the router decides when to open a watch; retries are made here
+        # If not set, the router decides when to open a watch; retries are made here in either mode.
         self.pushed = not place.terms.watched
         self.backoff, self.max_backoff = (
             max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
@@ -170,7 +168,7 @@
         # failures: consecutive; throttled: those rejected for load
         self.version, self.failures, self.throttled = None, 0, 0
         self.watch, self.opening = None, None
-        # times of the last bytes, and of the last complete line (or of opening)
+        # Times of the last bytes, and of the last complete line (or of opening).
         self.last_received, self.last_complete = 0, 0
         self.attempt = 0  # number of watches opened; a retry scheduled for an earlier one is void
         self.backing_off = False  # whether a retry is scheduled
