--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -1,22 +1,22 @@
-"""HTTP/1.1 as bytes: reads requests and answers out of a stream however it was cut, and writes heads.
+"""HTTP/1.1 message parsing and serialization, independent of sockets.
 
-Owns the form of messages: bounds, framing, which header lines a hop passes on. Heads are matched in place
-in the buffer and passed on as slices. Must never touch a socket, keep more than one message's bounds, or
-guess at what is out of form: that is a BadMessage, with the status that a client should see.
+Reads requests and answers incrementally from a byte stream, enforces size limits and framing rules, and
+selects the header lines that are forwarded to the next hop. Heads are matched in place in the buffer
+and forwarded as slices. Malformed input raises BadMessage with the status to send to a client.
 """
 
 import re
 
-MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # bodies up to that are held whole
-MAX_FLOW = 32 << 20  # others are passed on as they come, up to that
+MAX_HEAD, MAX_BODY, MAX_LINE = 16_384, 65_536, 1_024  # larger bodies are streamed
+MAX_STREAMED_BODY = 32 << 20
 REQUEST = re.compile(rb'([A-Za-z]+) ([!-~]+) HTTP/1\.([01])\r\n')
 ANSWER = re.compile(rb'HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n\0]*)?\r\n')
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):([^\r\n\0]*)\r\n")
 SIZE = re.compile(rb'([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\r\n\0]*)?\r\n')
-BARE = re.compile(rb'1|204|304')  # answers that have no body
+BODYLESS_STATUS = re.compile(rb'1|204|304')  # statuses without a body
 DIGITS = re.compile(rb'[0-9]{1,12}\Z')
-# Lines that concern one connection only, or that every sender writes anew.
-OWN = frozenset(
+# Header fields that apply to one connection only, or that each hop writes itself.
+HOP_BY_HOP = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -30,9 +30,11 @@
         b'req-deadline',
     )
 )
-SINGLE = frozenset((b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined'))
-BODIED = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # a body may follow the head
-ABSOLUTE = re.compile(rb'(?i:https?)://[^/?#]*')
+SINGLE_VALUED = frozenset(
+    (b'host', b'req-id', b'req-deadline', b'req-owner', b'idempotency-key', b'srv-declined')
+)
+BODY_HEADER = re.compile(rb'(?i)\n(?:content-length|transfer-encoding)[ \t]*:')  # announces a body
+ORIGIN_PREFIX = re.compile(rb'(?i:https?)://[^/?#]*')
 CHUNKED = b'Transfer-Encoding: chunked\r\n'
 CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 REASONS = {
@@ -53,7 +55,7 @@
 
 
 class BadMessage(Exception):
-    """A message that cannot be read; status is what its sender is told, where it is a client."""
+    """Raised for a message that cannot be parsed; status is the answer for a client that sent it."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -61,48 +63,52 @@
 
 
 class Message:
-    """One request or answer: the first line's parts, the header lines as spans of the head, the body."""
+    """Request or answer: the parts of its first line, its header lines as spans of the head, and its
+    body.
+    """
 
-    __slots__ = ('head', 'begun', 'parts', 'lines', 'fields', 'body', 'length', 'source')
+    __slots__ = ('head', 'target_end', 'parts', 'lines', 'fields', 'body', 'length', 'source')
 
     def __init__(self, head, first):
         self.head = head
         self.parts = first.groups()
-        self.begun = first.end(2)  # where the second part ends
+        self.target_end = first.end(2)  # offset of the end of the request target, or of the status code
         self.lines, self.fields = [], {}
         self.body = b''
-        self.length = 0  # of the body; None: it is not told
-        self.source = None  # the connection from which the body still comes, where it flows
+        self.length = 0  # of the body; None: unknown
+        self.source = None  # what a streamed body is read from; None: the body is buffered
 
     def field(self, name):
-        """The value of a header field, or None."""
+        """Return the value of a header field, or None."""
         return self.fields.get(name)
 
     def tokens(self, name):
-        """The comma-separated words of a field."""
+        """Return the comma-separated tokens of a header field in lower case."""
         value = self.fields.get(name)
         return {word.strip().lower() for word in value.split(b',')} - {b''} if value else ()
 
     @property
     def path(self):
-        """What the request is about, without scheme, host and query."""
+        """The request target without scheme, authority and query."""
         target = self.parts[1]
         if not target.startswith(b'/'):
-            target = ABSOLUTE.sub(b'', target, 1) or b'/'
+            target = ORIGIN_PREFIX.sub(b'', target, 1) or b'/'
         return target.partition(b'?')[0]
 
     @property
     def lasting(self):
-        """Whether the connection may carry another message after this one."""
+        """Whether the connection stays open after this message."""
         words = self.tokens(b'connection')
         minor = self.parts[2] if len(self.parts) == 3 else self.parts[0]
         return b'close' not in words and (minor == b'1' or b'keep-alive' in words)
 
-    def passed(self):
-        """The header lines that go on to the next hop, as few slices of the head as they make."""
+    def forwarded_lines(self):
+        """Return the header lines to forward to the next hop, as the fewest possible slices of the
+        head.
+        """
         listed, runs = self.tokens(b'connection'), []
         for name, begin, end in self.lines:
-            if name in OWN or name in listed:
+            if name in HOP_BY_HOP or name in listed:
                 continue
             if runs and runs[-1][1] == begin:
                 runs[-1][1] = end
@@ -112,7 +118,7 @@
 
 
 def read_head(buffer, end, first):
-    """The message whose head is the buffer's first bytes up to end, its closing empty line included."""
+    """Parse the message head in buffer[:end], which includes the closing empty line."""
     begun = first.match(buffer, 0, end)
     if not begun:
         raise BadMessage(400, 'first line out of form')
@@ -128,7 +134,7 @@
         at = line.end()
         if name not in fields:
             fields[name] = value
-        elif name not in SINGLE:
+        elif name not in SINGLE_VALUED:
             fields[name] += b', ' + value
         elif fields[name] != value:
             raise BadMessage(400, 'header field twice')
@@ -136,21 +142,24 @@
 
 
 def one_read(data):
-    """Whether these bytes are, by their look, one whole request for a read and nothing more."""
-    return data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODIED.search(data)
+    """Return whether the bytes look like exactly one GET request without a body."""
+    return (
+        data.startswith(b'GET ') and data.find(b'\r\n\r\n') == len(data) - 4 and not BODY_HEADER.search(data)
+    )
 
 
 class Chunks:
-    """A chunked body being read."""
+    """Decoder for a chunked body."""
 
-    __slots__ = ('left', 'size', 'most', 'trailer', 'ended')
+    __slots__ = ('left', 'size', 'max_size', 'trailer', 'ended')
 
-    def __init__(self, most):
-        self.left, self.size, self.most = 0, 0, most  # left: of this chunk, with its line end; most: of all
+    def __init__(self, max_size):
+        # left: bytes of this chunk with its line end; size: bytes so far
+        self.left, self.size, self.max_size = 0, 0, max_size
         self.trailer, self.ended = 0, False
 
     def read(self, buffer):
-        """Take what can be taken off the buffer; the data in it."""
+        """Consume what is available in the buffer and return the decoded data."""
         data = bytearray()
         while not self.ended:
             if self.left > 2:
@@ -172,7 +181,7 @@
         return data
 
     def next_chunk(self, buffer):
-        """Read a chunk's size, or a line after the last chunk; False while it is not all there."""
+        """Read a chunk size or trailer line; return False if the line is incomplete."""
         end = buffer.find(b'\n') + 1
         if (end or len(buffer)) > MAX_LINE:
             raise BadMessage(400, 'chunk line too long')
@@ -189,7 +198,7 @@
                 raise BadMessage(400, 'chunk size out of form')
             size = int(line[1], 16)
             self.size += size
-            if self.most is not None and self.size > self.most:
+            if self.max_size is not None and self.size > self.max_size:
                 raise BadMessage(413, 'body too large')
             self.left, self.trailer = (size + 2, 0) if size else (0, 1)
         del buffer[:end]
@@ -197,66 +206,71 @@
 
 
 class Reader:
-    """One side's stream of messages. feed() what came, then take() messages until it gives None."""
+    """Incremental parser for one direction of a connection.
+
+    Call feed() with received bytes, then take() until it returns None.
+    """
 
-    __slots__ = ('first', 'most', 'buffer', 'scanned', 'message', 'need', 'chunks', 'lasts')
+    __slots__ = ('first', 'max_size', 'buffer', 'scanned', 'message', 'remaining', 'chunks', 'until_close')
 
-    def __init__(self, first, most=MAX_FLOW):
-        self.first, self.most = first, most  # REQUEST or ANSWER; the largest body
+    def __init__(self, first, max_size=MAX_STREAMED_BODY):
+        self.first, self.max_size = first, max_size  # first: pattern of the first line, REQUEST or ANSWER
         self.buffer = bytearray()
         self.reset()
 
     def reset(self):
-        self.scanned, self.message, self.need, self.chunks = 0, None, 0, None
-        self.lasts = False  # whether the body lasts until the connection ends
+        self.scanned, self.message, self.remaining, self.chunks = 0, None, 0, None
+        self.until_close = False  # whether the body extends to the end of the connection
 
     @property
-    def begun(self):
-        """Whether part of a message is here."""
+    def has_input(self):
+        """Whether part of a message has been received."""
         return self.message is not None or bool(self.buffer)
 
     @property
     def large(self):
-        """Whether the present message's body is too large to be held whole."""
-        return self.message is not None and max(self.need, len(self.message.body)) > MAX_BODY
+        """Whether the current message's body is too large to be buffered whole."""
+        return self.message is not None and max(self.remaining, len(self.message.body)) > MAX_BODY
 
     @property
     def whole(self):
-        """Whether all of the present body has been taken."""
-        return self.chunks.ended if self.chunks else not self.need and not self.lasts
+        """Whether the whole current body has been consumed."""
+        return self.chunks.ended if self.chunks else not self.remaining and not self.until_close
 
     def piece(self):
-        """Take what is here of a body that flows."""
+        """Consume and return the available part of a streamed body."""
         message = self.message
         data, message.body = bytes(message.body), b''
         if self.chunks:
             data += self.chunks.read(self.buffer)
-        elif self.lasts:
+        elif self.until_close:
             data += self.buffer
             self.count(len(self.buffer))
             self.buffer.clear()
-        elif self.need:
-            data += bytes(memoryview(self.buffer)[: self.need])
-            del self.buffer[: self.need]
-            self.need -= len(data)
+        elif self.remaining:
+            data += bytes(memoryview(self.buffer)[: self.remaining])
+            del self.buffer[: self.remaining]
+            self.remaining -= len(data)
         return data
 
     def count(self, more):
-        """So much more of a body whose length is not told. Guards against one without end."""
-        self.need -= more
-        if -self.need > self.most:
+        """Count bytes of a body of unknown length; raise BadMessage if it exceeds max_size."""
+        self.remaining -= more
+        if -self.remaining > self.max_size:
             raise BadMessage(413, 'body too large')
 
     def end(self):
-        """The connection has ended in order: the message whose body lasted until then, or None."""
-        if not self.lasts:
+        """Handle an orderly end of the connection: return the message whose body was delimited by it,
+        or None.
+        """
+        if not self.until_close:
             return None
         message = self.message
         self.reset()
         return message
 
     def hint(self):
-        """Whether the sender of the present message asks, and was not yet told, to go on with its body."""
+        """Return whether the sender waits for 100 Continue; true at most once per message."""
         asks = self.message and self.message.fields.pop(b'expect', b'').lower() == b'100-continue'
         return bool(asks and not self.buffer)
 
@@ -264,7 +278,7 @@
         self.buffer += data
 
     def take(self):
-        """The next whole message, or None."""
+        """Return the next complete message, or None."""
         if self.message is None and not self.take_head():
             return None
         message = self.message
@@ -272,23 +286,23 @@
             message.body += self.chunks.read(self.buffer)
             if not self.chunks.ended:
                 return None
-        elif self.lasts:
+        elif self.until_close:
             message.body += self.buffer
             self.count(len(self.buffer))
             self.buffer.clear()
             return None
         else:
-            if len(self.buffer) < self.need:
+            if len(self.buffer) < self.remaining:
                 return None
-            message.body = bytes(memoryview(self.buffer)[: self.need])
-            del self.buffer[: self.need]
+            message.body = bytes(memoryview(self.buffer)[: self.remaining])
+            del self.buffer[: self.remaining]
         self.reset()
         return message
 
     def take_head(self):
-        """Read the head once it is whole; the message without its body, or None."""
+        """Parse the head once it is complete; return the message without its body, or None."""
         while self.buffer[:2] == b'\r\n' and self.first is REQUEST:
-            del self.buffer[:2]  # an empty line before a request is to be passed over
+            del self.buffer[:2]  # empty lines before a request are ignored (RFC 9112, 2.2)
         end = self.buffer.find(b'\r\n\r\n', max(0, self.scanned - 3)) + 4
         self.scanned = len(self.buffer)
         if (end if end > 3 else self.scanned) > MAX_HEAD:
@@ -301,70 +315,79 @@
         return self.message
 
     def frame(self, message):
-        """How long the body is; what two headers tell differently is refused, never chosen between."""
+        """Determine the body's framing; conflicting or ambiguous framing is rejected."""
         length, coding = message.field(b'content-length'), message.field(b'transfer-encoding')
         if length is not None and coding is not None:
             raise BadMessage(400, 'two framings')
         if coding is not None:
             if coding.lower() != b'chunked':
                 raise BadMessage(400, 'unknown transfer coding')
-            self.chunks = Chunks(self.most)
+            self.chunks = Chunks(self.max_size)
             message.body, message.length = bytearray(), None
             return
-        if self.first is ANSWER and BARE.match(message.parts[1]):
+        if self.first is ANSWER and BODYLESS_STATUS.match(message.parts[1]):
             return
         if length is None:
             if self.first is ANSWER:
-                self.lasts, message.body, message.length = True, bytearray(), None
+                self.until_close, message.body, message.length = True, bytearray(), None
             return
         lengths = {part.strip() for part in length.split(b',')}
         if len(lengths) != 1 or not DIGITS.match(length := lengths.pop()):
             raise BadMessage(400, 'length out of form')
-        if int(length) > self.most:
+        if int(length) > self.max_size:
             raise BadMessage(413, 'body too large')
-        self.need = message.length = int(length)
+        self.remaining = message.length = int(length)
 
 
 def request(message, wait):
-    """A client's request as it goes to a cache that is waited for so long (tenths of a millisecond)."""
+    """Return the pieces of a client's request as sent to a cache server that is waited for this long
+    (tenths of a millisecond).
+    """
     tail = b'Req-Deadline: %d.%04d\r\n' % divmod(wait, 10_000)
     if message.source:
         tail += framing(message)
-        return [message.head[: message.begun], b' HTTP/1.1\r\n', *message.passed(), tail + b'\r\n']
+        return [
+            message.head[: message.target_end],
+            b' HTTP/1.1\r\n',
+            *message.forwarded_lines(),
+            tail + b'\r\n',
+        ]
     if message.body or message.parts[0] != b'GET':
         tail += b'Content-Length: %d\r\n' % len(message.body)
     return [
-        message.head[: message.begun],
+        message.head[: message.target_end],
         b' HTTP/1.1\r\n',
-        *message.passed(),
+        *message.forwarded_lines(),
         tail + b'\r\n',
         bytes(message.body),
     ]
 
 
 def relayed(message, lasting):
-    """A cache's 200 answer as it goes to the client."""
+    """Return the pieces of a cache server's 200 answer as sent to the client."""
     tail = b'Content-Length: %d\r\n' % len(message.body)
     if not lasting:
         tail += b'Connection: close\r\n'
-    return [b'HTTP/1.1 200 OK\r\n', *message.passed(), tail + b'\r\n', bytes(message.body)]
+    return [b'HTTP/1.1 200 OK\r\n', *message.forwarded_lines(), tail + b'\r\n', bytes(message.body)]
 
 
 def framing(message):
-    """The header line that tells how long a body is that flows."""
+    """Return the header line that describes the framing of a streamed body."""
     return CHUNKED if message.length is None else b'Content-Length: %d\r\n' % message.length
 
 
 def relayed_head(message, lasting, chunks):
-    """The head of a cache's 200 answer whose body flows; chunks: whether the client reads them."""
+    """Return the head of a cache server's 200 answer with a streamed body; chunks: whether the client
+    accepts chunked framing.
+    """
     tail = framing(message) if chunks or message.length is not None else b''
     if not lasting:
         tail += b'Connection: close\r\n'
-    return b''.join([b'HTTP/1.1 200 OK\r\n', *message.passed(), tail + b'\r\n'])
+    return b''.join([b'HTTP/1.1 200 OK\r\n', *message.forwarded_lines(), tail + b'\r\n'])
 
 
 def answer(status, lasting, text='', more=''):
-    """An answer of the node's own."""
+    """Return the pieces of an answer generated by the node itself."""
     body = text.encode()
     return [
         (
