--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -1,33 +1,50 @@
-"""The gate that every send passes, and the budgets under it; what the fleet lends comes in here alone. Owns
-hops, transactions, the four rules. Must never choose a server, nor let one budget loosen another."""
+"""The gate that every send passes: hops, transactions, the rules of sending and the budgets.
 
-from .known import FLOOR, Known
+Limits leased from the fleet are applied here and nowhere else. The gate chooses no server, and no budget
+extends another.
+"""
+
+from .known import MIN_SHARE, ServerTable
 from .terms import IDEMPOTENT, JOURNALLED
 
-STRAIN = 0.25  # share of hops ending late or badly from which a jam is fought
+OVERLOAD_RATIO = 0.25  # failure_ratio() from which a node sheds load
 
 
 class Hop:
     """One attempt of a transaction at a server."""
 
-    __slots__ = ('tx', 'server', 'index', 'sent', 'out', 'copy', 'ran', 'failed', 'dropped', 'weight', 'how')
+    __slots__ = (
+        'tx',
+        'server',
+        'index',
+        'sent',
+        'out',
+        'copy',
+        'ran',
+        'failed',
+        'dropped',
+        'weight',
+        'how',
+    )
 
     def __init__(self, tx, server, now, copy):
         self.tx, self.server, self.sent, self.copy = tx, server, now, copy
         self.index = len(tx.hops)
-        self.weight = 0 if tx.limit is None else 1  # of the server's hops out; 0: its body still comes
-        self.out, self.ran, self.failed, self.dropped = True, True, False, False  # ran: may have
-        self.how = None  # its ending, once it has one
+        self.weight = (
+            0 if tx.limit is None else 1
+        )  # in the in-flight counts; 0 while the body is still arriving
+        self.out, self.ran, self.failed, self.dropped = True, True, False, False  # ran: may have run
+        self.how = None  # its ending
 
 
 class Tx:
-    """A transaction that this node has taken."""
+    """A transaction that this node has accepted."""
 
     __slots__ = (
         'ref',
         'profile',
         'key',
-        'mark',
+        'key_hash',
         'taken',
         'limit',
         'write',
@@ -36,103 +53,112 @@
         'out',
         'done',
         'rank',
-        'next',
-        'delay',
+        'next_send_at',
+        'hedge_delay',
         'missed',
         'held',
-        'again',
-        'copied',
+        'retry_cache',
+        'hedged',
         'queued',
         'twice',
         'spent',
-        'known',
+        'key_seen',
         'refused',
         'why',
     )
 
-    def __init__(self, profile, key, mark, now, limit, write):
-        self.ref = None  # the host's own mark
-        self.profile, self.key, self.mark = profile, key, mark
-        self.taken, self.limit, self.write = now, limit, write  # limit None: its body still comes
-        # May be out twice, cut and sent anew; what is too large to be held may not.
+    def __init__(self, profile, key, key_hash, now, limit, write):
+        self.ref = None  # the host's reference
+        self.profile, self.key, self.key_hash = profile, key, key_hash
+        self.taken, self.limit, self.write = now, limit, write  # limit None: the body is still arriving
+        # A read may be hedged, timed out and retried; a request too large to buffer may not.
         self.read = profile.effect == IDEMPOTENT and not write and limit is not None
-        self.known = False  # its key was read here lately
-        self.spent = False  # its body has gone to a server and is not held
+        self.key_seen = False  # the key was read through this node lately
+        self.spent = False  # the body was streamed to a server and cannot be sent again
         self.hops, self.out, self.done = [], 0, False
-        self.rank = None  # caches by rendezvous rank, once needed
-        self.next, self.delay = None, 0  # when something more may be sent; the present copy delay
+        self.rank = None  # caches in rendezvous order, computed on demand
+        self.next_send_at, self.hedge_delay = (
+            None,
+            0,
+        )  # time of the next copy, delay before it
         self.missed = None  # the first cache that lacked the key
-        self.held = False  # waits for another's fetch, or for a place to fetch
-        self.again = None  # the cache to ask again after another's fetch
-        self.copied, self.queued, self.refused = False, False, None  # refused: over a limit of the fleet
-        self.why = None  # why it was given up, for the host's log
+        self.held = False  # waits for another transaction's fetch, or for capacity at the origin
+        self.retry_cache = None  # cache to retry after another transaction's fetch
+        self.hedged, self.queued, self.refused = False, False, None  # refused: the fleet's limit is exceeded
+        self.why = None  # reason for giving up, for the host's log
 
 
-class Gate(Known):
-    """What may be sent, by the rules and by the budgets."""
+class Gate(ServerTable):
+    """Decides whether a hop may be sent, by the rules and the budgets."""
 
     def __init__(self, terms, seed):
         super().__init__(terms, seed)
-        self.shares = None  # what the fleet lets this node spend (plan/shares.py); None: no limit
-        self.handed = False  # whether another process of this node has its cold budgets
-        self.copies_left = 1.0
-
-    def welcome(self, now, tx, server, drawn):
-        """Whether one more read should go there, by a number drawn for it. Guards against many nodes with a
-        hop each, whose sum jams a server: as the expected wait passes a third of the goal they send ever
-        less, a trickle at two thirds; at the origin later, the more a late answer is worth. Where a node
-        hears often the bound does, save in a jam behind the caches, as of their origin."""
-        if self.often and self.strain() < STRAIN and not server.origin:
+        self.shares = None  # this node's leases from the fleet (plan/shares.py); None: no limit
+        self.handed = False  # whether the node's next process has taken over the cold budgets
+        self.retry_budget = 1.0
+
+    def accepts_read(self, now, tx, server, drawn):
+        """Return whether a server should get one more read, given a random number in [0, 1).
+
+        This keeps many nodes with one hop each from overloading a server together. The probability falls as
+        the expected wait exceeds a third of the goal, down to MIN_SHARE at two thirds; for the origin, later
+        answers are accepted the more revenue they still earn. A node that often hears from each cache relies
+        on the in-flight limit instead, except in an overload behind the caches."""
+        if self.often and self.failure_ratio() < OVERLOAD_RATIO and not server.origin:
             return True
-        worth = 3 - tx.profile.late_revenue if server.origin else 3
-        part = worth * self.expected(now, server) / (self.goal if server.origin else tx.profile.goal)
-        return drawn < max(FLOOR, 2 - part)
-
-    def afford(self, now, tx):
-        """Take a further hop, after one that may have run, out of the budget: guards against a retry storm.
-        After an error it is free, without strain; from a full cache the fewer go on the more strain there is.
-        A read away from its home likely misses: it goes on only as far as the origin bears that."""
+        slope = 3 - tx.profile.late_revenue if server.origin else 3
+        excess = slope * self.expected_wait(now, server) / (self.goal if server.origin else tx.profile.goal)
+        return drawn < max(MIN_SHARE, 2 - excess)
+
+    def pay_for_retry(self, now, tx):
+        """Take a further hop from the retry budget; return whether it may be sent. Prevents retry storms.
+
+        A retry after an error is free unless the node sheds load. A retry after a hop that did not run is
+        free as well, but its probability falls as failure_ratio() grows. A read that leaves its home cache
+        probably misses, and is retried only if the origin accepts it."""
         if not tx.hops or tx.missed:
             return True
-        if tx.read and self.origin and not self.welcome(now, tx, self.origin, self.chance()):
+        if tx.read and self.origin and not self.accepts_read(now, tx, self.origin, self.chance()):
             return False
         if not tx.hops[-1].ran:
-            return self.chance() >= 2 * (self.strain() - STRAIN)
-        price = 0 if tx.hops[-1].failed and self.strain() < STRAIN else 1
-        if self.copies_left < price:
+            return self.chance() >= 2 * (self.failure_ratio() - OVERLOAD_RATIO)
+        cost = 0 if tx.hops[-1].failed and self.failure_ratio() < OVERLOAD_RATIO else 1
+        if self.retry_budget < cost:
             return False
-        self.copies_left -= price
+        self.retry_budget -= cost
         return True
 
     def late(self, waited):
-        """Whether what waited so long at the door is turned away: the node is behind, all would be late."""
+        """Return whether the node lags so far behind that a request that waited so long is rejected."""
         return 2 * waited > self.goal
 
-    def patience(self, tx):
-        """Until when a transaction may be held with nothing sent."""
+    def hold_until(self, tx):
+        """Return the time until which a transaction may be held without a hop."""
         return min(tx.limit, tx.taken + tx.profile.goal)
 
     @staticmethod
     def over(now, tx):
-        """Whether its time is up; it has none while its body comes."""
+        """Return whether the limit has passed; there is none while the body is arriving."""
         return tx.limit is not None and now >= tx.limit
 
     def cold_room(self, now, server):
-        """Whether one more may go to a server that may be cold: of what warm caches of its size serve (sent
-        are retries, in an overload), cut by age, this node's part at half of the multiple that all must stay
-        under. A part may be far under one hop a window: so credit gathers from a start drawn by chance."""
-        part = self.presence(now, server)
-        if self.shares and not self.shares.allows(now, server, part < 1):
+        """Return whether a server may get one more hop despite being cold.
+
+        The rate of a cold cache is the peak rate of warm caches, scaled by weight and age, times half of the
+        multiple that the whole fleet must stay under. It may be far below one hop per window, so credit
+        accumulates from a random start."""
+        warmth = self.presence(now, server)
+        if self.shares and not self.shares.allows(now, server, warmth < 1):
             return False
-        if server.origin or part == 1:
+        if server.origin or warmth == 1:
             return True
-        rate = max(1 / self.terms.nodes, self.usual * server.weight * part * self.terms.fall_multiple / 2)
-        gained = 0 if self.handed else rate * (now - server.dated) / self.terms.fall_window
-        server.credit, server.dated = min(max(1, rate / 2), server.credit + gained), now
-        return server.credit >= 1
+        rate = max(1 / self.terms.nodes, self.usual * server.weight * warmth * self.terms.fall_multiple / 2)
+        gained = 0 if self.handed else rate * (now - server.credit_updated) / self.terms.fall_window
+        server.cold_credit, server.credit_updated = min(max(1, rate / 2), server.cold_credit + gained), now
+        return server.cold_credit >= 1
 
     def permitted(self, now, tx, server):
-        """The four rules, for one more hop of this transaction to this server."""
+        """Return whether the rules allow one more hop of this transaction to this server."""
         if tx.done or self.over(now, tx) or len(tx.hops) >= self.terms.max_hops or server.state != 'ready':
             return False
         if tx.spent or not self.cold_room(now, server) or tx.out and not tx.twice:
@@ -142,17 +168,17 @@
             return True
         if tx.profile.effect != JOURNALLED or now >= ran[0].sent + tx.profile.window - self.terms.tick:
             return False
-        group = tx.profile.group  # within it servers drop each other's repeats
+        group = tx.profile.group  # servers of one group drop repeats of each other's transactions
         return group == 'all' or all(getattr(hop.server, group) == getattr(server, group) for hop in ran)
 
     def send(self, now, tx, server, copy):
-        """The one place that sends."""
+        """Send a hop if permitted; return the decision, or None. All hops are sent here."""
         if not self.permitted(now, tx, server):
             return None
         hop = Hop(tx, server, now, copy)
         tx.hops.append(hop)
         tx.out += 1
-        self.count_out(server, hop.weight)
-        server.credit -= 1
-        cut = tx.read and not server.origin and self.strain() >= STRAIN
-        return 'send', hop, max(1, self.patience(tx) - now) if cut else None
+        self.adjust_in_flight(server, hop.weight)
+        server.cold_credit -= 1
+        bounded = tx.read and not server.origin and self.failure_ratio() >= OVERLOAD_RATIO
+        return 'send', hop, max(1, self.hold_until(tx) - now) if bounded else None
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -1,16 +1,17 @@
-"""All decisions of a lilacdyke node: which cache a transaction goes to, when a copy follows, when to give up.
+"""Routing decisions of a node: which cache a transaction goes to, when to hedge or retry, when to give up.
 
-One Router an instance, from the site's terms, a seed and the node's rank. Inputs (list_changed, list_failed,
-list_replaced, list_remembered, take, hop_ended, client_gone) take the present time and only update what is
-known; the host then pulls `decide(now)` until it gives None. A decision is a tuple led by a verb:
-    ('send', hop, patience)   start this hop, to hop.server, timed out after patience (None: at the limit)
+Each instance has one Router, built from the site's terms, a seed and the node's rank. Inputs (list_changed,
+list_failed, list_replaced, list_remembered, take, hop_ended, client_gone) take the current time and only
+update state; the host then calls `decide(now)` until it returns None. A decision is a tuple led by a verb:
+    ('send', hop, timeout)    start this hop to hop.server; timeout None: it may last until the limit
     ('cancel', hop)           stop waiting for this hop
-    ('roll_back', tx, after)  final answer: trying again is harmless, best after so long (0: no hint)
-    ('abandon', tx)           final answer: nothing is promised
-    ('watch',)                ask for the list's changes; ('wake', when) pull again then
-    ('log', text)             a line for staff
-Operators call suspend and resume. The host passes the first committed answer on by itself. Every send passes
-the gate (gate.py). Times are whole tenths of a millisecond.
+    ('roll_back', tx, after)  final answer: the client may safely retry, after this delay (0: no hint)
+    ('abandon', tx)           final answer: the transaction may have run
+    ('watch',)                request changes to the server list
+    ('wake', when)            call decide() again at this time
+    ('log', text)             a log line for operators
+Operators call suspend and resume. The host forwards the first committed answer to the client by itself. Every
+send passes the gate (gate.py). Times are integers in units of 0.1 ms.
 """
 
 from collections import deque
@@ -18,123 +19,126 @@
 from math import log
 from zlib import crc32
 
-from .gate import STRAIN, Gate, Hop, Tx
-from .known import LOOKUPS, MARGIN, RACES, Histogram, Server
+from .gate import OVERLOAD_RATIO, Gate, Hop, Tx
+from .known import LOOKUP_WINDOW, MIN_IN_FLIGHT, RACE_WINDOW, Histogram, Server
 from .terms import IDEMPOTENT, JOURNALLED
 
-NEVER_RAN = ('refused', 'unreachable', 'unsent', 'missing')  # endings that prove a hop never ran
-OVER = 2  # passed over: more than OVER times the mean in-flight plus MARGIN
-COPY_SHARE = 0.25  # copies, as a share of the reads taken
-NEAR = 1 << 30  # how much more a cache of the node's own zone counts for a key that stays near
-PAST = 256  # reads by which a key counts as known
-MASK = (1 << 64) - 1
+NEVER_RAN = ('refused', 'unreachable', 'unsent', 'missing')  # endings that prove that a hop did not run
+BUSY_FACTOR = 2  # a cache above this multiple of the mean in-flight hops, plus MIN_IN_FLIGHT, is skipped
+BUDGET_RATIO = 0.25  # retries and hedges, as a share of the reads taken
+ZONE_FACTOR = 1 << 30  # weight of caches in the node's own zone, for keys that stay in it
+HISTORY_READS = 256
+MASK_64 = (1 << 64) - 1
 
 
-def mix(value):
-    """A 64-bit finalizer, the same in every process: neighbouring inputs give unrelated outputs."""
-    value = (value + 0x9E3779B97F4A7C15) & MASK
-    value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & MASK
-    value = (value ^ (value >> 27)) * 0x94D049BB133111EB & MASK
+def mix64(value):
+    """Return the splitmix64 hash of an integer; the result is the same in every process."""
+    value = (value + 0x9E3779B97F4A7C15) & MASK_64
+    value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & MASK_64
+    value = (value ^ (value >> 27)) * 0x94D049BB133111EB & MASK_64
     return value ^ (value >> 31)
 
 
-class Lookups:
-    """How often each key was among the latest reads."""
+class KeyFrequency:
+    """Counts how often each key occurs among the latest reads."""
 
-    __slots__ = ('marks', 'counts')
+    __slots__ = ('latest', 'counts')
 
-    def __init__(self, most):
-        self.marks, self.counts = deque(maxlen=most), {}
+    def __init__(self, size):
+        self.latest, self.counts = deque(maxlen=size), {}
 
-    def add(self, mark):
-        """Count one more; whether it was there already."""
-        if len(self.marks) == self.marks.maxlen:
-            old = self.marks.popleft()
+    def add(self, key_hash):
+        """Add a read; return whether the key was among the latest reads already."""
+        if len(self.latest) == self.latest.maxlen:
+            old = self.latest.popleft()
             self.counts[old] -= 1
             if not self.counts[old]:
                 del self.counts[old]
-        self.marks.append(mark)
-        self.counts[mark] = self.counts.get(mark, 0) + 1
-        return self.counts[mark] > 1
+        self.latest.append(key_hash)
+        self.counts[key_hash] = self.counts.get(key_hash, 0) + 1
+        return self.counts[key_hash] > 1
 
-    def part(self, mark):
-        """A key's part of these reads, beyond the one that any key would have."""
-        return max(0, self.counts.get(mark, 0) - 1) / max(RACES, len(self.marks))
+    def share(self, key_hash):
+        """Return a key's share of the latest reads, not counting its first."""
+        return max(0, self.counts.get(key_hash, 0) - 1) / max(RACE_WINDOW, len(self.latest))
 
 
 class Router(Gate):
-    """One node's decisions. Inputs update it; decide() is pulled until it gives None."""
+    """Routing state machine of one node: inputs update it, decide() returns the decisions."""
 
     def __init__(self, terms, seed, rank):
         super().__init__(terms, seed)
-        self.hint = min(terms.max_return, self.goal)  # when to come back if turned away; 0: not told
-        self.ready, self.alarms, self.asked, self.turn = deque(), [], None, 0  # ready: looked at next
-        self.last, self.every = 0, 0  # the last transaction; how far apart they come
-        self.fetching, self.followers = {}, {}  # by key: who fetches, who waits for that
-        self.queue = deque()  # reads that wait for a place to fetch
-        self.fetches = Histogram(self.unit)
-        self.past, self.recent = Lookups(PAST), Lookups(LOOKUPS)  # reads
+        self.hint = min(terms.max_return, self.goal)  # delay suggested to rejected clients; 0: none
+        # ready: transactions to examine; timers: a heap; next_wake: the latest requested wake-up.
+        self.ready, self.timers, self.next_wake, self.timer_count = deque(), [], None, 0
+        self.arrived, self.interval = 0, 0  # time of the latest transaction, mean time between two
+        self.fetching, self.followers = {}, {}  # by key: the transaction that fetches, those that wait for it
+        self.queue = deque()  # transactions that wait for capacity at the origin
+        self.fetch_times = Histogram(self.unit)
+        self.key_history, self.recent_keys = KeyFrequency(HISTORY_READS), KeyFrequency(LOOKUP_WINDOW)
 
     # --- transactions ---------------------------------------------------------------------------------
 
     def take(self, now, row, key, limit, write, since):
-        """A transaction arrives, since then at the node's door; one final answer is owed from here on."""
-        self.last, self.every = now, (7 * self.every + now - self.last) / 8 if self.last else 0
-        self.often = 3 * self.every * len(self.caches) <= 2 * self.goal
-        mark = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
-        tx = Tx(self.terms.profiles[row], key, mark, since, limit, write)
+        """Accept a transaction that reached the node at `since`; it gets exactly one final answer."""
+        self.arrived, self.interval = now, (7 * self.interval + now - self.arrived) / 8 if self.arrived else 0
+        self.often = 3 * self.interval * len(self.caches) <= 2 * self.goal
+        key_hash = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
+        tx = Tx(self.terms.profiles[row], key, key_hash, since, limit, write)
         tx.refused = self.shares and self.shares.admits(now, tx.profile)
-        tx.twice = self.terms.may_copy and tx.read  # only idempotent reads are ever out twice
+        tx.twice = self.terms.may_copy and tx.read  # only idempotent reads are hedged
         if tx.read and key is not None:
-            tx.known = self.past.add(mark)
-            self.recent.add(mark)
-        if not write and not self.late(4 * (now - since)):  # copies cost a node that is behind most
-            self.copies_left = min(RACES, self.copies_left + COPY_SHARE * max(0, 1 - 2 * self.strain()))
+            tx.key_seen = self.key_history.add(key_hash)
+            self.recent_keys.add(key_hash)
+        if not write and not self.late(4 * (now - since)):  # a node that lags behind cannot afford hedges
+            self.retry_budget = min(
+                RACE_WINDOW, self.retry_budget + BUDGET_RATIO * max(0, 1 - 2 * self.failure_ratio())
+            )
         self.ready.append(tx)
         if limit is not None:
             self.alarm(limit, tx)
         return tx
 
     def body_came(self, now, tx, limit):
-        """The last byte of a large request has come: its time runs, and its hop weighs from here on."""
+        """Start the clock of a large request whose body is complete; its hop counts as in flight from now."""
         tx.taken, tx.limit = now, limit
         for hop in tx.hops:
             if hop.out:
                 hop.sent, hop.weight = now, 1
-                self.count_out(hop.server, 1)
+                self.adjust_in_flight(hop.server, 1)
         self.alarm(limit, tx)
 
-    def hop_ended(self, now, hop, how, lasted, final, note):
-        """A hop's one ending. final: the transaction has ended too."""
+    def hop_ended(self, now, hop, ending, duration, final, note):
+        """Record the end of a hop; each hop ends once. final: the transaction has ended too."""
         tx, server = hop.tx, hop.server
         hop.out, tx.out = False, tx.out - 1
-        self.count_out(server, -hop.weight)
-        hop.ran, hop.failed, hop.how = how not in NEVER_RAN, how == 'error', how
-        if how in ('committed', 'missing') or how == 'error' and server.origin:
-            self.answered(now, hop, lasted, how, note)
-        elif how == 'error':
-            # The quickest answers may come from the worst caches; a second error in a row sets one aside.
-            (self.unanswered if server.doubt else self.halve)(now, server)
+        self.adjust_in_flight(server, -hop.weight)
+        hop.ran, hop.failed, hop.how = ending not in NEVER_RAN, ending == 'error', ending
+        if ending in ('committed', 'missing') or ending == 'error' and server.origin:
+            self.record_answer(now, hop, duration, ending, note)
+        elif ending == 'error':
+            # A failing cache may be the fastest to answer; a second error in a row counts as silence.
+            (self.record_silence if server.doubt else self.halve_share)(now, server)
             server.doubt = max(1, server.doubt)
-        elif how in ('spoilt', 'rejected'):
-            server.doubt = 0  # it answers, whatever came of that on the way
+        elif ending in ('spoilt', 'rejected'):
+            server.doubt = 0  # the server did answer
         elif (
-            how in ('unreachable', 'lost')
-            or how == 'expired'
+            ending in ('unreachable', 'lost')
+            or ending == 'expired'
             and self.over(now, tx)
-            or how == 'cancelled'
+            or ending == 'cancelled'
             and hop.dropped
-            and lasted > 2 * server.lag
+            and duration > 2 * server.lag
         ):
-            self.unanswered(now, server)
-        elif how == 'refused':
-            # A full server is crowded, not dead: it gets less until it answers again.
-            self.halve(now, server)
-        self.time(now, hop, how, lasted)
-        self.weigh(now, hop, how, lasted)
+            self.record_silence(now, server)
+        elif ending == 'refused':
+            # A full server is alive, and gets less traffic until it answers again.
+            self.halve_share(now, server)
+        self.record_latency(now, hop, ending, duration)
+        self.update_in_flight_limit(now, hop, ending, duration)
         if server.origin:
-            self.fetch_ended(now, hop, how, lasted)
-        if how == 'missing' and not server.origin:
+            self.fetch_ended(now, hop, ending, duration)
+        if ending == 'missing' and not server.origin:
             tx.missed = tx.missed or server
         if final:
             self.finish(now, tx)
@@ -142,60 +146,60 @@
             self.ready.append(tx)
 
     def finish(self, now, tx):
-        """The transaction has its final answer: whoever waited for its fetch must not wait in vain."""
+        """Mark a transaction as finished and release those that wait for its fetch."""
         tx.done = True
-        self.release(tx)
+        self.release_followers(tx)
         self.ready.append(tx)
 
-    client_gone = finish  # nothing more is owed
+    client_gone = finish  # a client that has left needs no answer
 
-    # --- the origin's fetches -------------------------------------------------------------------------
+    # --- fetches from the origin ----------------------------------------------------------------------
 
-    def fetch_ended(self, now, hop, how, lasted):
-        """The place at the origin is free for the next that waits."""
+    def fetch_ended(self, now, hop, ending, duration):
+        """Release the followers of a fetch, and start the next queued one."""
         tx = hop.tx
-        if how == 'committed':
-            self.fetches.add(lasted)
-        self.release(tx)
-        while self.queue and self.origin and self.origin.out < self.origin.bear:
+        if ending == 'committed':
+            self.fetch_times.add(duration)
+        self.release_followers(tx)
+        while self.queue and self.origin and self.origin.out < self.origin.in_flight_limit:
             waiting = self.queue.popleft()
             if waiting.queued and not waiting.done:
                 waiting.queued = waiting.held = False
                 self.ready.append(waiting)
                 break
 
-    def release(self, leader):
-        """A fetch is over, if this one led it: those who waited ask their cache again."""
+    def release_followers(self, leader):
+        """Let the followers of this transaction's fetch, if it led one, retry their cache."""
         if self.fetching.get(leader.key) is leader:
             del self.fetching[leader.key]
             for tx in self.followers.pop(leader.key, ()):
                 if not tx.done:
-                    tx.held, tx.again = False, tx.missed
+                    tx.held, tx.retry_cache = False, tx.missed
                     self.ready.append(tx)
 
     # --- deciding -------------------------------------------------------------------------------------
 
     def alarm(self, when, tx):
-        """Look at it (None: at the list) at that time."""
-        self.turn += 1
-        heappush(self.alarms, (when, self.turn, tx))
+        """Set a timer for a transaction, or for the server list if tx is None."""
+        self.timer_count += 1
+        heappush(self.timers, (when, self.timer_count, tx))
 
     def decide(self, now):
-        """The next decision, or None when there is none left."""
+        """Return the next decision, or None if there is none left."""
         if self.logs:
             return 'log', self.logs.popleft()
-        if self.asked is not None and now >= self.asked:
-            self.asked = None
-        while self.alarms:
-            when, _, tx = self.alarms[0]
-            over = tx is not None and tx.done and not tx.out  # no wake-up is asked for that
-            if when > now and not over:
+        if self.next_wake is not None and now >= self.next_wake:
+            self.next_wake = None
+        while self.timers:
+            when, _, tx = self.timers[0]
+            stale = tx is not None and tx.done and not tx.out
+            if when > now and not stale:
                 break
-            heappop(self.alarms)
-            if tx is not None and not over:
+            heappop(self.timers)
+            if tx is not None and not stale:
                 self.ready.append(tx)
         if self.watch_at is not None and now >= self.watch_at:
-            # Ask again should no answer come at all, before this counts as not asked.
+            # Request the list again if no answer arrives, in time for terms.ask_within.
             self.watch_at = now + self.terms.ask_within // 2
             self.alarm(self.watch_at, None)
             return ('watch',)
@@ -204,91 +208,91 @@
             if decision:
                 return decision
             self.ready.popleft()
-        if self.alarms and (self.asked is None or self.alarms[0][0] < self.asked):
-            self.asked = self.alarms[0][0]
-            return 'wake', self.asked
+        if self.timers and (self.next_wake is None or self.timers[0][0] < self.next_wake):
+            self.next_wake = self.timers[0][0]
+            return 'wake', self.next_wake
         return None
 
     def step(self, now, tx):
-        """What this transaction needs now, if anything."""
+        """Return the decision that a transaction needs now, or None."""
         if tx.done:
             return self.cancel(tx)
         if self.over(now, tx):
             return self.give_up(now, tx, 'time is up') if not tx.out else None
         if tx.held:
-            return self.give_up(now, tx, 'waited for a fetch') if now >= self.patience(tx) else None
-        self.survey(now)
+            return self.give_up(now, tx, 'waited for a fetch') if now >= self.hold_until(tx) else None
+        self.update_warm_rate(now)
         if not tx.hops and (tx.refused or self.late(now - tx.taken)):
             return self.give_up(now, tx, 'limit of the fleet' if tx.refused else 'node is behind')
         if tx.out:
-            return self.step_waiting(now, tx)
-        if tx.read and tx.hops and now >= self.patience(tx) and tx.hops[-1].ran:
+            return self.step_in_flight(now, tx)
+        if tx.read and tx.hops and now >= self.hold_until(tx) and tx.hops[-1].ran:
             return self.give_up(now, tx, 'late for another attempt')
         once = tx.write or tx.limit is None or not tx.read and tx.hops and tx.hops[-1].ran
-        if tx.missed and not (tx.again or once):
-            return self.step_fetch(now, tx)  # of whatever effect: a miss had none
-        return self.step_read(now, tx, False) if tx.read else self.step_once(now, tx)
+        if tx.missed and not (tx.retry_cache or once):
+            return self.step_fetch(now, tx)  # safe for every effect, since a miss has none
+        return self.step_read(now, tx, False) if tx.read else self.step_single(now, tx)
 
     def cancel(self, tx):
-        """The loser of a race, or a hop whose client has gone, is not waited for."""
+        """Cancel one in-flight hop of a finished transaction, if cancelling is allowed."""
         for hop in tx.hops if self.terms.may_cancel else ():
             if hop.out and not hop.dropped:
                 hop.dropped = True
                 return 'cancel', hop
         return None
 
-    def step_waiting(self, now, tx):
-        """A hop is out: send a copy once the delay has passed, or fetch if another cache missed already."""
-        if tx.next is None or now < tx.next or not tx.twice:
+    def step_in_flight(self, now, tx):
+        """Handle a transaction with a hop in flight: hedge after the delay, or fetch after a miss."""
+        if tx.next_send_at is None or now < tx.next_send_at or not tx.twice:
             return None
         if tx.missed:
             return self.step_fetch(now, tx)
-        decision = self.step_read(now, tx, True) if self.copies_left >= 1 else None
+        decision = self.step_read(now, tx, True) if self.retry_budget >= 1 else None
         if decision:
-            self.copies_left, tx.copied = self.copies_left - 1, True
+            self.retry_budget, tx.hedged = self.retry_budget - 1, True
         return decision
 
     def step_read(self, now, tx, copy):
-        """Send to the best-ranked cache not yet tried; a copy's absence is no reason to give up."""
-        if not (copy or tx.again or self.afford(now, tx)):
+        """Send a read to the best untried cache; without one, give up unless this is only a copy."""
+        if not (copy or tx.retry_cache or self.pay_for_retry(now, tx)):
             return self.give_up(now, tx, 'no budget for another attempt')
-        server = tx.again or self.pick(now, tx)
-        tx.again = decision = None
-        spare = 1 if self.terms.aside else 0  # a miss needs one more hop, to the origin
+        server = tx.retry_cache or self.pick(now, tx)
+        tx.retry_cache = decision = None
+        spare = 1 if self.terms.aside else 0  # a miss needs a hop to the origin
         if server and len(tx.hops) < self.terms.max_hops - spare:
             decision = self.send(now, tx, server, copy)
         if not decision:
-            tx.next = None
+            tx.next_send_at = None
             return None if copy else self.give_up(now, tx, 'no server may be asked')
         if copy:
-            tx.delay *= 2
-            tx.hops[0].server.pace.alone = 0
+            tx.hedge_delay *= 2
+            tx.hops[0].server.hedge_timer.since_hedge = 0
         else:
-            tx.delay = server.pace.delay(tx.profile.goal // 4, tx.profile.goal // 2)
-        tx.next = now + max(tx.delay, copy)  # the first may follow at once
+            tx.hedge_delay = server.hedge_timer.next_delay(tx.profile.goal // 4, tx.profile.goal // 2)
+        tx.next_send_at = now + max(tx.hedge_delay, copy)  # only the first copy may follow at once
         if tx.twice:
-            self.alarm(tx.next, tx)
+            self.alarm(tx.next_send_at, tx)
         return decision
 
-    def step_once(self, now, tx):
-        """Writes and what must not run twice go once, and again only after proof that they did not run."""
-        server = tx.again or (self.origin if self.terms.aside and tx.write else self.pick(now, tx))
-        tx.again = None
-        decision = server and self.afford(now, tx) and self.send(now, tx, server, False)
+    def step_single(self, now, tx):
+        """Send a write or a non-repeatable request, which is retried only if it did not run or may repeat."""
+        server = tx.retry_cache or (self.origin if self.terms.aside and tx.write else self.pick(now, tx))
+        tx.retry_cache = None
+        decision = server and self.pay_for_retry(now, tx) and self.send(now, tx, server, False)
         return decision or self.give_up(now, tx, 'no server may be asked')
 
     def step_fetch(self, now, tx):
-        """Ask the origin for what a cache lacked: one fetch a key, and no more out than the origin bears."""
-        tx.next = None
+        """Fetch a missing key from the origin: one fetch per key, within the origin's in-flight limit."""
+        tx.next_send_at = None
         leader = self.fetching.get(tx.key)
         if leader is not None and leader is not tx and len(tx.hops) < self.terms.max_hops - 1:
             self.followers.setdefault(tx.key, []).append(tx)
             return self.hold(tx)
-        if not self.origin or not self.welcome(now, tx, self.origin, self.chance()):
+        if not self.origin or not self.accepts_read(now, tx, self.origin, self.chance()):
             return self.give_up(now, tx, 'origin is slow')
-        if self.origin.out >= self.origin.bear:
-            mean = self.fetches.spread()[0] or self.goal // 4
-            if now + mean * (1 + (len(self.queue) + 1) / self.origin.bear) > self.patience(tx):
+        if self.origin.out >= self.origin.in_flight_limit:
+            mean = self.fetch_times.mean_and_deviation()[0] or self.goal // 4
+            if now + mean * (1 + (len(self.queue) + 1) / self.origin.in_flight_limit) > self.hold_until(tx):
                 return self.give_up(now, tx, 'origin is full')
             self.queue.append(tx)
             tx.queued = True
@@ -301,89 +305,97 @@
         return decision
 
     def hold(self, tx):
-        """Wait, with nothing sent, for another's fetch or a place at the origin."""
+        """Hold a transaction until another one's fetch ends or the origin has capacity."""
         tx.held = True
-        self.alarm(self.patience(tx), tx)
+        self.alarm(self.hold_until(tx), tx)
 
     def pick(self, now, tx):
-        """The best-ranked cache not yet tried, passing over those far busier than the mean or set aside.
+        """Return the best-ranked untried cache that is neither overloaded nor set aside, or None.
 
-        A read passed over is likely a miss where it lands, and the origin bears few: like a copy it takes
-        from the budget; without budget it stays with its home or is turned away."""
+        A read that leaves its home cache probably misses and loads the origin, so it takes from the retry
+        budget; without budget it stays with its home cache or is rejected."""
         if not self.caches:
             return None
         tried = [hop.server for hop in tx.hops]
-        # Writes go where reads do not, until hops fail all over: then retried writes keep an origin down.
-        urgent = tx.write and self.strain() < 0.5
-        busy = OVER * self.total_out / len(self.caches) + MARGIN
+        # Writes ignore load limits, except in a wide overload, in which retried writes keep an origin down.
+        urgent = tx.write and self.failure_ratio() < 0.5
+        busy = BUSY_FACTOR * self.total_out / len(self.caches) + MIN_IN_FLIGHT
         home, spare, aside, drawn = None, None, 0, self.chance()
         for server in self.ranked(now, tx):
             if server in tried or server.state != 'ready' or not self.cold_room(now, server):
                 continue
-            room = urgent or server.out < server.bear and self.welcome(now, tx, server, drawn)
-            turns = self.let(now, server)
-            if turns < 1:
-                # Only the foremost, and by chance: a hop of each node at each would keep all jammed.
+            room = urgent or server.out < server.in_flight_limit and self.accepts_read(now, tx, server, drawn)
+            share = self.admitted_share(now, server)
+            if share < 1:
+                # Few candidates, and by chance: one hop from each node would keep them all overloaded.
                 aside += 1
-                if aside > self.terms.max_hops or self.chance() >= turns:
+                if aside > self.terms.max_hops or self.chance() >= share:
                     spare = spare or (server if urgent else None)
                     continue
             if room and server.out <= busy:
                 if home and not tx.hops:
-                    self.copies_left -= 1
+                    self.retry_budget -= 1
                 return server
             if not home:
                 home = server
-                if not tx.hops and self.copies_left < 1:
+                if not tx.hops and self.retry_budget < 1:
                     return server if room else None
             if room and (spare is None or self.load(now, server) < self.load(now, spare)):
                 spare = server
         return spare
 
     def load(self, now, server):
-        """How loaded a server is by this node, for its size and age; the set-aside come last."""
+        """Return a sort key: this node's load relative to the server's capacity, set-aside servers last."""
         size = server.weight * self.presence(now, server) + 1e-9
-        return self.let(now, server) < 1, (server.out + 1) / size
+        return self.admitted_share(now, server) < 1, (server.out + 1) / size
 
     def ranked(self, now, tx):
-        """Weighted rendezvous: size, age, zone set how many keys a cache wins; others' keys do not move."""
+        """Return the caches in weighted rendezvous order, weighted by size, age and zone, for this key."""
         if tx.rank is None:
-            scored, near = [], self.near(now, tx)
+            scored, local = [], self.prefers_local(now, tx)
             for s in self.caches:
-                drawn = (mix(s.mark ^ tx.mark) + 1) / (MASK + 2)
-                size = self.presence(now, s) * s.weight * (NEAR if near and s.zone == self.terms.zone else 1)
+                drawn = (mix64(s.name_hash ^ tx.key_hash) + 1) / (MASK_64 + 2)
+                size = (
+                    self.presence(now, s)
+                    * s.weight
+                    * (ZONE_FACTOR if local and s.zone == self.terms.zone else 1)
+                )
                 scored.append((size / -log(drawn), s.name, s))
             scored.sort(reverse=True)
             tx.rank = [row[2] for row in scored]
             if tx.read:
-                self.spread(tx, near)
+                self.spread_hot_key(tx, local)
         return tx.rank
 
-    def near(self, now, tx):
-        """Whether a key's home is in the node's own zone, where crossing costs more than work wasted. Guards
-        against misses that the origin cannot take, and a zone that bears less: as waits grow, keys go to one
-        home for all, those not read lately first. No chance: a key that goes both ways misses twice."""
+    def prefers_local(self, now, tx):
+        """Return whether a key's home is in the node's own zone, if crossing zones costs more than a miss.
+
+        As waits at the caches or the origin grow, more keys share one home across zones, keys that were not
+        read lately first. This depends on the key alone: one with two homes would miss in both."""
         if self.terms.cross_price <= self.terms.waste_price:
             return False
-        room = 2 - 6 * self.typical(now) / self.goal
+        bound = 2 - 6 * self.common_wait(now) / self.goal
         if self.origin:
-            room = min(room, 2 - (4 if tx.known else 6) * self.expected(now, self.origin) / self.goal)
-        return mix(tx.mark) & 0xFFFF < room * 0x10000
-
-    def spread(self, tx, near):
-        """Guards against a key that asks for more than its home bears: with over half of a cache's fair part
-        of this node's reads it goes by chance to as many first caches as that takes."""
-        part = max(2 * self.recent.part(tx.mark), self.past.part(tx.mark))
-        if not part:
+            bound = min(
+                bound, 2 - (4 if tx.key_seen else 6) * self.expected_wait(now, self.origin) / self.goal
+            )
+        return mix64(tx.key_hash) & 0xFFFF < bound * 0x10000
+
+    def spread_hot_key(self, tx, local):
+        """Spread a hot key over as many of its first caches as its share of the reads needs, so that it does
+        not overload its home."""
+        share = max(2 * self.recent_keys.share(tx.key_hash), self.key_history.share(tx.key_hash))
+        if not share:
             return
-        reach = sum(s.zone == self.terms.zone for s in self.caches) if near else len(self.caches)
-        wide = min(reach, int(reach * part) + 1)
-        turn = int(self.chance() * wide) if wide > 1 else 0
-        tx.rank[:wide] = tx.rank[turn:wide] + tx.rank[:turn]
+        eligible = sum(s.zone == self.terms.zone for s in self.caches) if local else len(self.caches)
+        spread = min(eligible, int(eligible * share) + 1)
+        first = int(self.chance() * spread) if spread > 1 else 0
+        tx.rank[:spread] = tx.rank[first:spread] + tx.rank[:first]
 
     def give_up(self, now, tx, why=None):
-        """The one place that gives a final answer: a roll-back where trying again is harmless. why: for the
-        host's log."""
+        """Return the final answer, a roll-back if a retry by the client is harmless. why: for the host's log.
+
+        All final answers are given here."""
         tx.why = why
         effect = tx.profile.effect
         ran = [hop for hop in tx.hops if hop.ran]
