--- a/lilacdyke/framing.py
+++ b/lilacdyke/framing.py
@@ -1,7 +1,6 @@
-"""Frames in a stream: four bytes of length (big-endian), then so many bytes.
+"""Length-prefixed framing of a byte stream: a 32-bit big-endian length, then the body.
 
-Owns where one frame ends and the next begins. Must never hold more than one frame's bytes beyond what came
-last.
+A reader buffers at max_size one incomplete frame besides the latest data.
 """
 
 from struct import Struct
@@ -10,23 +9,23 @@
 
 
 class FrameReader:
-    """Frames out of a stream, however it was cut. most: bytes of one; error: raised for a longer one."""
+    """Splits a stream into frames. max_size: of a body, in bytes; error: raised for a longer frame."""
 
-    __slots__ = ('buffer', 'most', 'error')
+    __slots__ = ('buffer', 'max_size', 'error')
 
-    def __init__(self, most, error):
-        self.buffer, self.most, self.error = bytearray(), most, error
+    def __init__(self, max_size, error):
+        self.buffer, self.max_size, self.error = bytearray(), max_size, error
 
     def feed(self, data):
-        """The bodies of all frames that are whole by now."""
+        """Add received data and return the bodies of all frames that are complete."""
         self.buffer += data
-        found = []
+        bodies = []
         while len(self.buffer) >= LENGTH.size:
             (size,) = LENGTH.unpack_from(self.buffer)
-            if size > self.most:
+            if size > self.max_size:
                 raise self.error('a frame of %d bytes' % size)
             if len(self.buffer) < LENGTH.size + size:
                 break
-            found.append(bytes(memoryview(self.buffer)[LENGTH.size : LENGTH.size + size]))
+            bodies.append(bytes(memoryview(self.buffer)[LENGTH.size : LENGTH.size + size]))
             del self.buffer[: LENGTH.size + size]
-        return found
+        return bodies
