--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -1,6 +1,6 @@
-"""What an operator fixes for a site before a router starts there: types only, no decisions.
+"""Types of the terms that an operator sets for a site before its routers start.
 
-Times are whole tenths of a millisecond (1 s is 10,000), as everywhere in the package.
+Times are integers in units of 0.1 ms (1 s is 10,000), as in the whole package.
 """
 
 IDEMPOTENT = 'idempotent'
@@ -9,22 +9,22 @@
 
 
 class Profile:
-    """One row of the table of profiles: what the router must know of a kind of transaction."""
+    """Profile of a kind of transaction: its effect, goal and limits."""
 
     __slots__ = ('name', 'effect', 'group', 'window', 'goal', 'late_revenue', 'hard')
 
     def __init__(self, name, effect, group, window, goal, late_revenue, hard=0):
         self.name = name
         self.effect = effect
-        self.group = group  # 'all', 'zone' or 'cell': who drops a journalled repeat
-        self.window = window  # and for how long after the first send
+        self.group = group  # 'all', 'zone' or 'cell': the servers among which journalled repeats are dropped
+        self.window = window  # time after the first hop during which they are dropped
         self.goal = goal
         self.late_revenue = late_revenue
-        self.hard = hard  # the hard limit: the most that a client waits in all
+        self.hard = hard  # hard limit of a client's total wait
 
 
 class Tenant:
-    """One who shares the fleet, and the transactions a second, over all nodes, within its share."""
+    """A tenant of the fleet, and its quota in transactions per second over all nodes."""
 
     __slots__ = ('name', 'quota')
 
@@ -34,10 +34,10 @@
 
 
 class SiteTerms:
-    """The terms a site gives its nodes: who asks, what is allowed, what must be kept.
+    """Terms of a site for its nodes: profiles, tenants, permissions, limits and prices.
 
-    cross_price is due for one hop a transaction that crosses zones, waste_price for as much work wasted as
-    asked for.
+    cross_price is charged per transaction with one hop across zones, waste_price per transaction whose work
+    is wasted once.
     """
 
     __slots__ = (
