--- a/lilacdyke/decode.py
+++ b/lilacdyke/decode.py
@@ -1,7 +1,6 @@
-"""Reads what operators fix beforehand, for the bench's adapter and for the node on sockets alike.
+"""Parsing of the settings and of a node's configuration page, for nodes and for the simulator's adapter.
 
-Owns the form of the settings and of a node's own page (its name, addresses, limits). Names what is
-missing or out of form and never fills it in by itself; decides nothing.
+A missing or malformed key is named in the error and is never filled in with a default.
 """
 
 import json
@@ -15,7 +14,7 @@
 
 
 def find(tree, path, kind):
-    """The value at a dotted path, checked to be of a kind; a missing one is named."""
+    """Return the value at a dotted path; raise BadLine if it is missing or of another type."""
     value = tree
     for name in path.split('.'):
         if not isinstance(value, dict) or name not in value:
@@ -27,7 +26,7 @@
 
 
 def _choice(tree, path, known):
-    """The value at a path, which must be one of the known words."""
+    """Return the word at a path; raise BadLine unless it is one of the known ones."""
     word = find(tree, path, str)
     if word not in known:
         raise BadLine('unknown: %s: %.200r' % (path, word))
@@ -36,12 +35,12 @@
 
 def _profile(row):
     effect = EFFECTS[_choice(row, 'effect', EFFECTS)]
-    kept = effect == JOURNALLED
+    journalled = effect == JOURNALLED
     return Profile(
         find(row, 'name', str),
         effect,
-        _choice(row, 'group', ('all', 'zone', 'cell')) if kept else 'all',
-        down(find(row, 'repeatWindowS', REAL)) if kept else 0,
+        _choice(row, 'group', ('all', 'zone', 'cell')) if journalled else 'all',
+        down(find(row, 'repeatWindowS', REAL)) if journalled else 0,
         down(find(row, 'serviceGoalS', REAL)),
         find(row, 'lateRevenue', REAL),
         down(find(row, 'hardLimitS', REAL)),
@@ -53,7 +52,7 @@
     return [build(row) for row in rows]
 
 
-def _tree(text, what):
+def _parse_json(text, what):
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as err:
@@ -61,13 +60,13 @@
 
 
 def decode(text):
-    """The site's terms, this node's number, and the kind that marks the origin in lists."""
-    return decode_tree(_tree(text, 'settings are'))
+    """Parse settings; return the site's terms, the node's rank and the origin's kind in lists (-1: none)."""
+    return decode_tree(_parse_json(text, 'settings are'))
 
 
 def decode_tree(tree):
-    """The same from settings that are parsed already."""
-    may_return = find(tree, 'limits.retryAfter', bool)
+    """Return the same as decode(), from settings already parsed as JSON."""
+    may_suggest = find(tree, 'limits.retryAfter', bool)
     terms = SiteTerms(
         profiles=_rows(tree, 'profiles', _profile),
         tenants=_rows(
@@ -81,7 +80,7 @@
         may_copy=find(tree, 'limits.mayDuplicate', bool),
         may_cancel=find(tree, 'limits.cancel', bool),
         max_hops=find(tree, 'limits.maxHops', int),
-        max_return=down(find(tree, 'limits.maxRetryAfterS', REAL)) if may_return else 0,
+        max_return=down(find(tree, 'limits.maxRetryAfterS', REAL)) if may_suggest else 0,
         ask_within=down(find(tree, 'safety.askWithinS', REAL)),
         fall_multiple=find(tree, 'safety.fallMultiple', REAL),
         fall_window=up(find(tree, 'safety.overloadForS', REAL)),
@@ -97,15 +96,15 @@
     return terms, find(tree, 'rank', int), origin_kind
 
 
-def shape(tree):
-    """Refuse settings that mix the shapes of deployment: what is priced or used but, by another key, not
-    there. Returns the zones' names with their numbers, as lists on sockets name zones."""
+def validated_zones(tree):
+    """Return the numbers of the zones by name; raise BadLine if keys of the settings contradict each other,
+    such as a fee for a feature that another key turns off."""
     zones = find(tree, 'dcs', list)
     if not zones or not all(isinstance(zone, str) for zone in zones) or len(set(zones)) < len(zones):
         raise BadLine('out of form: dcs: %.200r' % zones)
     probing, peers = find(tree, 'limits.probing', bool), find(tree, 'limits.peers', bool)
     how = _choice(tree, 'stats.how', ('inline', 'on_probe', 'off'))
-    for key, mixed, why in (
+    for key, contradicts, why in (
         ('zone', not 0 <= find(tree, 'zone', int) < len(zones), 'no such zone in dcs'),
         ('rank', not 0 <= find(tree, 'rank', int) < find(tree, 'balancers', int), 'not under balancers'),
         ('fees.crossZone', len(zones) == 1 and find(tree, 'fees.crossZone', REAL) > 0, 'dcs has one zone'),
@@ -114,13 +113,13 @@
         ('stats.fields', how == 'off' and find(tree, 'stats.fields', list) != [], 'stats.how is off'),
         ('fees.peer', not peers and find(tree, 'fees.peer', REAL) > 0, 'limits.peers is false'),
     ):
-        if mixed:
+        if contradicts:
             raise BadLine('settings mix two shapes: %s: %s' % (key, why))
     return {zone: number for number, zone in enumerate(zones)}
 
 
 class Place:
-    """What one node on sockets is told of itself. Addresses are pairs of a literal host and a port."""
+    """Configuration of one node. Addresses are pairs of a literal IP address and a port."""
 
     __slots__ = (
         'name',
@@ -147,7 +146,7 @@
 
 
 def address(text):
-    """A literal address and a port; names are not looked up."""
+    """Parse a literal IP address and a port; host names are not resolved."""
     host, _, port = text.rpartition(':')
     host = host.strip('[]')
     try:
@@ -161,12 +160,12 @@
 
 
 def place(text):
-    """A node's page: all it is told at its start."""
-    tree = _tree(text, 'the config is')
+    """Parse a node's configuration page."""
+    tree = _parse_json(text, 'the config is')
     settings = find(tree, 'settings', dict)
     terms, rank, origin = decode_tree(settings)
-    within = down(find(tree, 'settings.limits.connectTimeoutS', REAL))
-    terms.tick += within  # a repeat may wait so long for its connection before it leaves
+    connect_timeout = down(find(tree, 'settings.limits.connectTimeoutS', REAL))
+    terms.tick += connect_timeout  # a retry may wait this long for its connection before it is sent
     kinds = find(tree, 'settings.kinds', list)
     seed = find(tree, 'seed', str)
     try:
@@ -186,17 +185,17 @@
         rank=rank,
         origin_kind=kinds[origin] if origin >= 0 else None,
         idle=down(find(tree, 'settings.limits.connIdleS', REAL)),
-        connect_within=within,
+        connect_within=connect_timeout,
         stop_within=down(find(tree, 'settings.safety.stopSendingWithinS', REAL)),
         memory=find(tree, 'limits.memory_mb', int) << 20,
         operator=address(find(tree, 'operator', str)) if 'operator' in tree else None,
-        zones=shape(settings),
+        zones=validated_zones(settings),
         installation=find(tree, 'installation', str) if 'installation' in tree else None,
     )
 
 
 def page(path):
-    """The node's page at this path; whatever keeps it from being read is a BadLine."""
+    """Read a node's configuration page from a file; raise BadLine if that fails."""
     try:
         with open(path, encoding='utf-8') as file:
             return place(file.read())
