--- a/lilacdyke/benchlink/__init__.py
+++ b/lilacdyke/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: reads batches, calls the logic, writes what it decided. No decision is made here."""
+"""Adapter to the simulator: reads batches of events, runs the routers and writes their decisions."""
--- a/lilacdyke/benchlink/__main__.py
+++ b/lilacdyke/benchlink/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m lilacdyke.benchlink`: serve the bench's wire on standard input and output."""
+"""`python -m lilacdyke.benchlink`: serve the simulator on standard input and output."""
 
 import sys
 
-from .serve import Link
+from .serve import Adapter
 
 if __name__ == '__main__':
-    sys.exit(Link(sys.stdin.buffer, sys.stdout.buffer, sys.stderr).run())
+    sys.exit(Adapter(sys.stdin.buffer, sys.stdout.buffer, sys.stderr).run())
--- a/lilacdyke/benchlink/serve.py
+++ b/lilacdyke/benchlink/serve.py
@@ -1,8 +1,8 @@
-"""The serving loop: one batch in, one reply out, many instances that share nothing."""
+"""Serving loop of the simulator's adapter: one reply per batch, for many independent instances."""
 
 from .. import decode
 from ..logic import Router, Server
-from ..values import STATES, BadLine, down, hexbytes, number, optional, report, seconds, truth, up, whole
+from ..values import STATES, BadLine, boolean, down, hex_bytes, number, optional, report, seconds, up, whole
 
 ENDINGS = {
     'delivered': 'committed',
@@ -16,46 +16,46 @@
     'empty': 'missing',
 }
 LIST_MODES = ('update', 'replace', 'restored', 'unavailable')
-WRITE = 4
+WRITE_FLAG = 4
 
 
 class Instance:
-    """One node's router, with the ids that the wire uses for what the router holds as objects."""
+    """One node's router, with its servers and transactions by the ids used on the wire."""
 
-    __slots__ = ('number', 'router', 'origin_kind', 'servers', 'txs', 'unread')
+    __slots__ = ('number', 'router', 'origin_kind', 'servers', 'txs', 'malformed')
 
-    def __init__(self, number_, seed, text):
+    def __init__(self, instance_number, seed, text):
         terms, rank, self.origin_kind = decode.decode(text)
-        self.number = number_
+        self.number = instance_number
         self.router = Router(terms, seed, rank)
         self.servers = {}
         self.txs = {}
-        self.unread = 0  # reports and peers' messages that were out of form
+        self.malformed = 0  # load reports and peer messages
 
     def server(self, name):
-        """The server of this name; one that no list has named cannot be meant."""
+        """Return the server of this name; raise BadLine if no list has named it."""
         found = self.servers.get(name)
         if found is None:
             raise BadLine('a server never named: %r' % name)
         return found
 
-    def glance(self, read, text):
-        """Check what nothing here depends on. Guards against a report or a message that is out of form taking
-        the transaction with it: it is counted, and the first is logged."""
+    def check_unused(self, read, text):
+        """Check a value that the router does not use. A malformed one must not fail its transaction: it is
+        counted, and the first is logged."""
         try:
             optional(read, text)
         except BadLine as err:
-            self.unread += 1
-            if self.unread == 1:
+            self.malformed += 1
+            if self.malformed == 1:
                 self.router.logs.append('not read, counted from here on: %.100s' % err)
 
-    def drop(self, job, tx):
-        """Let go of a transaction that has ended with every hop."""
+    def forget(self, tx_id, tx):
+        """Forget a transaction once it and all its hops have ended."""
         if tx.done and not tx.out:
-            self.txs.pop(job, None)
+            self.txs.pop(tx_id, None)
 
     def on_roster(self, now, mode, records):
-        """A list, or changes to it, or word that asking for it failed."""
+        """Apply a server list, changes to it, or a failed request for it."""
         if mode == 'unavailable':
             self.router.list_failed(now)
             return
@@ -73,117 +73,117 @@
             self.router.list_remembered(now, entries)
 
     def on_ask(self, now, parts):
-        """A transaction arrives."""
-        job, service, org, key, until, estimate, size, flags = parts
-        job, row, limit = whole(job), whole(service), down(number(until))
+        """Accept a transaction."""
+        tx_id, service, org, key, deadline, estimate, size, flags = parts
+        tx_id, row, limit = whole(tx_id), whole(service), down(number(deadline))
         optional(number, estimate)
         optional(number, size)
         tenant, bits = optional(whole, org) or 0, optional(whole, flags) or 0
         terms = self.router.terms
         if row >= len(terms.profiles) or tenant >= max(1, len(terms.tenants)):
             raise BadLine('no such profile or tenant')
-        if job in self.txs:
-            raise BadLine('a transaction taken twice: %d' % job)
-        tx = self.router.take(now, row, None if key == '-' else key, limit, bool(bits & WRITE), now)
-        tx.ref = job
-        self.txs[job] = tx
+        if tx_id in self.txs:
+            raise BadLine('a transaction taken twice: %d' % tx_id)
+        tx = self.router.take(now, row, None if key == '-' else key, limit, bool(bits & WRITE_FLAG), now)
+        tx.ref = tx_id
+        self.txs[tx_id] = tx
 
     def on_answer(self, now, parts):
-        """A hop has ended."""
-        job, index, server, how, lasted, complete, remark, feedback = parts
-        job, index = whole(job), whole(index)
-        if how not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % how)
-        lasted, complete = down(number(lasted)), truth(complete)
+        """Record the end of a hop."""
+        tx_id, index, server, outcome, lasted, complete, remark, feedback = parts
+        tx_id, index = whole(tx_id), whole(index)
+        if outcome not in ENDINGS:
+            raise BadLine('unknown outcome: %r' % outcome)
+        lasted, complete = down(number(lasted)), boolean(complete)
         remark = optional(whole, remark) or 0
-        self.glance(report, feedback)
+        self.check_unused(report, feedback)
         server = self.server(server)
-        tx = self.txs.get(job)
+        tx = self.txs.get(tx_id)
         if tx is None:
             return
         if index >= len(tx.hops) or tx.hops[index].server is not server or not tx.hops[index].out:
-            raise BadLine('no such hop is out: %d of %d' % (index, job))
-        self.router.hop_ended(now, tx.hops[index], ENDINGS[how], lasted, complete, remark)
-        self.drop(job, tx)
+            raise BadLine('no such hop is out: %d of %d' % (index, tx_id))
+        self.router.hop_ended(now, tx.hops[index], ENDINGS[outcome], lasted, complete, remark)
+        self.forget(tx_id, tx)
 
     def on_left(self, now, parts):
-        """The client has gone."""
-        job = whole(*parts)
-        tx = self.txs.get(job)
+        """Record that the client has left."""
+        tx_id = whole(*parts)
+        tx = self.txs.get(tx_id)
         if tx is not None:
             self.router.client_gone(now, tx)
-            self.drop(job, tx)
+            self.forget(tx_id, tx)
 
     def on_started(self, now, parts):
-        """A streamed answer has begun: the hop is the client's from here."""
-        job, index, server, lasted = parts
-        job, index, lasted = whole(job), whole(index), number(lasted)
+        """Record the start of a streamed answer, which ends the router's part in the transaction."""
+        tx_id, index, server, lasted = parts
+        tx_id, index, lasted = whole(tx_id), whole(index), number(lasted)
         self.server(server)
-        tx = self.txs.get(job)
+        tx = self.txs.get(tx_id)
         if tx is None:
             return
         if index >= len(tx.hops):
-            raise BadLine('no such hop: %d of %d' % (index, job))
+            raise BadLine('no such hop: %d of %d' % (index, tx_id))
         tx.hops[index].dropped = True
         self.router.client_gone(now, tx)
 
     def on_echo(self, now, parts):
-        """A probe has ended: the router asks for none, the line is only checked."""
-        server, how, lasted, feedback = parts
-        if how not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % how)
+        """Check the line of a finished probe; the router sends none."""
+        server, outcome, lasted, feedback = parts
+        if outcome not in ENDINGS:
+            raise BadLine('unknown outcome: %r' % outcome)
         number(lasted)
-        self.glance(report, feedback)
+        self.check_unused(report, feedback)
         self.server(server)
 
     def on_reminder(self, now, parts):
-        """A wake-up is due: that the time has come is all there is to it."""
+        """Check the line of a due wake-up; decisions are pulled at the end of the batch."""
         whole(*parts)
 
     def on_heard(self, now, parts):
-        """A message from a peer: the router sends none, the line is only checked."""
+        """Check the line of a message from a peer; the router sends none."""
         author, body = parts
         whole(author)
-        self.glance(hexbytes, body)
+        self.check_unused(hex_bytes, body)
 
-    def decisions(self, now, write):
-        """Pull the router's decisions and write each as the wire has it."""
-        for verb, *about in iter(lambda: self.router.decide(now), None):
-            getattr(self, 'write_' + verb)(write, *about)
+    def emit_decisions(self, now, write):
+        """Pull the router's decisions and write each."""
+        for verb, *args in iter(lambda: self.router.decide(now), None):
+            getattr(self, 'write_' + verb)(write, *args)
 
-    def write_send(self, write, hop, patience):
-        """A hop goes out."""
-        tail = '' if patience is None else seconds(patience)
-        write('ASSIGN\t%d\t%d\t%s\t%s\n' % (self.number, hop.tx.ref, hop.server.name, tail or '-'))
+    def write_send(self, write, hop, timeout):
+        """Write the start of a hop."""
+        timeout_s = '' if timeout is None else seconds(timeout)
+        write('ASSIGN\t%d\t%d\t%s\t%s\n' % (self.number, hop.tx.ref, hop.server.name, timeout_s or '-'))
 
     def write_cancel(self, write, hop):
-        """A hop is not waited for any more."""
+        """Write the cancellation of a hop."""
         write('ABORT_ATTEMPT\t%d\t%d\t%d\n' % (self.number, hop.tx.ref, hop.index))
 
     def write_roll_back(self, write, tx, after):
-        """The client may safely try again."""
+        """Write the final answer after which the client may safely retry."""
         write('PUSH_BACK\t%d\t%d\t%s\n' % (self.number, tx.ref, seconds(after) if after else '-'))
-        self.drop(tx.ref, tx)
+        self.forget(tx.ref, tx)
 
     def write_abandon(self, write, tx):
-        """Nothing can be promised."""
+        """Write the final answer of a transaction that may have run."""
         write('RESPOND_ERROR\t%d\t%d\n' % (self.number, tx.ref))
-        self.drop(tx.ref, tx)
+        self.forget(tx.ref, tx)
 
     def write_watch(self, write):
-        """Ask for the list's changes."""
+        """Request changes to the server list."""
         write('STREAM_CHANGES\t%d\t1\n' % self.number)
 
     def write_wake(self, write, when):
-        """Ask to be woken."""
+        """Request a wake-up."""
         write('REMIND\t%d\t%s\t0\n' % (self.number, seconds(when)))
 
     def write_log(self, write, text):
-        """A line for staff."""
+        """Write a log line."""
         write('DEBUG\t%d\t%s\n' % (self.number, text))
 
 
-EVENTS = {
+EVENT_HANDLERS = {
     'ASK': (Instance.on_ask, 8),
     'ANSWER': (Instance.on_answer, 8),
     'LEFT': (Instance.on_left, 1),
@@ -194,27 +194,27 @@
 }
 
 
-class Link:
-    """Reads batches from one stream and writes replies to another until the input ends."""
+class Adapter:
+    """Reads batches from one stream and writes the replies to another until the input ends."""
 
     def __init__(self, source, sink, errors):
         self.source, self.sink, self.errors = source, sink, errors
         self.instances = {}
         self.pools = {}
         self.line = 0
-        self.now = None  # the batch's clock; None between batches
-        self.touched = {}
+        self.now = None  # time of the batch; None between batches
+        self.active = {}
         self.reply = []
-        self.rows = None  # [pool number, rows left, rows read] while a pool is being read
+        self.pool = None  # [number, rows left, rows read] while a pool is being read
 
     def run(self):
-        """Serve until the end of input; the process then ends cleanly, or with 1 on a broken batch."""
+        """Serve until the end of input. Return the exit status: 1 if the input ends inside a batch."""
         for raw in self.source:
             self.line += 1
             try:
                 text = raw.decode('utf-8').rstrip('\r\n')
             except UnicodeDecodeError:
-                self.complain(None, 'not UTF-8')
+                self.report_error(None, 'not UTF-8')
                 continue
             name, *parts = text.split('\t')
             if name == 'ENLIST' and len(parts) > 3:
@@ -222,14 +222,14 @@
             try:
                 self.read(name, parts)
             except BadLine as err:
-                self.complain(parts, '%s: %s' % (name, err))
+                self.report_error(parts, '%s: %s' % (name, err))
         if self.now is not None:
             self.errors.write('line %d: input ended inside a batch\n' % self.line)
             return 1
         return 0
 
-    def complain(self, parts, text):
-        """Name the line and what is wrong with it; where an instance is known, in its fault line too."""
+    def report_error(self, parts, text):
+        """Report a malformed line on the error stream, and to its instance if there is one."""
         self.errors.write('line %d: %s\n' % (self.line, text))
         self.errors.flush()
         known = parts and parts[0].isascii() and parts[0].isdigit() and int(parts[0])
@@ -237,9 +237,9 @@
             self.reply.append('BAIL_OUT\t%d\tline %d: %s\n' % (known, self.line, text))
 
     def read(self, name, parts):
-        """One line of the wire."""
-        if self.rows and name != 'ROW':
-            self.rows = None
+        """Handle one line."""
+        if self.pool and name != 'ROW':
+            self.pool = None
             raise BadLine('a list ended early')
         if name == 'TURN':
             self.expect(parts, 1)
@@ -254,23 +254,23 @@
             self.answer()
         elif name == 'POOL':
             self.expect(parts, 2)
-            self.rows = [whole(parts[0]), whole(parts[1]), []]
-            self.rows_read()
+            self.pool = [whole(parts[0]), whole(parts[1]), []]
+            self.store_complete_pool()
         elif name == 'ROW':
             self.row(parts)
         elif name == 'ENLIST':
             self.expect(parts, 3)
             key = whole(parts[0])
-            self.instances[key] = self.touched[key] = Instance(key, whole(parts[1]), parts[2])
+            self.instances[key] = self.active[key] = Instance(key, whole(parts[1]), parts[2])
         elif name == 'RETIRE':
             self.expect(parts, 1)
             instance = self.instance(parts[0])
             self.instances.pop(instance.number)
-            self.touched.pop(instance.number, None)
+            self.active.pop(instance.number, None)
         elif name == 'ROSTER_CHANGE':
             self.roster(parts)
-        elif name in EVENTS:
-            call, count = EVENTS[name]
+        elif name in EVENT_HANDLERS:
+            call, count = EVENT_HANDLERS[name]
             self.expect(parts, count + 1)
             instance = self.instance(parts[0])
             call(instance, self.now, parts[1:])
@@ -279,30 +279,30 @@
 
     @staticmethod
     def expect(parts, count):
-        """So many values, no more and no fewer."""
+        """Raise BadLine unless there are exactly this many values."""
         if len(parts) != count:
             raise BadLine('%d values, not %d' % (len(parts), count))
 
     def instance(self, text):
-        """A running instance, which will be asked for its decisions at the end of the batch."""
+        """Return a running instance, whose decisions are pulled at the end of the batch."""
         found = self.instances.get(whole(text))
         if found is None:
             raise BadLine('no such instance: %s' % text)
-        self.touched[found.number] = found
+        self.active[found.number] = found
         return found
 
     def row(self, parts):
-        """One entry of the list being read."""
-        if not self.rows:
+        """Read one row of a pool."""
+        if not self.pool:
             raise BadLine('a row outside a list')
-        self.rows[1] -= 1
+        self.pool[1] -= 1
         try:
             self.expect(parts, 7)
             zone, cell, weight, name, started, state, kind = parts
             if state not in STATES:
                 raise BadLine('unknown state: %r' % state)
             started = optional(number, started)
-            self.rows[2].append(
+            self.pool[2].append(
                 (
                     name,
                     STATES[state],
@@ -314,16 +314,16 @@
                 )
             )
         finally:
-            self.rows_read()
+            self.store_complete_pool()
 
-    def rows_read(self):
-        """Keep the list once its last row is in."""
-        if self.rows and not self.rows[1]:
-            self.pools[self.rows[0]] = self.rows[2]
-            self.rows = None
+    def store_complete_pool(self):
+        """Store the pool once its last row has been read."""
+        if self.pool and not self.pool[1]:
+            self.pools[self.pool[0]] = self.pool[2]
+            self.pool = None
 
     def roster(self, parts):
-        """Word of the list to one instance."""
+        """Pass a server list, or the failed request for it, to one instance."""
         self.expect(parts, 4)
         instance = self.instance(parts[0])
         mode, records = parts[1], ()
@@ -337,12 +337,12 @@
         instance.on_roster(self.now, mode, records)
 
     def answer(self):
-        """The reply: what each instance with an event in the batch decides, in the batch's order."""
-        for instance in self.touched.values():
-            instance.decisions(self.now, self.reply.append)
+        """Write the reply: the decisions of each instance with an event, in the order of the batch."""
+        for instance in self.active.values():
+            instance.emit_decisions(self.now, self.reply.append)
         self.reply.append('OK\n')
         self.sink.write(''.join(self.reply).encode('utf-8'))
         self.sink.flush()
         self.reply.clear()
-        self.touched.clear()
+        self.active.clear()
         self.now = None
--- a/lilacdyke/values.py
+++ b/lilacdyke/values.py
@@ -1,29 +1,29 @@
-"""Values read and written strictly, for the bench's wire, settings, heads and lists alike.
+"""Strict parsing and formatting of values on the simulator's wire, in settings, HTTP headers and lists.
 
-Owns the clock's unit and how seconds become it. A value out of form is an error, never a guess.
+Defines the unit of time and its conversion from seconds. A malformed value is an error and is never guessed.
 """
 
 import re
 
-STATES = {'SERVING': 'ready', 'DRAINING': 'draining', 'DELETED': 'gone'}  # a server's, as lists have it
-SECOND = 10_000  # the package's clock: whole tenths of a millisecond
+STATES = {'SERVING': 'ready', 'DRAINING': 'draining', 'DELETED': 'gone'}  # server states in lists
+SECOND = 10_000  # in units of 0.1 ms, the unit of time in the package
 NUMBER = re.compile(r'[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?\Z')
-WHOLE = re.compile(r'\d+\Z')
+DIGITS = re.compile(r'\d+\Z')
 
 
 class BadLine(Exception):
-    """A line that cannot be read; says what is wrong with it."""
+    """Raised for a malformed line or value; the message says what is wrong."""
 
 
 def whole(text):
-    """A whole number, not negative."""
-    if not WHOLE.match(text):
+    """Parse a non-negative integer."""
+    if not DIGITS.match(text):
         raise BadLine('not a whole number: %r' % text)
     return int(text)
 
 
 def number(text):
-    """A number with or without a fraction."""
+    """Parse a finite number."""
     if not NUMBER.match(text):
         raise BadLine('not a number: %r' % text)
     value = float(text)
@@ -32,51 +32,51 @@
     return value
 
 
-def truth(text):
-    """The wire's 1 and 0."""
+def boolean(text):
+    """Parse a boolean, 1 or 0."""
     if text not in ('0', '1'):
         raise BadLine('neither 1 nor 0: %r' % text)
     return text == '1'
 
 
 def optional(read, text):
-    """The value, or None where the wire says it is absent."""
+    """Parse a value, or return None for '-', which stands for an absent one."""
     return None if text == '-' else read(text)
 
 
 def down(seconds):
-    """Seconds in tenths of a millisecond, rounded down: for limits, which must not be overrun."""
+    """Convert seconds to units of 0.1 ms, rounded down, for limits that must not be exceeded."""
     scaled = seconds * SECOND
     nearest = round(scaled)
     return nearest if abs(scaled - nearest) < 1e-4 else int(scaled // 1)
 
 
 def up(seconds):
-    """The same rounded up: for what must not come early."""
+    """Convert seconds to units of 0.1 ms, rounded up, for what must not happen early."""
     return -down(-seconds)
 
 
 def seconds(ticks):
-    """Tenths of a millisecond as the wire's seconds, exactly."""
+    """Format a time in units of 0.1 ms as seconds, exactly."""
     sign, ticks = ('-', -ticks) if ticks < 0 else ('', ticks)
     return '%s%d.%04d' % (sign, ticks // SECOND, ticks % SECOND)
 
 
 def report(text):
-    """A load report, as a dict of its named values."""
-    pairs = {}
+    """Parse a load report into a dict of its named values."""
+    loads = {}
     for part in text.split(','):
         name, colon, value = part.partition(':')
         if not colon or not name:
             raise BadLine('not a load report: %r' % text)
-        pairs[name] = number(value)
-        if pairs[name] < 0:
+        loads[name] = number(value)
+        if loads[name] < 0:
             raise BadLine('a load below nothing: %r' % text)
-    return pairs
+    return loads
 
 
-def hexbytes(text):
-    """Bytes in hex digits."""
+def hex_bytes(text):
+    """Parse bytes written as hex digits."""
     try:
         return bytes.fromhex(text)
     except ValueError:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,10 +1,10 @@
-"""The adapter's reading of the wire: bad lines, values, framing."""
+"""Tests of the simulator's adapter: malformed lines, values, batches."""
 
 import io
 import json
 import unittest
 
-from lilacdyke.benchlink.serve import Link
+from lilacdyke.benchlink.serve import Adapter
 from lilacdyke.decode import decode
 from lilacdyke.values import BadLine, down, number, seconds, up
 
@@ -22,20 +22,20 @@
 ASK = 'ASK\t3\t9\t0\t0\tpage:k\t3.0\t-\t-\t0'
 
 
-def served(*lines):
-    """What the adapter replies to a started instance given these lines, and its complaints."""
-    sink, errors = io.BytesIO(), io.StringIO()
-    Link(io.BytesIO(('\n'.join([*START, *lines]) + '\n').encode()), sink, errors).run()
-    return sink.getvalue().decode().split('\n'), errors.getvalue()
+def replies(*lines):
+    """Return the adapter's replies to a started instance for these lines, and its error output."""
+    sink, error_stream = io.BytesIO(), io.StringIO()
+    Adapter(io.BytesIO(('\n'.join([*START, *lines]) + '\n').encode()), sink, error_stream).run()
+    return sink.getvalue().decode().split('\n'), error_stream.getvalue()
 
 
 class Lines(unittest.TestCase):
-    def test_a_transaction_is_sent(self):
-        reply, complaints = served('TURN\t1.1', ASK, 'EOF_BATCH')
+    def test_transaction_is_sent(self):
+        reply, errors = replies('TURN\t1.1', ASK, 'EOF_BATCH')
         self.assertIn('ASSIGN\t3\t9\tserver_a\t-', reply)
-        self.assertEqual(complaints, '')
+        self.assertEqual(errors, '')
 
-    def test_bad_lines_are_named_not_guessed(self):
+    def test_malformed_line_is_reported(self):
         bad = {
             'NONSENSE\t3': 'unknown verb',
             ASK + '\t1': 'values',
@@ -47,17 +47,17 @@
             'ASK\t3\t9\t5\t0\tk\t3.0\t-\t-\t0': 'no such profile',
             'ROSTER_CHANGE\t3\treplace\t1\t7': 'never sent',
         }
-        for line, told in bad.items():
+        for line, expected in bad.items():
             with self.subTest(line=line):
-                reply, complaints = served('TURN\t1.1', line, 'EOF_BATCH')
-                self.assertIn('line 8', complaints)
-                self.assertIn(told, complaints)
+                reply, errors = replies('TURN\t1.1', line, 'EOF_BATCH')
+                self.assertIn('line 8', errors)
+                self.assertIn(expected, errors)
                 known = line.split('\t')[1] == '3'
                 self.assertEqual(any(part.startswith('BAIL_OUT\t3\tline 8') for part in reply), known)
 
-    def test_a_report_or_message_out_of_form_is_counted_and_the_transaction_goes_on(self):
+    def test_malformed_report_or_message_does_not_fail_the_transaction(self):
         for feedback in ('queue=1', 'queue:-3', 'eps:many', '-'):
-            reply, complaints = served(
+            reply, errors = replies(
                 'TURN\t1.1',
                 ASK,
                 'EOF_BATCH',
@@ -67,24 +67,24 @@
                 'ANSWER\t3\t9\t0\tserver_a\tempty\t0.1\t0\t2\t' + feedback,
                 'EOF_BATCH',
             )
-            told = [part for part in reply if part.startswith('DEBUG\t3\tnot read')]
+            logged = [part for part in reply if part.startswith('DEBUG\t3\tnot read')]
             self.assertEqual(
-                (complaints, len(told), 'not hex' in told[0], 'ASSIGN\t3\t9\tserver_a' in '\n'.join(reply)),
+                (errors, len(logged), 'not hex' in logged[0], 'ASSIGN\t3\t9\tserver_a' in '\n'.join(reply)),
                 ('', 1, True, True),
             )
             self.assertEqual(sum(part.startswith(('ASSIGN', 'PUSH_BACK')) for part in reply), 2)
 
-    def test_an_id_no_longer_held_is_passed_over(self):
-        _, complaints = served('TURN\t1.1', 'LEFT\t3\t77', 'EOF_BATCH')
-        self.assertEqual(complaints, '')
+    def test_unknown_transaction_id_is_ignored(self):
+        _, errors = replies('TURN\t1.1', 'LEFT\t3\t77', 'EOF_BATCH')
+        self.assertEqual(errors, '')
 
-    def test_a_killed_instance_is_forgotten(self):
-        _, complaints = served('TURN\t1.1', 'RETIRE\t3', ASK, 'EOF_BATCH')
-        self.assertIn('no such instance', complaints)
+    def test_retired_instance_is_removed(self):
+        _, errors = replies('TURN\t1.1', 'RETIRE\t3', ASK, 'EOF_BATCH')
+        self.assertIn('no such instance', errors)
 
-    def test_input_that_ends_inside_a_batch(self):
-        _, complaints = served('TURN\t1.1', ASK)
-        self.assertIn('inside a batch', complaints)
+    def test_input_ending_inside_a_batch_is_reported(self):
+        _, errors = replies('TURN\t1.1', ASK)
+        self.assertIn('inside a batch', errors)
 
 
 class Values(unittest.TestCase):
@@ -93,10 +93,10 @@
         with self.assertRaisesRegex(BadLine, 'tickS'):
             decode(json.dumps(site))
 
-    def test_rounding_at_the_door(self):
+    def test_seconds_are_rounded_down_or_up(self):
         self.assertEqual((down(0.00019), up(0.00011), down(0.3), up(0.3)), (1, 2, 3000, 3000))
 
-    def test_seconds_are_exact(self):
+    def test_seconds_are_formatted_exactly(self):
         self.assertEqual((seconds(12_345), seconds(-1)), ('1.2345', '-0.0001'))
 
     def test_numbers_must_be_finite(self):
