--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,10 +1,10 @@
-"""All tests. Which of them are known to fail is KNOWN-RED.txt's word (known_red.py)."""
+"""All tests; those listed in KNOWN-RED.txt are expected to fail (known_red.py)."""
 
 import os
 
 
 def load_tests(loader, standard, pattern):
-    """All tests of this folder, as discovery asks for them."""
+    """Discover the tests of this directory and mark the known failures."""
     from . import known_red
 
     standard.addTests(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it lets pass, and what it does not."""
+"""Tests of the list of known failures."""
 
 import io
 import unittest
@@ -6,8 +6,8 @@
 from . import known_red
 
 
-def made(*failing):
-    """A run's tests, one good and one bad: (suite, their ids)."""
+def sample_suite(*failing):
+    """Return a suite of a passing and a failing test, and their ids."""
 
     class Tests(unittest.TestCase):
         def test_good(self):
@@ -21,25 +21,27 @@
 
 
 def run(listed):
-    """A run with this list, in which {good} and {bad} stand for tests: (whether it passes, what it printed)."""
-    suite, (good, bad) = made()
+    """Run the sample suite with a list, in which {good} and {bad} stand for its tests.
+
+    Return whether the run passes and what it prints."""
+    suite, (good, bad) = sample_suite()
     out, result = io.StringIO(), unittest.TestResult()
     known_red.mark(suite, listed.replace('{good}', good).replace('{bad}', bad), out).run(result)
     return result.wasSuccessful(), out.getvalue()
 
 
-class Listed(unittest.TestCase):
-    def test_a_listed_test_may_fail_and_is_printed(self):
+class KnownFailures(unittest.TestCase):
+    def test_listed_failure_passes_and_is_printed(self):
         passed, printed = run('{bad}, it rains, and it pours, 35\n')
         self.assertTrue(passed)
         self.assertIn('(issue 35): it rains, and it pours', printed)
 
-    def test_without_a_list_none_may(self):
+    def test_unlisted_failure_fails_the_run(self):
         self.assertEqual(run(''), (False, ''))
 
-    def test_what_fails_a_run(self):
+    def test_problem_with_the_list_fails_the_run(self):
         for listed in (
-            '{bad}, rain, 35\n{good}, rain, 35\n',  # one of them passes
+            '{bad}, rain, 35\n{good}, rain, 35\n',  # the second one passes
             '{bad}, rain, 35\ntests.nowhere, rain, 35\n',
             '{bad}, rain, 35\n{bad}, rain, 35\n',
             '{bad}, rain, 35\n\n',
@@ -51,20 +53,20 @@
             with self.subTest(listed=listed):
                 self.assertFalse(run(listed)[0])
 
-    def test_a_fourth_line_is_one_too_many(self):
-        rows, wrong = known_red.read('a, b, 1\nc, d, 2\ne, f, 3\ng, h, 4\n')
-        self.assertEqual((len(rows), wrong), (4, ['more than 3 lines']))
+    def test_fourth_line_is_a_problem(self):
+        rows, problems = known_red.read('a, b, 1\nc, d, 2\ne, f, 3\ng, h, 4\n')
+        self.assertEqual((len(rows), problems), (4, ['more than 3 lines']))
 
-    def test_discovery_goes_by_it(self):
-        """The command of the README loads this package's own loader."""
+    def test_discovery_applies_the_list(self):
+        """The documented command uses load_tests() of this package."""
         import tests
 
-        loader, asked = unittest.TestLoader(), []
-        loader.discover = lambda *given: asked.append(given) or unittest.TestSuite()
-        before = known_red.listed
+        loader, calls = unittest.TestLoader(), []
+        loader.discover = lambda *given: calls.append(given) or unittest.TestSuite()
+        original = known_red.listed
         known_red.listed = lambda: 'tests.nowhere, rain, 35'
         try:
             suite = tests.load_tests(loader, unittest.TestSuite(), None)
         finally:
-            known_red.listed = before
-        self.assertEqual((len(asked), suite.countTestCases()), (1, 1))
+            known_red.listed = original
+        self.assertEqual((len(calls), suite.countTestCases()), (1, 1))
