--- a/tests/test_lint.py
+++ b/tests/test_lint.py
@@ -1,4 +1,4 @@
-"""The list of what older code breaks: nothing stands there any longer than it is needed."""
+"""Test that the linter's per-file exceptions in pyproject.toml are exactly those needed."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 def broken_rules(settings):
-    """The rules that each file breaks under these settings, by its path from the root."""
+    """Return the rules that each file breaks under these settings, by its path from the root."""
     done = subprocess.run(
         (
             sys.executable,
@@ -37,12 +37,12 @@
 
 
 class Lint(unittest.TestCase):
-    def test_each_entry_of_the_list_is_still_broken(self):
+    def test_listed_exceptions_match_the_broken_rules(self):
         with open(os.path.join(ROOT, 'pyproject.toml'), encoding='utf-8') as file:
             text = file.read()
         listed = tomllib.loads(text)['tool']['ruff']['lint']['per-file-ignores']
         lint = tomllib.loads(text)['tool']['ruff']['lint']
-        # A name that is not there is a fault, however old the code.
+        # Undefined names are never excepted.
         self.assertFalse({path for path, codes in listed.items() if 'F821' in codes})
         plain = 'lint.per-file-ignores={}'
         self.assertEqual({path: set(codes) for path, codes in listed.items()}, broken_rules(plain))
