--- a/lilacdyke/decode.py
+++ b/lilacdyke/decode.py
@@ -164,8 +164,8 @@
     tree = _parse_json(text, 'the config is')
     settings = find(tree, 'settings', dict)
     terms, rank, origin = decode_tree(settings)
-    connect_timeout = down(find(tree, 'settings.limits.connectTimeoutS', REAL))
-    terms.tick += connect_timeout  # a retry may wait this long for its connection before it is sent
+    timeout = down(find(tree, 'settings.limits.connectTimeoutS', REAL))
+    terms.tick += timeout  # a retry may wait this long for its connection before it is sent
     kinds = find(tree, 'settings.kinds', list)
     seed = find(tree, 'seed', str)
     try:
@@ -185,7 +185,7 @@
         rank=rank,
         origin_kind=kinds[origin] if origin >= 0 else None,
         idle=down(find(tree, 'settings.limits.connIdleS', REAL)),
-        connect_within=connect_timeout,
+        connect_within=timeout,
         stop_within=down(find(tree, 'settings.safety.stopSendingWithinS', REAL)),
         memory=find(tree, 'limits.memory_mb', int) << 20,
         operator=address(find(tree, 'operator', str)) if 'operator' in tree else None,
