--- a/lilacdyke/net/events.py
+++ b/lilacdyke/net/events.py
@@ -1,36 +1,37 @@
-"""Log lines on single requests, attempts and connections, for finding out what became of one of them.
+"""Optional log lines about single requests, attempts and connections, with a rate limit.
 
-Owns the bound on how many are written. Off unless the command line asks for them. Must never be needed by
-what the node does, nor raise into it.
+They are off unless the command line asks for them. Logging an event never raises into the node.
 """
 
 from ..values import SECOND
 from .logs import say
 
-BURST_SECONDS = 1  # so many seconds' worth of lines may come at once
+BURST_SECONDS = 1  # size of the token bucket, in seconds at the full rate
 
 
 class EventLog:
-    """Writes at most `rate` lines a second (0: none) by the node's monotonic clock; how many were left out
-    stands in the next one that is written."""
+    """Write at most `rate` lines a second (0: none), by the node's monotonic clock.
 
-    __slots__ = ('clock', 'rate', 'credit', 'filled', 'omitted')
+    Lines over the limit are dropped; the next line that is written carries their number as `omitted`.
+    """
+
+    __slots__ = ('clock', 'rate', 'tokens', 'refilled_at', 'omitted')
 
     def __init__(self, clock, rate=0):
         self.clock, self.rate = clock, rate
-        self.credit, self.filled, self.omitted = rate * BURST_SECONDS, clock(), 0
+        self.tokens, self.refilled_at, self.omitted = rate * BURST_SECONDS, clock(), 0
 
     def say(self, event, request=None, **fields):
-        """One line. request: the client's `Req-Id` as bytes, or None where there is none."""
+        """Write one line. request: the client's `Req-Id` as bytes, or None if there is none."""
         if not self.rate:
             return
         now = self.clock()
-        gained = max(0, now - self.filled) * self.rate / SECOND
-        self.credit, self.filled = min(self.rate * BURST_SECONDS, self.credit + gained), now
-        if self.credit < 1:
+        refill = max(0, now - self.refilled_at) * self.rate / SECOND
+        self.tokens, self.refilled_at = min(self.rate * BURST_SECONDS, self.tokens + refill), now
+        if self.tokens < 1:
             self.omitted += 1
             return
-        self.credit -= 1
+        self.tokens -= 1
         if request is not None:
             fields = {'request': request.decode('latin-1'), **fields}
         if self.omitted:
