--- a/lilacdyke/net/logs.py
+++ b/lilacdyke/net/logs.py
@@ -1,7 +1,4 @@
-"""The node's log: lines of key=value on standard error.
-
-Owns the form of a line. Must never be called for each request, and never holds anything back.
-"""
+"""Logging setup: key=value lines on standard error, with repeated warnings rate-limited."""
 
 import json
 import logging
@@ -14,50 +11,52 @@
 
 
 class KeyValue(logging.Formatter):
-    """at=… level=… event=… and the fields given with the event."""
+    """Format a record as `at=… level=… event=…` followed by the fields of the event."""
 
     def format(self, record):
-        """One line, whatever the values hold."""
+        """Return the record as a single line."""
         wall = System.wall()
         at = '%s.%03dZ' % (strftime('%Y-%m-%dT%H:%M:%S', gmtime(wall)), wall % 1 * 1_000)
         pairs = {'at': at, 'level': record.levelname.lower(), 'event': record.getMessage()}
         pairs.update(getattr(record, 'fields', {}))
         if record.exc_info:
             pairs['trace'] = self.formatException(record.exc_info)
-        return ' '.join('%s=%s' % (key, self.quoted(str(value))) for key, value in pairs.items())
+        return ' '.join('%s=%s' % (key, self.quote(str(value))) for key, value in pairs.items())
 
     @staticmethod
-    def quoted(text):
-        """Quoted where a reader could take it for more than one value."""
+    def quote(text):
+        """Return the text, as a JSON string if it could be read as more than one value."""
         if text and text.isprintable() and not set(text) & set(' ="\\'):
             return text
         return json.dumps(text)
 
 
 class Sparse(logging.Filter):
-    """Guards against a fault, or a server's broken answers, that every request meets: the same event is
-    written so often a minute, no more. The minute is one of real time, whatever the wall clock does."""
+    """Limit each event of level warning and above to MOST lines a minute, by the monotonic clock.
+
+    Keeps the log readable when every request runs into the same fault.
+    """
 
     MOST = 5
 
     def __init__(self):
         super().__init__()
-        self.minute, self.seen = System.elapsed(), {}
+        self.window_start, self.counts = System.elapsed(), {}
 
     def filter(self, record):
-        """Whether this record is written."""
+        """Return whether this record is written."""
         if record.levelno < logging.WARNING:
             return True
         now = System.elapsed()
-        if now - self.minute >= 60:
-            self.minute, self.seen = now, {}
+        if now - self.window_start >= 60:
+            self.window_start, self.counts = now, {}
         event = record.getMessage()
-        self.seen[event] = self.seen.get(event, 0) + 1
-        return self.seen[event] <= self.MOST
+        self.counts[event] = self.counts.get(event, 0) + 1
+        return self.counts[event] <= self.MOST
 
 
 def begin(level):
-    """Send the package's and Twisted's lines to standard error in this form."""
+    """Log to standard error in this format: this package from `level` on, other libraries from warning on."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValue())
     handler.addFilter(Sparse())
@@ -66,10 +65,10 @@
 
 
 def say(event, level=logging.INFO, **fields):
-    """One event with its fields."""
+    """Log an event with its fields."""
     LOG.log(level, event, extra={'fields': fields})
 
 
 def warn(event, **fields):
-    """One event that staff should look at."""
+    """Log an event at level warning, for operators to look at."""
     say(event, logging.WARNING, **fields)
