--- a/lilacdyke/net/__init__.py
+++ b/lilacdyke/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node on sockets: clients, cache servers and discovery around the module. No decision is made here."""
+"""The node's network side: clients, cache servers and discovery on sockets, around the logic of logic.py."""
--- a/lilacdyke/net/system.py
+++ b/lilacdyke/net/system.py
@@ -1,45 +1,48 @@
-"""What a node asks of the machine it runs on, apart from connections: its clocks and its limits.
+"""The operating system as a node uses it, apart from connections: clocks, limits and machine-wide names.
 
-The seam's first home; the second is in lilacdyke/lab/ground.py, over simulated machines. Connections need no
-seam of their own: what sockets.py asks past Twisted goes to the socket that a transport holds, and a
-simulated one answers the same calls. Must never know what a node does.
+lilacdyke/lab/ground.py implements the same interface for simulated machines. Connections need no such
+interface: sockets.py makes its calls on a transport's socket, and the simulator provides sockets too.
 """
 
 import resource
 import socket
-from time import monotonic, time  # noqa: TID251  the one place that reads the wall clock
+from time import monotonic, time  # noqa: TID251  the only place that reads the wall clock
 
 
 class System:
-    """This process on this machine, as its operating system tells. Times in seconds."""
+    """This process on its real operating system. Times are in seconds."""
 
-    elapsed = staticmethod(monotonic)  # goes on evenly, from anywhere
-    wall = staticmethod(time)  # Unix time, which may be stepped at any moment: for log lines, lists and staff
+    elapsed = staticmethod(monotonic)  # monotonic, from an arbitrary origin
+    wall = staticmethod(
+        time
+    )  # Unix time; may be stepped at any moment, so only for log lines, server lists and operators
 
     @staticmethod
     def descriptors():
-        """How many this process may hold; 0: not told."""
+        """Return the soft limit on this process's open file descriptors; 0: no limit."""
         return max(0, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
     @staticmethod
     def memory_kb():
-        """The most that this process has held."""
+        """Return the peak resident set size of this process, in KiB."""
         return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
 
     @staticmethod
     def hold(name):
-        """Have a name on this machine that no other process has, until this one ends, however: what keeps it,
-        or None if it is another's. An abstract Unix socket: the kernel lets go of it with the process, and it
-        leaves no file."""
-        held = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+        """Acquire a name that is exclusive on this machine until it is released or this process ends.
+
+        Returns the handle that keeps the name, or None if another process has it. The handle is an abstract
+        Unix socket, which the kernel frees with the process and which leaves no file.
+        """
+        handle = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
-            held.bind('\0' + name)
+            handle.bind('\0' + name)
         except OSError:
-            held.close()
+            handle.close()
             return None
-        return held
+        return handle
 
     @staticmethod
-    def let_go(held):
-        """Another process may have the name from now on."""
-        held.close()
+    def let_go(handle):
+        """Release a name that `hold` acquired."""
+        handle.close()
