--- a/lilacdyke/net/tables.py
+++ b/lilacdyke/net/tables.py
@@ -1,45 +1,44 @@
-"""Numbered slots for what lives a while, and the node's one ordered structure of deadlines.
+"""A slot table whose handles are never reused, and a heap of deadlines on a single reactor timer.
 
-Owns which number means what: a number is given out once, so an event that comes late finds nothing
-instead of the slot's next holder. Owns the one timer that the reactor holds for the node. Must never know
-what a slot holds or what a deadline is for.
+A handle is a number that combines the slot's index with its generation, so a late event finds nothing rather
+than the slot's next occupant.
 """
 
 from heapq import heappop, heappush
 
 from .logs import LOG
 
-LATE = 100  # a timer this late says that the machine stood still
-INDEX = 20  # bits of a number that tell the slot; the rest tells its age
+STALL_TICKS = 100  # a timer that fires this late means that the process or its machine was paused
+INDEX_BITS = 20  # low bits of a number: the slot; the bits above: its generation
 
 
 class Table:
-    """Objects by numbers that never come back."""
+    """Objects by handle numbers that are never reused."""
 
     __slots__ = ('rows', 'ages', 'free')
 
     def __init__(self):
         self.rows, self.ages, self.free = [], [], []
 
-    def add(self, what):
-        """Put it into a free slot; its number."""
+    def add(self, item):
+        """Put an object into a free slot and return its number."""
         if not self.free:
             self.free.append(len(self.rows))
             self.rows.append(None)
             self.ages.append(0)
         index = self.free.pop()
-        self.rows[index] = what
-        return self.ages[index] << INDEX | index
+        self.rows[index] = item
+        return self.ages[index] << INDEX_BITS | index
 
     def get(self, number):
-        """What has this number, or None once that is gone."""
-        index = number & (1 << INDEX) - 1
-        return self.rows[index] if self.ages[index] == number >> INDEX else None
+        """Return the object with this number, or None if it has been removed."""
+        index = number & (1 << INDEX_BITS) - 1
+        return self.rows[index] if self.ages[index] == number >> INDEX_BITS else None
 
     def remove(self, number):
-        """Free the slot; the number then means nothing."""
+        """Remove the object with this number, if it is still here, and free its slot."""
         if self.get(number) is not None:
-            index = number & (1 << INDEX) - 1
+            index = number & (1 << INDEX_BITS) - 1
             self.rows[index] = None
             self.ages[index] += 1
             self.free.append(index)
@@ -48,29 +47,32 @@
         return len(self.rows) - len(self.free)
 
     def __iter__(self):
-        """All that is held now; the table may change meanwhile."""
+        """Iterate over a snapshot of the objects; the table may change meanwhile."""
         return iter([row for row in self.rows if row is not None])
 
 
 class Deadlines:
-    """What is to be done when, in order of time, on one timer. Nothing is taken back: a deadline that has
-    lost its sense finds its number gone, or whoever it reminds looks at the time."""
+    """Callbacks in order of time, on one reactor timer.
 
-    __slots__ = ('clock', 'later', 'heap', 'turn', 'timer', 'due', 'stalled')
+    Deadlines are not cancelled: a callback whose object is gone does not find its number in the table, and
+    others check the time again.
+    """
+
+    __slots__ = ('clock', 'later', 'heap', 'sequence', 'timer', 'due', 'deferred')
 
     def __init__(self, clock, later):
-        self.clock, self.later = clock, later  # the present time; the reactor's callLater
-        self.heap, self.turn = [], 0
-        self.timer, self.due, self.stalled = None, None, False
+        self.clock, self.later = clock, later  # current time in ticks; the reactor's callLater
+        self.heap, self.sequence = [], 0
+        self.timer, self.due, self.deferred = None, None, False
 
     def at(self, when, call, number):
-        """Call with this number at that time."""
-        self.turn += 1
-        heappush(self.heap, (when, self.turn, call, number))
+        """Schedule call(number) at this time, in ticks."""
+        self.sequence += 1
+        heappush(self.heap, (when, self.sequence, call, number))
         self.arm()
 
     def arm(self):
-        """See to it that the timer is no later than the first deadline."""
+        """Set the timer to the earliest deadline, unless it already fires by then."""
         if not self.heap or self.timer and self.due <= self.heap[0][0]:
             return
         if self.timer:
@@ -79,15 +81,16 @@
         self.timer = self.later(max(0, self.due - self.clock()) / 10_000, self.fire)
 
     def fire(self):
-        """All that is due; a fault in one does not keep the others from their time, and what they add for now
-        waits for the reactor's next turn."""
+        """Run the callbacks that are due, and log the exceptions they raise.
+
+        Deadlines that they add for now run in the reactor's next turn.
+        """
         now = self.clock()
-        if now > self.due + LATE and not self.stalled:
-            # Guards against calling late what lies unread: after a standstill sockets come first, for one
-            # turn.
-            self.stalled, self.timer = True, self.later(0, self.fire)
+        if now > self.due + STALL_TICKS and not self.deferred:
+            # After a pause, read the sockets for one turn first: answers that came in time may be unread.
+            self.deferred, self.timer = True, self.later(0, self.fire)
             return
-        self.timer, self.stalled = None, False
+        self.timer, self.deferred = None, False
         due = []
         while self.heap and self.heap[0][0] <= now:
             due.append(heappop(self.heap)[2:])
