--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -414,7 +414,7 @@
             )
             self.router.inherit(self.clock(), told['usual'], told['servers'])
             for name, server in self.router.known.items():
-                self.starts.inherited(name, server.started)
+                self.starts.adopt(name, server.started)
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             warn('hand-over not read', reason=repr(err))
 
--- a/lilacdyke/net/starts.py
+++ b/lilacdyke/net/starts.py
@@ -1,48 +1,55 @@
-"""When servers started, by the node's clock.
+"""Start times of servers, converted from the Unix time of discovery's lists to the node's clock.
 
-Owns how the Unix times in lists become the node's. Guards against a wall clock that was stepped before this
-node started: what a list tells as new cannot have started later than now, nor long before the list last said
-otherwise. Must never make a server older than the list does.
+The wall clock may have been wrong when the node started. So a start time is never in the future, and a start
+that is news in a list is not much older than the previous list. A server never gets older than its list says.
 """
 
 from ..values import SECOND
 from .discovery import started
 
-NEWS_LAG = 5 * SECOND  # so long before the last word of discovery a start may lie that it tells only now
+MAX_REPORT_DELAY = (
+    5 * SECOND
+)  # a start that is news in a list is at most this much older than the previous list
 
 
 class StartTimes:
-    """Starts of servers. offset: the node's clock less Unix time, in ticks, as read once at its start."""
+    """Start times of servers by name.
+
+    offset: the node's clock minus Unix time, in ticks, read once when the node starts.
+    """
 
     def __init__(self, offset):
         self.offset = offset
-        self.known = {}  # by name: (as the list has it, by the node's clock)
+        self.known = {}  # by name: (start as in the list, start by the node's clock)
 
     def of(self, entry, now, last_word):
-        """A server's start by the node's clock, the same for as long as the list says the same; None: long
-        ago. last_word: when discovery was last heard before this; None: never."""
+        """Return a server's start by the node's clock, or None if it started long ago.
+
+        The result stays the same while the list's value does. last_word: when discovery was last heard from
+        before this list; None: never.
+        """
         if not entry.started:
             self.known.pop(entry.name, None)
             return None
-        held = self.known.get(entry.name)
-        if held is not None and held[0] == entry.started:
-            return held[1]
+        cached = self.known.get(entry.name)
+        if cached is not None and cached[0] == entry.started:
+            return cached[1]
         when = min(now, started(entry, self.offset))
         if last_word is not None:
-            when = max(when, min(now, last_word - NEWS_LAG))
+            when = max(when, min(now, last_word - MAX_REPORT_DELAY))
         self.known[entry.name] = (entry.started, when)
         return when
 
     def current(self, entry):
-        """What `of` gave for this entry last, or would give for one that it has not had."""
-        held = self.known.get(entry.name)
-        return held[1] if held is not None and held[0] == entry.started else started(entry, self.offset)
+        """Return the start that `of` last gave for this entry, or the converted start if there is none."""
+        cached = self.known.get(entry.name)
+        return cached[1] if cached is not None and cached[0] == entry.started else started(entry, self.offset)
 
-    def inherited(self, name, when):
-        """Another process of this node has told when a server started."""
+    def adopt(self, name, when):
+        """Replace a known server's start by the one that another process of this node has recorded."""
         if name in self.known and when is not None:
             self.known[name] = (self.known[name][0], when)
 
     def forget(self, name):
-        """The server is gone for good."""
+        """Remove a server that is gone for good."""
         self.known.pop(name, None)
