--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -47,14 +47,14 @@
 class ActiveRequest:
     """A transaction that the node has taken, and the client it owes an answer."""
 
-    __slots__ = ('number', 'name', 'client', 'message', 'tx', 'attempts', 'wait', 'shared', 'left')
+    __slots__ = ('number', 'name', 'client', 'message', 'tx', 'attempts', 'wait', 'shared', 'sent_hops')
 
     def __init__(self, client, message, wait):
         self.client, self.message, self.wait = client, message, wait
         self.name = message.field(b'req-id')
         self.number = self.tx = None
         self.attempts = []  # hops under way
-        self.left = []  # (when, hop) of each that left, for the guard
+        self.sent_hops = []  # (time, hop) of each attempt sent, for the guard
         self.shared = False  # whether it counts in the fleet's limits
 
 
@@ -487,7 +487,7 @@
         """The client has its answer, or needs none; hops may still end, with nothing to hold on to. The
         client."""
         if answered:
-            self.guard.answers(active)
+            self.guard.check_answer(active)
         self.active_requests.remove(active.number)
         self.ids.discard(active.name)
         self.over(active)
@@ -683,7 +683,7 @@
             self.entries.pop(server.name, None)
             self.starts.forget(server.name)
             self.caches.forget(server)
-        self.guard.listed(self.servers.values() if whole else [row[0] for row in rows])
+        self.guard.update_servers(self.servers.values() if whole else [row[0] for row in rows])
         self.caches.tidy()
         say('list', whole=whole, entries=len(rows), caches=len(self.router.caches))
         self.serve()
@@ -759,7 +759,7 @@
             until,
             lambda: self.wanted(active),
             hop.index > 0,
-            lambda: self.guard.leaves(active, hop),
+            lambda: self.guard.check_send(active, hop),
         )
         attempt.exchange.in_part = lambda: self.answer_in_part(attempt)
         attempt.exchange.done.addCallback(self.arrived, attempt.number).addErrback(self.fault)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -31,7 +31,7 @@
 
     def test_a_fault_of_its_own_changes_nothing(self):
         made = node()
-        made.guard.told = None
+        made.guard.not_ready_since = None
         with self.assertLogs('lilacdyke', 'ERROR'):
             wire, server = sent(made)
         server.protocol.dataReceived(said())
@@ -60,11 +60,11 @@
         wire, _ = sent(made, ONCE)
         active = wire.protocol.active
         again = active.attempts[0].hop
-        self.assert_violated(made, 'second_effect', lambda: made.guard.leaves(active, again))
+        self.assert_violated(made, 'second_effect', lambda: made.guard.check_send(active, again))
 
     def test_an_attempt_at_a_server_that_drains(self):
         made = node()
-        made.guard.told['c0'] = made.clock() - 10 * SECOND
+        made.guard.not_ready_since['c0'] = made.clock() - 10 * SECOND
         self.assert_violated(made, 'sent_to_drained', lambda: sent(made))
 
     def test_an_answer_out_of_its_time(self):
@@ -111,8 +111,8 @@
         for number in range(9_000):
             server = mock.Mock(told='draining', state='draining')
             server.name = 's%d' % number
-            guard.listed([server])
-        self.assertLessEqual(len(guard.told), 8_192)
+            guard.update_servers([server])
+        self.assertLessEqual(len(guard.not_ready_since), 8_192)
 
 
 if __name__ == '__main__':
