--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -1,12 +1,13 @@
 """The link between two processes of one node while the second takes over from the first.
 
-Owns the socket in the private folder, its name, and the lines on it. Must never wait for a peer that says
-nothing, act on a line that it cannot read, or decide who takes clients: that is succession.py's.
-
-Lines are JSON objects, one each. The elder begins with `{"v": 1, ...}` and its listening socket as a
-descriptor; then either side sends `{"call": [verb, name], "n": N}` and answers `{"done": N}`; the heir sends
-`{"serves": true}`, the elder `{"holds": descriptors}`. To an elder that began with `"beats": true` the heir
-sends `{"beat": true}` from then on, and does not stop.
+The old process (predecessor) listens on a Unix socket in the private folder, and the new one (successor)
+connects to it. Every wait for the peer has a timeout, and a line that cannot be read ends the link.
+succession.py decides which process accepts clients.
+
+Each line is a JSON object. The predecessor begins with `{"v": 1, ...}` and its listening socket as a
+descriptor. Then either side sends `{"call": [verb, name], "n": N}` and answers `{"done": N}`; the successor
+sends `{"serves": true}`, the predecessor `{"holds": descriptors}`. If the predecessor's first line has
+`"beats": true`, the successor sends heartbeats, `{"beat": true}`, until it exits.
 """
 
 import json
@@ -20,27 +21,30 @@
 
 from ..values import SECOND, BadLine
 from .logs import LOG, say, warn
-from .succession import SERVES, SILENT, Succession
+from .succession import SERVING, UNRESPONSIVE, Succession
 
 VERSION = 1
-PREFIX = 'lilacdyke-%08x-'  # of the sockets' names: whose, and then the process
-ANSWERS = 10_000  # within this an elder has given what it has
-BINDS = 4_000  # within this the other has said that a call binds it
-TELLS = 1_000  # between two words on what is held
-BEATS, QUIET = 250, 1_000  # between two beats of an heir; after which it counts as standing still
-MOST = 4 << 20  # the longest line
-MOST_ASKED = 8  # sockets that are asked; a node killed again and again leaves stale ones
-PATH_MOST = 100  # the longest path that a Unix socket may have, with some to spare
-STAT_START = 19  # the place of a process's start in /proc/PID/stat, behind its name
+PREFIX = 'lilacdyke-%08x-'  # of socket names: a checksum of the node's identity; the process id follows
+# Times are in ticks of 0.1 ms.
+SEARCH_TIMEOUT = 10_000  # for finding a predecessor and receiving its state
+CALL_TIMEOUT = 4_000
+REPORT_INTERVAL = 1_000  # between two reports of held descriptors
+HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT = 250, 1_000
+MAX_LINE = 4 << 20  # bytes
+MAX_CANDIDATES = 8  # sockets to try; a node that was killed repeatedly leaves stale ones
+MAX_PATH = 100  # bytes; below the limit of a Unix socket's address
+STAT_START_INDEX = 19  # of the start time among the fields of /proc/PID/stat that follow the name
 CALLS = ('suspend', 'resume', 'empty', 'activate')
 
 
-def started_at(process):
-    """When a process of this number started, in the machine's ticks since it was booted; -1 where there is
-    none. A file's time would be the wall clock's, which may have been stepped between two processes."""
+def process_start(pid):
+    """Return when a process started, in the kernel's clock ticks since boot; -1 if there is no such process.
+
+    A file's modification time would not do, as the wall clock may be stepped between two starts.
+    """
     try:
-        with open('/proc/%d/stat' % int(process), encoding='utf-8', errors='replace') as file:
-            return int(file.read().rpartition(')')[2].split()[STAT_START])
+        with open('/proc/%d/stat' % int(pid), encoding='utf-8', errors='replace') as file:
+            return int(file.read().rpartition(')')[2].split()[STAT_START_INDEX])
     except (OSError, ValueError, IndexError):
         return -1
 
@@ -51,10 +55,10 @@
 
     urgent = True
 
-    def __init__(self, kin, elder):
-        self.kin, self.elder = kin, elder  # elder: whether the other side is it
-        self.buffer, self.fd, self.sent, self.over = bytearray(), None, 0, False
-        self.waits = {}  # calls that the other side has not answered, by number: what is then done
+    def __init__(self, handover, peer_is_predecessor):
+        self.handover, self.peer_is_predecessor = handover, peer_is_predecessor
+        self.buffer, self.fd, self.last_call, self.over = bytearray(), None, 0, False
+        self.pending = {}  # callbacks of calls without a reply yet, by call number
 
     def fileDescriptorReceived(self, descriptor):
         if self.fd is not None:
@@ -63,8 +67,8 @@
             self.fd = descriptor
 
     def connectionMade(self):
-        if not self.elder:
-            self.kin.heir_came(self)
+        if not self.peer_is_predecessor:
+            self.handover.successor_connected(self)
 
     def dataReceived(self, data):
         self.buffer += data
@@ -72,62 +76,61 @@
             while not self.over and (end := self.buffer.find(b'\n')) >= 0:
                 line = bytes(self.buffer[:end])
                 del self.buffer[: end + 1]
-                self.told(json.loads(line))
-            if len(self.buffer) > MOST:
+                self.line_received(json.loads(line))
+            if len(self.buffer) > MAX_LINE:
                 raise BadLine('line too long')
         except (BadLine, ValueError, RecursionError) as err:
             warn('hand-over not read', reason=err)
-            self.end()
+            self.abort()
         except Exception:
             LOG.exception('fault')
-            self.end()
+            self.abort()
 
-    def told(self, line):
-        """One line. Guards against a peer of another version: what it says that is not known ends the
-        link."""
+    def line_received(self, line):
+        """Handle one line. Raise BadLine if it is not known, as from a peer of another version."""
         if not isinstance(line, dict):
             raise BadLine('no object')
-        if 'v' in line and self.elder:
-            self.kin.given(self, line)
-        elif 'serves' in line and not self.elder:
-            self.kin.heir_serves()
-        elif 'beat' in line and not self.elder:
-            self.kin.heir_beats()
-        elif 'holds' in line and self.elder and isinstance(line['holds'], int):
-            self.kin.elder_holds(line['holds'])
+        if 'v' in line and self.peer_is_predecessor:
+            self.handover.state_received(self, line)
+        elif 'serves' in line and not self.peer_is_predecessor:
+            self.handover.successor_serving()
+        elif 'beat' in line and not self.peer_is_predecessor:
+            self.handover.heartbeat_received()
+        elif 'holds' in line and self.peer_is_predecessor and isinstance(line['holds'], int):
+            self.handover.descriptors_reported(line['holds'])
         elif (
             'call' in line
             and isinstance(line['call'], list)
             and line['call'][:1]
             and line['call'][0] in CALLS
         ):
-            self.kin.node.bound(*line['call'])
-            self.say(done=line.get('n'))
+            self.handover.node.perform(*line['call'])
+            self.send(done=line.get('n'))
         elif 'done' in line:
-            self.waits.pop(line['done'], bool)()
+            self.pending.pop(line['done'], bool)()
         else:
             raise BadLine('unknown line')
 
-    def say(self, **line):
-        """Send a line."""
+    def send(self, **line):
+        """Send a line, if the link is still up."""
         if self.transport and not self.over:
             self.transport.write(json.dumps(line).encode() + b'\n')
 
     def call(self, verb, name, done):
-        """Have a call bind the other side; done() once it says so, or after a while, or when it ends."""
-        self.sent += 1
-        self.waits[self.sent] = done
-        self.say(call=[verb, name], n=self.sent)
-        self.kin.deadlines.at(self.kin.clock() + BINDS, self.unanswered, self.sent)
-
-    def unanswered(self, number):
-        """Guards against one that hangs: operators have their answer within a second all the same."""
-        if number in self.waits:
+        """Make a call at the other process; done() runs on its reply, on a timeout or when the link ends."""
+        self.last_call += 1
+        self.pending[self.last_call] = done
+        self.send(call=[verb, name], n=self.last_call)
+        self.handover.deadlines.at(self.handover.clock() + CALL_TIMEOUT, self.call_timed_out, self.last_call)
+
+    def call_timed_out(self, number):
+        """Complete a call without a reply, so that operators get their answer within a second."""
+        if number in self.pending:
             warn('call not confirmed by the other process', call=number)
-            self.waits.pop(number)()
+            self.pending.pop(number)()
 
-    def end(self):
-        """Nothing more is said or heard."""
+    def abort(self):
+        """Abort the link."""
         if self.transport:
             self.transport.abortConnection()
 
@@ -137,226 +140,232 @@
         self.over = True
         if self.fd is not None:
             os.close(self.fd)
-        for done in list(self.waits.values()):
+        for done in list(self.pending.values()):
             done()
-        self.waits.clear()
-        self.kin.lost(self)
+        self.pending.clear()
+        self.handover.link_lost(self)
 
 
-class Ask(ClientFactory):
-    """Asks one elder."""
+class PredecessorFactory(ClientFactory):
+    """Connects to one candidate predecessor."""
 
     noisy = False
 
-    def __init__(self, kin):
-        self.kin = kin
+    def __init__(self, handover):
+        self.handover = handover
 
     def buildProtocol(self, addr):
-        self.kin.elder = Link(self.kin, True)
-        return self.kin.elder
+        self.handover.predecessor = Link(self.handover, True)
+        return self.handover.predecessor
 
     def clientConnectionFailed(self, connector, reason):
-        self.kin.next_elder()
+        self.handover.try_next()
 
 
-class Listen(Factory):
-    """Is asked by heirs."""
+class SuccessorFactory(Factory):
+    """Accepts links from successors."""
 
     noisy, urgent = False, True
 
-    def __init__(self, kin):
-        self.kin = kin
+    def __init__(self, handover):
+        self.handover = handover
 
     def buildProtocol(self, addr):
-        return Link(self.kin, False)
+        return Link(self.handover, False)
 
 
-class Kin:
-    """This process's links to the one before it and the one after it."""
+class Handover:
+    """The links of this process to its predecessor and its successor."""
 
     def __init__(self, node, reactor, deadlines, clock, folder, limit, spare):
         self.node, self.reactor, self.deadlines, self.clock = node, reactor, deadlines, clock
-        self.prefix = PREFIX % crc32(repr((node.place.name, node.place.listen)).encode())
-        self.folder, self.held = folder, None  # held: a descriptor of the folder, if its path is long
+        self.socket_prefix = PREFIX % crc32(repr((node.place.name, node.place.listen)).encode())
+        self.folder, self.folder_fd = folder, None  # folder_fd: opened only if the path is long
         self.succession = Succession(limit, spare)
-        self.elder, self.heir, self.port = None, None, None
-        self.names, self.begin = [], None  # sockets still to be asked; what the start goes on with
-        self.beats, self.heard = (
-            False,
-            None,
-        )  # whether the elder wants beats; when the heir was last heard to beat
-
-    # --- the start --------------------------------------------------------------------------------------
-
-    def ask(self, begin):
-        """Look for an elder; begin(what it gave, its listening socket), or begin(None, None) where there is
-        none."""
+        self.predecessor, self.successor, self.port = None, None, None
+        self.candidates, self.begin = [], None  # sockets still to try; the callback that continues the start
+        self.sends_heartbeats, self.last_heartbeat = False, None  # to the predecessor; from the successor
+
+    # --- finding a predecessor --------------------------------------------------------------------------
+
+    def find_predecessor(self, begin):
+        """Look for a predecessor, then call begin(its state, its listening socket), or begin(None, None)."""
         self.begin = begin
         try:
-            found = [name for name in os.listdir(self.folder) if name.startswith(self.prefix)]
+            found = [name for name in os.listdir(self.folder) if name.startswith(self.socket_prefix)]
             found = [name for name in found if self.is_socket(name)]
         except OSError as err:
-            warn('no look into the private folder', reason=err)
+            warn('cannot list the private folder', reason=err)
             found = []
-        found.sort(key=lambda name: (started_at(name.removeprefix(self.prefix)), name))
-        self.names = found[-MOST_ASKED:]  # the latest process is asked first
-        self.deadlines.at(self.clock() + ANSWERS, self.silent, 0)
-        self.next_elder()
+        found.sort(key=lambda name: (process_start(name.removeprefix(self.socket_prefix)), name))
+        self.candidates = found[-MAX_CANDIDATES:]  # the latest process is tried first
+        self.deadlines.at(self.clock() + SEARCH_TIMEOUT, self.search_timed_out, 0)
+        self.try_next()
 
     def is_socket(self, name):
-        """Whether a name in the private folder is a socket's."""
+        """Return whether a name in the private folder is that of a socket."""
         return stat.S_ISSOCK(os.stat(os.path.join(self.folder, name)).st_mode)
 
-    def next_elder(self):
-        """Ask the next, if there is one."""
-        self.elder = None
+    def try_next(self):
+        """Connect to the next candidate; without one, start without a predecessor."""
+        self.predecessor = None
         if not self.begin:
             return
-        if self.names:
-            self.reactor.connectUNIX(self.short(self.names.pop()), Ask(self), timeout=ANSWERS / SECOND)
+        if self.candidates:
+            self.reactor.connectUNIX(
+                self.socket_path(self.candidates.pop()),
+                PredecessorFactory(self),
+                timeout=SEARCH_TIMEOUT / SECOND,
+            )
         else:
-            self.decided(None, None)
+            self.finish_search(None, None)
 
-    def silent(self, _):
-        """Guards against an elder that hangs, or is none of ours: the start goes on without it."""
+    def search_timed_out(self, _):
+        """Start without a predecessor, as the one that was tried hangs or is another program."""
         if self.begin:
             warn('no hand-over', why='silent')
-            elder, self.elder = self.elder, None
-            if elder:
-                elder.end()
-            self.decided(None, None)
-
-    def given(self, link, told):
-        """What the elder gives."""
-        if not self.begin or link is not self.elder:
-            raise BadLine('not asked for')
-        if told['v'] != VERSION or link.fd is None:
-            warn('no hand-over', why='version %s' % told['v'])
-            self.elder = None
-            link.end()
-            self.next_elder()
+            predecessor, self.predecessor = self.predecessor, None
+            if predecessor:
+                predecessor.abort()
+            self.finish_search(None, None)
+
+    def state_received(self, link, state):
+        """Handle the predecessor's first line."""
+        if not self.begin or link is not self.predecessor:
+            raise BadLine('unexpected state')
+        if state['v'] != VERSION or link.fd is None:
+            warn('no hand-over', why='version %s' % state['v'])
+            self.predecessor = None
+            link.abort()
+            self.try_next()
             return
-        holds = told.get('holds')
-        self.succession.elder_told(holds if isinstance(holds, int) else 0)
-        self.beats = told.get('beats') is True
+        holds = state.get('holds')
+        self.succession.predecessor_reported(holds if isinstance(holds, int) else 0)
+        self.sends_heartbeats = state.get('beats') is True
         fd, link.fd = link.fd, None
-        self.decided(told, fd)
-        os.close(fd)  # the reactor has its own by now
+        self.finish_search(state, fd)
+        os.close(fd)  # the reactor has its own duplicate
 
-    def decided(self, told, fd):
-        """The start goes on."""
+    def finish_search(self, state, fd):
+        """Continue the start, with or without a predecessor's state."""
         begin, self.begin = self.begin, None
-        begin(told, fd)
-
-    def serves(self):
-        """This process takes clients now, and may be asked by an heir."""
-        if self.elder:
-            self.beat(0)  # before the word that it answers for
-            self.elder.say(serves=True)
-        name = '%s%d' % (self.prefix, os.getpid())
+        begin(state, fd)
+
+    def announce_serving(self):
+        """Tell the predecessor that this process serves clients, and listen for a successor."""
+        if self.predecessor:
+            self.send_heartbeat(0)  # first, so that the predecessor watches heartbeats from the start
+            self.predecessor.send(serves=True)
+        name = '%s%d' % (self.socket_prefix, os.getpid())
         try:
             if os.path.exists(os.path.join(self.folder, name)):
-                os.unlink(os.path.join(self.folder, name))  # of one with this number that was killed
-            self.port = self.reactor.listenUNIX(self.short(name), Listen(self), backlog=8, mode=0o600)
-        except Exception as err:  # the node serves without it; an upgrade is then a plain start
+                os.unlink(os.path.join(self.folder, name))  # left by a killed process with the same id
+            self.port = self.reactor.listenUNIX(
+                self.socket_path(name), SuccessorFactory(self), backlog=8, mode=0o600
+            )
+        except Exception as err:  # the node still serves, but cannot hand over
             warn('no hand-over possible', reason=err)
 
-    def beat(self, _):
-        """Tell the elder, again and again, that this process does not stand still."""
-        if self.elder and self.beats:
-            self.elder.say(beat=True)
-            self.deadlines.at(self.clock() + BEATS, self.beat, 0)
+    def send_heartbeat(self, _):
+        """Send the predecessor a heartbeat now and at every interval."""
+        if self.predecessor and self.sends_heartbeats:
+            self.predecessor.send(beat=True)
+            self.deadlines.at(self.clock() + HEARTBEAT_INTERVAL, self.send_heartbeat, 0)
 
-    # --- what the others say ----------------------------------------------------------------------------
+    # --- input from the links ---------------------------------------------------------------------------
 
-    def heir_came(self, link):
-        """One that starts asks: it gets all that binds this process, and its queue."""
-        fd = self.node.door_fd()
-        if fd is None or not self.succession.heir_came():
+    def successor_connected(self, link):
+        """Give a new process this one's state and listening socket."""
+        fd = self.node.listening_fd()
+        if fd is None or not self.succession.successor_connected():
             link.transport.loseConnection()
             return
-        self.heir = link
-        say('heir came', pid=os.getpid())
+        self.successor = link
+        say('successor connected', pid=os.getpid())
         link.transport.sendFileDescriptor(fd)
-        link.say(v=VERSION, holds=self.node.holds(), beats=True, **self.node.legacy())
-
-    def heir_serves(self):
-        """The heir takes clients; this process empties itself."""
-        self.succession.heir_serves()
-        say('heir serves', open=len(self.node.active_requests), clients=len(self.node.listener.table))
-        self.tell_holds(0)
-        self.watch_heir(0)
-
-    def heir_beats(self):
-        """It goes on."""
-        self.heard = self.clock()
-        if self.succession.heir == SILENT:
-            self.succession.heir_serves()
-            say('heir goes on')
-            self.node.share_out()
-
-    def watch_heir(self, _):
-        """Take clients again while an heir that serves stands still. One of an older version, which never
-        beats, is not watched."""
-        if self.heir and self.heard is not None:
-            if self.clock() > self.heard + QUIET and self.succession.heir == SERVES:
-                self.succession.heir_silent()
-                warn('heir stands still', for_ms=(self.clock() - self.heard) // 10)
-                self.node.share_out()
-            self.deadlines.at(self.clock() + BEATS, self.watch_heir, 0)
-
-    def tell_holds(self, _):
-        """Tell the heir what it may not hold yet."""
-        if self.heir:
-            self.node.share_out()
-            self.heir.say(holds=self.node.holds())
-            self.deadlines.at(self.clock() + TELLS, self.tell_holds, 0)
-
-    def elder_holds(self, holds):
-        """The elder has let go of some."""
-        self.succession.elder_told(holds)
-        self.node.share_out()
-
-    def lost(self, link):
+        link.send(v=VERSION, holds=self.node.holds(), beats=True, **self.node.legacy())
+
+    def successor_serving(self):
+        """The successor accepts clients; this process drains."""
+        self.succession.successor_serving()
+        say('successor serving', open=len(self.node.active_requests), clients=len(self.node.listener.table))
+        self.report_descriptors(0)
+        self.watch_successor(0)
+
+    def heartbeat_received(self):
+        """The successor is alive; if it was unresponsive, it takes the clients again."""
+        self.last_heartbeat = self.clock()
+        if self.succession.successor == UNRESPONSIVE:
+            self.succession.successor_serving()
+            say('successor responsive again')
+            self.node.update_shares()
+
+    def watch_successor(self, _):
+        """Accept clients again while the heartbeats of a successor that serves are overdue.
+
+        A successor of an older version, which sends none, is not watched.
+        """
+        if self.successor and self.last_heartbeat is not None:
+            if (
+                self.clock() > self.last_heartbeat + HEARTBEAT_TIMEOUT
+                and self.succession.successor == SERVING
+            ):
+                self.succession.successor_unresponsive()
+                warn('successor unresponsive', for_ms=(self.clock() - self.last_heartbeat) // 10)
+                self.node.update_shares()
+            self.deadlines.at(self.clock() + HEARTBEAT_INTERVAL, self.watch_successor, 0)
+
+    def report_descriptors(self, _):
+        """Tell the successor how many descriptors this process still holds, now and at every interval."""
+        if self.successor:
+            self.node.update_shares()
+            self.successor.send(holds=self.node.holds())
+            self.deadlines.at(self.clock() + REPORT_INTERVAL, self.report_descriptors, 0)
+
+    def descriptors_reported(self, holds):
+        """The predecessor has reported how many descriptors it holds."""
+        self.succession.predecessor_reported(holds)
+        self.node.update_shares()
+
+    def link_lost(self, link):
         """A link has ended."""
-        if link is self.elder:
+        if link is self.predecessor:
             if self.begin:
-                self.next_elder()
+                self.try_next()
                 return
-            self.elder = None
-            self.succession.elder_gone()
-            say('elder gone')
-        elif link is self.heir:
-            self.heir = self.heard = None
-            self.succession.heir_gone()
-            say('heir gone', accepting=self.succession.accepting)
+            self.predecessor = None
+            self.succession.predecessor_gone()
+            say('predecessor gone')
+        elif link is self.successor:
+            self.successor = self.last_heartbeat = None
+            self.succession.successor_gone()
+            say('successor gone', accepting=self.succession.accepting)
         else:
             return
-        self.node.share_out()
+        self.node.update_shares()
 
     # --- calls ------------------------------------------------------------------------------------------
 
-    def bind(self, verb, name, done):
-        """Have a call bind the others; done() once it does."""
-        links = [link for link in (self.elder, self.heir) if link]
-        left = [len(links)]
+    def call_others(self, verb, name, done):
+        """Make a call at the other processes of the node; done() runs once all have replied or timed out."""
+        links = [link for link in (self.predecessor, self.successor) if link]
+        outstanding = [len(links)]
 
-        def one():
-            left[0] -= 1
-            if left[0] <= 0:
+        def one_done():
+            outstanding[0] -= 1
+            if outstanding[0] <= 0:
                 done()
 
         if not links:
             done()
         for link in links:
-            link.call(verb, name, one)
+            link.call(verb, name, one_done)
 
-    def short(self, name):
-        """The path of a socket. Guards against a private folder whose path is too long for a Unix socket's
-        address."""
+    def socket_path(self, name):
+        """Return the path of a socket, through a descriptor if it is too long for a Unix socket."""
         path = os.path.join(self.folder, name)
-        if len(path.encode()) <= PATH_MOST:
+        if len(path.encode()) <= MAX_PATH:
             return path
-        if self.held is None:
-            self.held = os.open(self.folder, os.O_PATH | os.O_DIRECTORY)
-        return '/proc/self/fd/%d/%s' % (self.held, name)
+        if self.folder_fd is None:
+            self.folder_fd = os.open(self.folder, os.O_PATH | os.O_DIRECTORY)
+        return '/proc/self/fd/%d/%s' % (self.folder_fd, name)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -1,9 +1,7 @@
-"""The node: one object that holds the program's phases and calls the module.
+"""The node: owns the router, the clock, the active requests and their attempts, and the process's lifecycle.
 
-Owns the module's router, the clock, the transactions that are open and the hops under way, each in
-numbered slots. After every input it pulls the module's decisions until there are none and carries them
-out. Must never decide by itself what the module could: it only keeps what the protocol owes (one answer
-to all that is taken).
+After every input the node asks the router (logic.py) for decisions until there are none, and carries them out.
+It makes no routing decisions itself, but makes sure that each request it has taken gets exactly one answer.
 """
 
 import gc
@@ -30,17 +28,18 @@
 from .system import System
 from .tables import Deadlines, Table
 
-# away: an operator has had the node emptied; it lives on and takes whoever still comes.
+# away: an operator has taken the node out of rotation; it still serves the clients that come.
 STARTING, SERVING, AWAY, DRAINING, STOPPED = 'starting', 'serving', 'away', 'draining', 'stopped'
-SPARE, LEAST = 32, 4  # descriptors for all but clients and caches; what each has at least
-COMING = 5_000  # after SIGTERM clients go on coming for less than this
-FIRST_WORD = 10_000  # so long clients wait at the door for discovery's first word
-GRACE = 30_000  # SIGKILL may come so long and a little more after SIGTERM, however long clients would wait
-RESTED = 2_500  # idle so long, a connection is unlikely to be asked on while it closes
-HEAD_START = 4  # of a request's time the last part, 1 to this, is kept for passing on an answer held in part
-COMING_PART = 16  # for such a part of its time an answer must have come piece by piece
-FIGURES = 10 * SECOND  # between two lines of figures
-STEP_SECONDS = 0.1  # of a wall clock, from which on staff are told
+# Times are in ticks of 0.1 ms unless the name says otherwise.
+RESERVED_DESCRIPTORS, MIN_DESCRIPTORS = 32, 4  # for all but clients and caches; for each of these at least
+ARRIVAL_GRACE = 5_000  # new clients stop arriving within this time after SIGTERM
+FIRST_LIST_TIMEOUT = 10_000  # for discovery's first list, until which new clients wait to be accepted
+MAX_DRAIN = 30_000  # SIGKILL may follow SIGTERM a little later than this
+SETTLED_IDLE = 2_500  # a client idle for this long is unlikely to send a request while its connection closes
+RELAY_FRACTION = 4  # the last quarter of a request's time is kept for relaying a partial answer
+PROGRESS_FRACTION = 16  # an answer still arrives if it made progress over 1/16 of its request's time
+FIGURES_INTERVAL = 10 * SECOND
+STEP_SECONDS = 0.1  # smallest step of the wall clock that is reported
 MILLISECOND = SECOND // 1_000
 
 
@@ -61,13 +60,13 @@
 class Attempt:
     """A hop under way for an active."""
 
-    __slots__ = ('number', 'active', 'hop', 'exchange', 'begin_at', 'looked_at')
+    __slots__ = ('number', 'active', 'hop', 'exchange', 'relay_at', 'looked_at')
 
     def __init__(self, active, hop):
         self.active, self.hop = active, hop
         self.number = self.exchange = None
         self.looked_at = False  # whether its deadline has waited for what lay unread
-        self.begin_at = None  # from when on an answer that is here in part is passed on
+        self.relay_at = None  # from when on an answer that is here in part is passed on
 
 
 class Node:
@@ -77,10 +76,10 @@
         self.place, self.reactor, self.system, self.elapsed = place, reactor, system, system.elapsed
         reactor.call_failed = self.call_failed
         self.phase = STARTING
-        self.zero = self.elapsed() - 1  # the module's clock starts at one second
+        self.zero = self.elapsed() - 1  # the node's clock starts at one second
         # Unix time is read here once, for lists; what a step does to it later changes nothing.
         self.starts = StartTimes(self.clock() - int(system.wall() * SECOND))
-        self.wall_ahead = system.wall() - self.elapsed()  # as last seen: a step changes it
+        self.wall_offset = system.wall() - self.elapsed()  # as last seen: a step changes it
         self.chance = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
         self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_within)
@@ -89,7 +88,7 @@
         self.ids = set()  # what clients call the transactions that are open
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.events = EventLog(self.clock, lines_per_second)
-        budget = self.part(self.descriptors() - SPARE)
+        budget = self.descriptor_share(self.descriptors() - RESERVED_DESCRIPTORS)
         self.listener = Listener(self, self.deadlines, self.clock, place.terms, budget, self.events)
         self.caches = Caches(
             reactor,
@@ -105,13 +104,13 @@
         )
         self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.chance, self)
         self.desk = None  # operators' door
-        self.gone_away, self.emptied = False, 0  # whether operators have it emptied, and since when
-        self.kin, self.exit = None, 0  # links to other processes of this node; the exit code
+        self.gone_away, self.away_since = False, 0  # whether operators have it away_since, and since when
+        self.handover, self.exit_code = None, 0  # links to other processes of this node; the exit code
         self.changes = None  # changes that are passed to it, where a changes file says so (changes/node.py)
         self.fleet = None  # what this node shares with others, where a fleet file says so (plan/fleet.py)
         self.last = None  # once it is to exit: until when all is answered
-        self.ending = None  # SIGTERM, and when it came, while that waits for discovery's first word
-        self.pulling = False
+        self.pending_drain = None  # SIGTERM, and when it came, while that waits for discovery's first word
+        self.settling = False
         self.counts = Counter()
 
     def clock(self):
@@ -128,19 +127,27 @@
         """Begin; where operators have a door, first ask in this folder whether a process of this node is
         there."""
         if self.place.operator:
-            from .operator import Desk  # what is off is not imported
+            from .operator import OperatorServer  # what is off is not imported
 
-            self.desk = Desk(self, self.deadlines, self.clock)
+            self.desk = OperatorServer(self, self.deadlines, self.clock)
             self.desk.listen(self.reactor, *self.place.operator)
         if self.place.operator and folder:
-            from .handover import Kin
-
-            self.kin = Kin(self, self.reactor, self.deadlines, self.clock, folder, self.descriptors(), SPARE)
-            self.kin.ask(self.begin_or_end)
+            from .handover import Handover
+
+            self.handover = Handover(
+                self,
+                self.reactor,
+                self.deadlines,
+                self.clock,
+                folder,
+                self.descriptors(),
+                RESERVED_DESCRIPTORS,
+            )
+            self.handover.find_predecessor(self.begin_unless_stopped)
         else:
             self.begin(None, None)
 
-    def begin_or_end(self, told, fd):
+    def begin_unless_stopped(self, told, fd):
         """Begin, unless SIGTERM came while an elder was asked; a start that fails ends the program."""
         if self.phase == STOPPED:
             return
@@ -148,13 +155,13 @@
             self.begin(told, fd)
         except CannotListenError as err:
             warn('cannot listen', reason=err)
-            self.phase, self.exit = STOPPED, 1
+            self.phase, self.exit_code = STOPPED, 1
             self.reactor.stop()
         except Exception:
             if told is None:
                 raise
             LOG.exception('hand-over failed')  # what was given is of no use: a plain start
-            self.begin_or_end(None, None)
+            self.begin_unless_stopped(None, None)
 
     def begin(self, told, fd):
         """Take the remembered list, or what an elder gave, listen, and open the watch. Clients wait at the
@@ -174,11 +181,11 @@
         if self.discovery.pushed:
             self.discovery.open()
         self.settle()
-        self.deadlines.at(self.clock() + FIRST_WORD, self.no_word, 0)
-        self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
-        self.deadlines.at(self.clock() + SECOND, self.look_at_wall_clock, 0)
+        self.deadlines.at(self.clock() + FIRST_LIST_TIMEOUT, self.first_list_timed_out, 0)
+        self.deadlines.at(self.clock() + FIGURES_INTERVAL, self.figures, 0)
+        self.deadlines.at(self.clock() + SECOND, self.check_wall_clock, 0)
 
-    def no_word(self, _):
+    def first_list_timed_out(self, _):
         """Guards against clients that wait at the door until their time is up: a call to discovery may wait
         its turn for longer."""
         self.serve()
@@ -189,9 +196,9 @@
             return
         self.phase = AWAY if self.gone_away else SERVING
         self.listener.see_to_door()
-        if self.kin:
-            self.share_out()
-            self.kin.serves()
+        if self.handover:
+            self.update_shares()
+            self.handover.announce_serving()
         say(
             'serving',
             node=self.place.name,
@@ -199,8 +206,8 @@
             servers=len(self.servers),
             descriptors=self.descriptors(),
         )
-        if self.ending:
-            self.drain(*self.ending)
+        if self.pending_drain:
+            self.drain(*self.pending_drain)
 
     def ready(self):
         """Whether clients should come here."""
@@ -225,7 +232,7 @@
         speaks, or its watch is lost."""
         since = self.clock() if since is None else since
         if self.phase == STARTING and self.listener.port:
-            self.ending = self.ending or (signum, since)
+            self.pending_drain = self.pending_drain or (signum, since)
         elif self.phase == STARTING:
             self.phase = STOPPED
             self.reactor.stop()
@@ -238,17 +245,17 @@
                 signal=signum,
                 open=len(self.active_requests),
                 clients=len(self.listener.table),
-                succeeded=self.succeeded,
+                succeeded=self.successor_accepts,
             )
-            if self.kin:
-                self.kin.succession.end()
-            self.last = since + min(self.listener.slowest, GRACE) + COMING
+            if self.handover:
+                self.handover.succession.end()
+            self.last = since + min(self.listener.slowest, MAX_DRAIN) + ARRIVAL_GRACE
             for active in self.active_requests:
-                self.hasten(active)
+                self.cap_deadline(active)
             self.deadlines.at(self.last, self.listener.break_off, 0)
-            self.deadlines.at(since + COMING, self.leave, since)
+            self.deadlines.at(since + ARRIVAL_GRACE, self.drain_step, since)
 
-    def hasten(self, active):
+    def cap_deadline(self, active):
         """The process ends soon, and owes an answer before. Guards against SIGKILL, which does not wait for
         the longest limits."""
         tx = active.tx
@@ -269,27 +276,29 @@
             return
         say('page read', discovery='%s:%d' % where, moved=self.discovery.move(where))
 
-    def leave(self, since):
+    def drain_step(self, since):
         """Clients have stopped coming: ask those that are idle to go, and exit once nothing is owed."""
         now = self.clock()
         # With an heir nobody comes anew, so there is time: who rests for long is unlikely to ask just now.
-        self.listener.close_idle(RESTED if self.succeeded and now < since + 4 * COMING else 0)
+        self.listener.close_idle(
+            SETTLED_IDLE if self.successor_accepts and now < since + 4 * ARRIVAL_GRACE else 0
+        )
         # With an heir the queue is held on to until the exit: should the heir stand still, nobody else looks
         # at it.
-        held = self.handed or self.holding
-        if now >= self.last - COMING or not held and self.listener.nobody_comes(since + COMING):
+        held = self.handed or self.keeps_listening
+        if now >= self.last - ARRIVAL_GRACE or not held and self.listener.nobody_comes(since + ARRIVAL_GRACE):
             self.listener.shut_door()
         if (
             not len(self.listener.table)
-            and (self.listener.shut or not self.holding and held)
-            or now >= self.last + COMING // 5
+            and (self.listener.shut or not self.keeps_listening and held)
+            or now >= self.last + ARRIVAL_GRACE // 5
         ):
             self.phase = STOPPED
             self.discovery.close()
             say('stopped', open=len(self.active_requests), **self.counts)
             self.reactor.stop()
         else:
-            self.deadlines.at(now + COMING // 20, self.leave, since)
+            self.deadlines.at(now + ARRIVAL_GRACE // 20, self.drain_step, since)
 
     # --- by hand ----------------------------------------------------------------------------------------
 
@@ -297,9 +306,9 @@
         """An operator has clients sent away; whoever still comes is served."""
         self.gone_away = True
         if self.phase == SERVING:
-            self.phase, self.emptied = AWAY, self.clock()
+            self.phase, self.away_since = AWAY, self.clock()
             say('away', open=len(self.active_requests), clients=len(self.listener.table))
-            self.deadlines.at(self.emptied + COMING, self.send_away, self.emptied)
+            self.deadlines.at(self.away_since + ARRIVAL_GRACE, self.send_away, self.away_since)
         return self.phase in (AWAY, DRAINING)
 
     def activate(self):
@@ -311,21 +320,21 @@
         return self.phase == SERVING or self.handed
 
     def send_away(self, since):
-        """While the node is emptied: who rests on a connection is asked to go, who just rested there a little
+        """While the node is away_since: who rests on a connection is asked to go, who just rested there a little
         later."""
-        if self.phase == AWAY and since == self.emptied:
-            self.listener.close_idle(RESTED if self.clock() < since + 4 * COMING else 0)
-            self.deadlines.at(self.clock() + COMING // 5, self.send_away, since)
+        if self.phase == AWAY and since == self.away_since:
+            self.listener.close_idle(SETTLED_IDLE if self.clock() < since + 4 * ARRIVAL_GRACE else 0)
+            self.deadlines.at(self.clock() + ARRIVAL_GRACE // 5, self.send_away, since)
 
     def suspend(self, name):
         """An operator takes a cache out. Whether it is known."""
-        return self.by_hand('suspended', name, self.router.suspend(self.clock(), name))
+        return self.apply_override('suspended', name, self.router.suspend(self.clock(), name))
 
     def resume(self, name):
         """An operator brings it back. Whether it is known."""
-        return self.by_hand('resumed', name, self.router.resume(self.clock(), name))
+        return self.apply_override('resumed', name, self.router.resume(self.clock(), name))
 
-    def by_hand(self, what, name, done):
+    def apply_override(self, what, name, done):
         if done:
             self.caches.tidy()
             say(what, server=name, caches=len(self.router.caches))
@@ -335,48 +344,54 @@
     # --- another process of this node -------------------------------------------------------------------
 
     @property
-    def succeeded(self):
+    def successor_accepts(self):
         """Whether another process takes this node's clients."""
-        return bool(self.kin) and not self.kin.succession.accepting
+        return bool(self.handover) and not self.handover.succession.accepting
 
     @property
     def handed(self):
         """Whether another process has this node, even if it stands still."""
-        return bool(self.kin) and self.kin.succession.handed
+        return bool(self.handover) and self.handover.succession.handed
 
     @property
-    def holding(self):
+    def keeps_listening(self):
         """Whether this process, which is to exit, is the only one to look at the queue."""
-        return bool(self.kin) and self.kin.succession.holding
+        return bool(self.handover) and self.handover.succession.keeps_listening
 
-    def bound(self, verb, name=None):
+    def perform(self, method, name=None):
         """A call of an operator, here or at the other process, by its name in here. Whether it is a yes."""
-        return getattr(self, verb)(*([] if name is None else [name]))
+        return getattr(self, method)(*([] if name is None else [name]))
 
-    def door_fd(self):
+    def listening_fd(self):
         """The listening socket, while there is one to give."""
-        return self.listener.port.fileno() if self.can_serve() and not self.succeeded else None
+        return self.listener.port.fileno() if self.can_serve() and not self.successor_accepts else None
 
     def holds(self):
         """Descriptors that this process holds or may still take."""
-        return SPARE + max(len(self.listener.table) + self.caches.open, self.kin.succession.kept)
+        return RESERVED_DESCRIPTORS + max(
+            len(self.listener.table) + self.caches.open, self.handover.succession.reserved
+        )
 
     @staticmethod
-    def part(room):
+    def descriptor_share(total):
         """What clients have of so many descriptors, and servers as well."""
-        return max(LEAST, room // 2)
+        return max(MIN_DESCRIPTORS, total // 2)
 
-    def share_out(self):
+    def update_shares(self):
         """Who takes clients, and how many descriptors are this process's, may have changed."""
-        self.router.handed, self.listener.yielded = self.handed, self.succeeded
-        if self.succeeded:
-            self.listener.budget = max(LEAST, len(self.listener.table))
-            self.caches.shrink(LEAST)
+        self.router.handed, self.listener.yielded = self.handed, self.successor_accepts
+        if self.successor_accepts:
+            self.listener.budget = max(MIN_DESCRIPTORS, len(self.listener.table))
+            self.caches.shrink(MIN_DESCRIPTORS)
         elif self.handed:  # what the heir was told of is all there is
-            self.listener.budget = max(LEAST, self.kin.succession.kept // 2)
-            self.caches.budget = max(LEAST, self.kin.succession.kept // 2, self.caches.open)
+            self.listener.budget = max(MIN_DESCRIPTORS, self.handover.succession.reserved // 2)
+            self.caches.budget = max(
+                MIN_DESCRIPTORS, self.handover.succession.reserved // 2, self.caches.open
+            )
         else:
-            self.listener.budget = self.caches.budget = self.part(self.kin.succession.room)
+            self.listener.budget = self.caches.budget = self.descriptor_share(
+                self.handover.succession.capacity
+            )
         if self.listener.port:
             self.listener.see_to_room()
             self.listener.see_to_door()
@@ -406,7 +421,7 @@
         """Go on with what an elder gave."""
         try:
             self.gone_away = told['away'] is True
-            offset = self.offset_to(told)
+            offset = self.clock_offset_from(told)
             for name, (since, back) in told['hand'].items():
                 self.router.hand[name] = (since + offset, back and back + offset)
             self.router.list_remembered(
@@ -418,7 +433,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             warn('hand-over not read', reason=repr(err))
 
-    def offset_to(self, told):
+    def clock_offset_from(self, told):
         """What turns an elder's times into this clock's. Both processes are on one machine, whose monotonic
         clock they share; its wall clock may have been stepped between their starts. An elder of an older
         version tells Unix times alone."""
@@ -442,7 +457,7 @@
         active.tx.ref, active.shared = active, self.fleet is not None and not active.tx.refused
         if limit is not None:
             self.deadlines.at(limit, self.limit_due, active.number)
-        self.hasten(active)
+        self.cap_deadline(active)
         self.settle()
 
     def body_spent(self, active):
@@ -454,7 +469,7 @@
         limit = when + active.wait
         self.router.body_came(self.clock(), active.tx, limit)
         self.deadlines.at(limit, self.limit_due, active.number)
-        self.hasten(active)
+        self.cap_deadline(active)
         for attempt in active.attempts:
             if not self.place.terms.may_cancel:
                 self.deadlines.at(limit, self.patience_due, attempt.number)
@@ -490,7 +505,7 @@
             self.guard.check_answer(active)
         self.active_requests.remove(active.number)
         self.ids.discard(active.name)
-        self.over(active)
+        self.release_limits(active)
         client, active.client, active.message = active.client, None, None
         return client
 
@@ -498,17 +513,17 @@
         """Whether it is owed an answer."""
         return self.active_requests.get(active.number) is active
 
-    def over(self, active):
+    def release_limits(self, active):
         """Once an active is over and no hop of it is out, what it spent of the fleet's limits is free."""
         if not active.shared or self.active_requests.get(active.number) is active:
             return
         for attempt in active.attempts:
-            self.deadlines.at(self.clock(), self.not_wanted, attempt.number)
+            self.deadlines.at(self.clock(), self.cancel_unsent, attempt.number)
         if not active.attempts:
             active.shared = False
             self.router.shares.done(active.tx.profile)
 
-    def not_wanted(self, number):
+    def cancel_unsent(self, number):
         """A hop of an active that is over: should it wait for a connection that the limits do not let be
         opened, it never leaves."""
         attempt = self.attempts.get(number)
@@ -524,7 +539,7 @@
     def limit_due(self, number):
         """The client's limit: hops end, and the module answers. Should it not, one is owed all the same."""
         active = self.active_requests.get(number)
-        if active is None or self.read_first(active.attempts, self.limit_due, number):
+        if active is None or self.defer_for_unread(active.attempts, self.limit_due, number):
             return
         if self.pass_on_part(active):
             return
@@ -537,7 +552,7 @@
             self.reply(active, 504, 'out of time\n')
             self.router.client_gone(self.clock(), active.tx)
 
-    def read_first(self, attempts, due, number):
+    def defer_for_unread(self, attempts, due, number):
         """Whether one of these attempts has something unread: it is read first, and the deadline comes again
         in the next turn; once for each attempt. Guards against cutting off an answer whose last piece came
         before its time was up."""
@@ -562,20 +577,20 @@
         would be lost long before its request's limit. Guards also against one that nobody waits for at a site
         where hops may not be cancelled: with the server gone silent it would be out for ever."""
         attempt = self.attempts.get(number)
-        if attempt is None or self.read_first([attempt], self.patience_due, number):
+        if attempt is None or self.defer_for_unread([attempt], self.patience_due, number):
             return
         limit = attempt.active.tx.limit
         if (
             limit is not None
             and self.clock() < limit
-            and attempt.exchange.link in self.still_coming(attempt.active)
+            and attempt.exchange.link in self.progressing_links(attempt.active)
         ):
             self.deadlines.at(limit, self.patience_due, number)
             return
         attempt.exchange.cut('expired')
         self.settle()
 
-    def arrived(self, ending, number):
+    def attempt_ended(self, ending, number):
         """A hop has ended: by what came of it, or cut."""
         attempt, (how, answer) = self.attempts.get(number), ending
         self.attempts.remove(number)
@@ -605,7 +620,7 @@
         if self.fleet:
             self.fleet.ended(now, hop, how, now - hop.sent)
         self.router.hop_ended(now, hop, how, now - hop.sent, final or hop.tx.done, note)
-        self.over(active)
+        self.release_limits(active)
         self.settle()
 
     def broken(self, server, err):
@@ -634,38 +649,38 @@
         """A fault in the node itself."""
         LOG.error('fault', exc_info=(failure.type, failure.value, failure.getTracebackObject()))
 
-    def answer_in_part(self, attempt):
+    def partial_answer(self, attempt):
         """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further
         attempts and its race; but should it be a large one it is timed by its first bytes, and cut off at the
         limit it would be lost while its server gives it. So it is held for three quarters of the request's
         time, less what this node was late in reading it."""
         now = self.clock()
-        if attempt.begin_at is None:
+        if attempt.relay_at is None:
             limit = attempt.active.tx.limit or attempt.exchange.until
             late = unread_for(attempt.exchange.link.transport)
-            attempt.begin_at = limit - attempt.active.wait // HEAD_START - late
-            self.deadlines.at(max(now, attempt.begin_at), self.begin_due, attempt.number)
-        elif now >= attempt.begin_at:
-            self.begin_due(attempt.number)
+            attempt.relay_at = limit - attempt.active.wait // RELAY_FRACTION - late
+            self.deadlines.at(max(now, attempt.relay_at), self.relay_due, attempt.number)
+        elif now >= attempt.relay_at:
+            self.relay_due(attempt.number)
 
-    def begin_due(self, number):
+    def relay_due(self, number):
         """An answer held in part has been held for long enough."""
         attempt = self.attempts.get(number)
         if attempt is not None and self.active_requests.get(attempt.active.number) is attempt.active:
             self.pass_on_part(attempt.active)
 
-    def still_coming(self, active):
+    def progressing_links(self, active):
         """The connections on which an answer to this request goes on coming. One that came at once, and no
         further, is likelier to break off, or its server to hang, than to be a large one: it stays held, for a
         further attempt or an answer that says to try again."""
-        now, spread = self.clock(), active.wait // COMING_PART
+        now, spread = self.clock(), active.wait // PROGRESS_FRACTION
         links = [attempt.exchange.link for attempt in active.attempts if attempt.exchange.link]
         return [link for link in links if link.still_gives(now, spread)]
 
     def pass_on_part(self, active):
         """Pass on, from here, what goes on coming; of several attempts' the one of which most is here.
         Whether there was one. Guards against a refusal, at the limit or before, of an answer that comes."""
-        links = self.still_coming(active)
+        links = self.progressing_links(active)
         if links:
             max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
         return bool(links)
@@ -715,9 +730,9 @@
 
     def settle(self):
         """Pull the module's decisions until none is left."""
-        if self.pulling:
+        if self.settling:
             return  # the pull that this came out of goes on
-        self.pulling, going = True, True
+        self.settling, going = True, True
         while going:
             try:
                 decision = self.router.decide(self.clock())
@@ -726,10 +741,10 @@
                 going = bool(decision)
             except Exception:
                 LOG.exception('decision failed')
-                going = self.pass_over()
-        self.pulling = False
+                going = self.skip_ready()
+        self.settling = False
 
-    def pass_over(self):
+    def skip_ready(self):
         """Guards against a fault that one transaction meets: it is looked at next at its limit, the others go
         on. Whether there are others."""
         if self.router.ready:
@@ -749,7 +764,7 @@
             active.name,
             server=hop.server.name,
             attempt=hop.index,
-            why=self.why_sent(hop),
+            why=self.send_reason(hop),
         )
         if self.fleet:
             self.router.shares.sent(now, hop.server, self.router.presence(now, hop.server) < 1)
@@ -761,15 +776,15 @@
             hop.index > 0,
             lambda: self.guard.check_send(active, hop),
         )
-        attempt.exchange.in_part = lambda: self.answer_in_part(attempt)
-        attempt.exchange.done.addCallback(self.arrived, attempt.number).addErrback(self.fault)
+        attempt.exchange.in_part = lambda: self.partial_answer(attempt)
+        attempt.exchange.done.addCallback(self.attempt_ended, attempt.number).addErrback(self.fault)
         if hop.tx.limit is not None and (
             until < limit or not self.place.terms.may_cancel
         ):  # else it ends with its active
             self.deadlines.at(until, self.patience_due, attempt.number)
 
     @staticmethod
-    def why_sent(hop):
+    def send_reason(hop):
         """Why an attempt is made, for the log: a retry by how the one before it ended."""
         if hop.copy:
             return 'copy'
@@ -827,14 +842,14 @@
         """One more of these."""
         self.counts[what] += 1
 
-    def look_at_wall_clock(self, _):
+    def check_wall_clock(self, _):
         """Tell staff of a wall clock that was stepped. Nothing here goes by it."""
         ahead = self.system.wall() - self.elapsed()
-        by, self.wall_ahead = ahead - self.wall_ahead, ahead
+        by, self.wall_offset = ahead - self.wall_offset, ahead
         if abs(by) > STEP_SECONDS:
             self.count('clock_steps')
             warn('wall clock stepped', by_ms=int(by * 1_000))
-        self.deadlines.at(self.clock() + SECOND, self.look_at_wall_clock, 0)
+        self.deadlines.at(self.clock() + SECOND, self.check_wall_clock, 0)
 
     def figures(self, _):
         """A line of counts since the start."""
@@ -846,7 +861,7 @@
             memory_kb=self.system.memory_kb(),
             **self.counts,
         )
-        self.deadlines.at(self.clock() + FIGURES, self.figures, 0)
+        self.deadlines.at(self.clock() + FIGURES_INTERVAL, self.figures, 0)
 
 
 def serve(place, path, fleet=None, early=(), changes=None, lines_per_second=0):
@@ -883,4 +898,4 @@
     gc.collect()
     gc.freeze()  # what the start has made stays for good: the collector need not go through it again
     reactor.run(installSignalHandlers=False)
-    return node.exit
+    return node.exit_code
--- a/lilacdyke/net/operator.py
+++ b/lilacdyke/net/operator.py
@@ -1,7 +1,6 @@
-"""The operators' door: a second address on which staff call, one call to a connection.
+"""HTTP server for operators, on an address of its own: one call per connection.
 
-Owns who calls there, for how long, and the form of calls and answers. Must never keep a quick caller out for
-a slow one, touch a client's connection, or decide: each call is one of the node's, and its word is passed on.
+Slow callers never keep quick ones out. Each call is passed on to a method of the node, which decides.
 """
 
 from urllib.parse import unquote
@@ -14,17 +13,18 @@
 from .sockets import no_delay
 from .tables import Table
 
-MOST = 12  # callers at once; the longest there makes way for the next
-STAYS = 50_000  # until a caller that has not finished its call is told to go
-PARTS = 10_000  # until one that has its answer and does not close is cut
-CALLS = {
+# Times are in ticks of 0.1 ms.
+MAX_CALLERS = 12  # without an answer at once; the oldest is closed when another connects
+CALL_TIMEOUT = 50_000  # for a caller to complete its call
+CLOSE_TIMEOUT = 10_000  # for a caller to close after its answer
+METHODS = {
     (b'v1', b'readyz'): 'can_serve',
     (b'v1', b'node', b'drain'): 'empty',
     (b'v1', b'node', b'activate'): 'activate',
 }
-HANDS = {b'suspend': 'suspend', b'resume': 'resume'}
-# What a caller is told on a yes; on a no, with its status.
-WORDS = {
+SERVER_METHODS = {b'suspend': 'suspend', b'resume': 'resume'}
+# By method: the text of a success; the status and text of a failure.
+ANSWERS = {
     'can_serve': ('ready', 503, 'not ready'),
     'empty': ('clients are sent away', 503, 'not now'),
     'activate': ('clients may come', 503, 'not now'),
@@ -33,28 +33,28 @@
 }
 
 
-class Caller(Protocol):
-    """One caller's connection."""
+class OperatorConnection(Protocol):
+    """An operator's connection."""
 
-    urgent = True  # read before all else in a turn of the reactor
+    urgent = True  # the reactor reads it before ordinary connections
 
-    def __init__(self, desk):
-        self.desk, self.reader = desk, Reader(http.REQUEST)
-        self.number, self.asked, self.answered = None, False, False
+    def __init__(self, server):
+        self.server, self.reader = server, Reader(http.REQUEST)
+        self.number, self.received, self.answered = None, False, False
 
     def connectionMade(self):
         no_delay(self.transport)
-        self.desk.opened(self)
+        self.server.opened(self)
 
     def dataReceived(self, data):
-        if self.asked or self.answered:
-            return  # one call to a connection: what follows it is not read
+        if self.received or self.answered:
+            return  # only the first call of a connection is read
         try:
             self.reader.feed(data)
             message = self.reader.take()
             if message:
-                self.asked = True
-                self.desk.called(message, self.reply)
+                self.received = True
+                self.server.called(message, self.reply)
             elif self.reader.hint():
                 self.transport.write(http.CONTINUE)
         except BadMessage as err:
@@ -64,95 +64,97 @@
             self.reply(500, 'a fault in the node')
 
     def reply(self, status, text, more=''):
-        """The one answer."""
+        """Send the answer, unless one was sent or the connection is closed."""
         if not self.answered and self.number is not None:
             self.answered = True
-            self.desk.line.pop(self.number, None)  # it has what it came for, and keeps nobody out
+            self.server.waiting.pop(self.number, None)
             self.transport.write(b''.join(http.answer(status, False, text + '\n', more)))
             self.transport.loseWriteConnection()
-            self.desk.deadlines.at(self.desk.clock() + PARTS, self.desk.cut, self.number)
+            self.server.deadlines.at(self.server.clock() + CLOSE_TIMEOUT, self.server.abort, self.number)
 
     def overdue(self):
-        """It has not finished its call for too long, or others wait for its place."""
+        """Refuse a call that is overdue or has to make way for another."""
         self.reply(408, 'the call did not come')
         self.transport.loseConnection()
 
     def connectionLost(self, reason=None):
-        self.desk.closed(self)
+        self.server.closed(self)
         self.number = None
 
 
-class Desk(Factory):
-    """The listening side, and what each path means."""
+class OperatorServer(Factory):
+    """The listening side, which maps paths to methods of the node."""
 
     noisy, urgent = False, True
 
     def __init__(self, node, deadlines, clock):
         self.node, self.deadlines, self.clock = node, deadlines, clock
         self.table, self.port = Table(), None
-        self.line = {}  # callers by number, the longest there first
+        self.waiting = {}  # connections without an answer by number, oldest first
 
     @property
     def holds(self):
-        """Descriptors that are held here."""
+        """The number of descriptors in use here."""
         return 1 + len(self.table)
 
     def listen(self, reactor, host, port):
-        """Take calls from now on."""
+        """Start to accept calls."""
         self.port = reactor.listenTCP(port, self, backlog=64, interface=host)
 
     def buildProtocol(self, addr):
-        return Caller(self)
+        return OperatorConnection(self)
 
     def opened(self, caller):
-        """Somebody calls. Guards against callers that say nothing: they are few, and make way."""
-        if len(self.line) >= MOST:
-            next(iter(self.line.values())).overdue()
+        """Register a connection; if there are too many, the oldest has to make way."""
+        if len(self.waiting) >= MAX_CALLERS:
+            next(iter(self.waiting.values())).overdue()
         caller.number = self.table.add(caller)
-        self.line[caller.number] = caller
-        self.deadlines.at(self.clock() + STAYS, self.late, caller.number)
+        self.waiting[caller.number] = caller
+        self.deadlines.at(self.clock() + CALL_TIMEOUT, self.timed_out, caller.number)
 
     def closed(self, caller):
-        """A caller has gone."""
-        self.line.pop(caller.number, None)
+        """Remove a closed connection."""
+        self.waiting.pop(caller.number, None)
         self.table.remove(caller.number)
 
-    def late(self, number):
-        """A caller is here for too long."""
+    def timed_out(self, number):
+        """Close a connection whose call has not arrived in time."""
         caller = self.table.get(number)
         if caller:
             caller.overdue()
 
-    def cut(self, number):
-        """One that has its answer still holds its connection."""
+    def abort(self, number):
+        """Abort a connection that was not closed after its answer."""
         caller = self.table.get(number)
         if caller:
             caller.transport.abortConnection()
 
     def called(self, message, reply):
-        """A whole call: to the node, and its word back."""
-        method, path = message.parts[0], message.path.split(b'/')[1:]
-        call, allowed, name = CALLS.get(tuple(path)), b'POST', None
+        """Handle a complete call."""
+        verb, path = message.parts[0], message.path.split(b'/')[1:]
+        method, allowed, name = METHODS.get(tuple(path)), b'POST', None
         if path[:2] == [b'v1', b'cache-servers'] and len(path) == 4:
-            call, name = HANDS.get(path[3]), unquote(path[2].decode('latin-1'))
-        if call == 'can_serve':
+            method, name = SERVER_METHODS.get(path[3]), unquote(path[2].decode('latin-1'))
+        if method == 'can_serve':
             allowed = b'GET'
         if not self.node.began():
             reply(503, 'not ready')
-        elif not call:
+        elif not method:
             reply(404, 'no such call')
-        elif method != allowed:
+        elif verb != allowed:
             reply(405, '%s only' % allowed.decode(), 'Allow: %s\r\n' % allowed.decode())
         else:
-            self.tell(call, name, reply)
-
-    def tell(self, verb, name, reply):
-        """A call to the node. A yes to what changes something is given once it binds the other process of
-        this node too, if there is one."""
-        yes, status, no = WORDS[verb]
-        if not self.node.bound(verb, name):
-            reply(status, no)
-        elif self.node.kin and verb != 'can_serve':
-            self.node.kin.bind(verb, name, lambda: reply(200, yes))
+            self.call_node(method, name, reply)
+
+    def call_node(self, method, name, reply):
+        """Call a method of the node and answer.
+
+        The success of a change is confirmed once the other processes of this node have made it too.
+        """
+        success, status, failure = ANSWERS[method]
+        if not self.node.perform(method, name):
+            reply(status, failure)
+        elif self.node.handover and method != 'can_serve':
+            self.node.handover.call_others(method, name, lambda: reply(200, success))
         else:
-            reply(200, yes)
+            reply(200, success)
--- a/lilacdyke/net/succession.py
+++ b/lilacdyke/net/succession.py
@@ -1,91 +1,92 @@
-"""The order in which one process of a node takes over from another, without I/O.
+"""State machine for handing a node over from one process to the next, without I/O or a clock.
 
-Owns which of the two takes new clients, and how many descriptors each may hold. Must never touch a socket or
-a clock, or leave a moment in which neither takes clients while one of them could.
+It decides which process accepts new clients and how many descriptors each may hold. At any moment at least
+one of the processes that can accept clients does.
 
-One Succession a process. It may have an elder (the process before it) and an heir (the one after it) at once.
-Inputs only update it; the host then looks at accepting, holding, room and kept.
+Each process has one Succession and may have a predecessor and a successor at the same time. Inputs only
+update the state; the caller then reads the properties.
 """
 
-# Where the heir stands: there is none; it has state and queue; it serves; it served, and has stood still
-# since.
-NONE, GIVEN, SERVES, SILENT = 'none', 'given', 'serves', 'silent'
-KEPT = 4  # one in so many descriptors stays an elder's, to take clients again
+# States of the successor: there is none; it has the state and the listening socket; it serves clients; it
+# served clients but has stopped sending heartbeats.
+NONE, STATE_SENT, SERVING, UNRESPONSIVE = 'none', 'given', 'serves', 'silent'
+RESERVED_SHARE = 4  # a predecessor keeps one in this many descriptors, so that it can accept clients again
 
 
 class Succession:
-    """Where this process stands between the one before it and the one after it."""
+    """State of the hand-over as one process sees it."""
 
-    __slots__ = ('limit', 'spare', 'heir', 'elder_holds', 'ending')
+    __slots__ = ('limit', 'spare', 'successor', 'predecessor_holds', 'ending')
 
     def __init__(self, limit, spare):
-        self.limit, self.spare = limit, spare  # descriptors of the whole node; what each process sets aside
-        self.heir = NONE
-        self.elder_holds = 0  # descriptors of the process before this one, while there is one
-        self.ending = False  # SIGTERM has come
+        self.limit, self.spare = limit, spare  # descriptors of the whole node; reserved in each process
+        self.successor = NONE
+        self.predecessor_holds = 0  # descriptors
+        self.ending = False  # whether SIGTERM has arrived
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def heir_came(self):
-        """One that starts asks for the queue. Whether it is given: only one at a time has it."""
-        if self.heir != NONE:
+    def successor_connected(self):
+        """Return whether a new process gets the listening socket: only one at a time does."""
+        if self.successor != NONE:
             return False
-        self.heir = GIVEN
+        self.successor = STATE_SENT
         return True
 
-    def heir_serves(self):
-        """It takes clients from here on."""
-        if self.heir in (GIVEN, SILENT):
-            self.heir = SERVES
+    def successor_serving(self):
+        """The successor accepts clients from now on."""
+        if self.successor in (STATE_SENT, UNRESPONSIVE):
+            self.successor = SERVING
 
-    def heir_silent(self):
-        """Nothing was heard of it for too long. Guards against an heir that stands still right after its yes:
-        both processes hold the queue, and neither would look at it. That this one does so as well, should the
-        heir go on, costs nothing."""
-        if self.heir == SERVES:
-            self.heir = SILENT
+    def successor_unresponsive(self):
+        """The successor's heartbeats have stopped, so this process accepts clients too.
 
-    def heir_gone(self):
-        """Its link has ended: it is dead, or another takes over from it."""
-        if not (self.ending and self.heir in (SERVES, SILENT)):
-            self.heir = NONE  # else it has the node for good, as far as this process knows
+        Otherwise a successor that hangs right after it began to serve would leave the listening socket to
+        nobody. If it recovers, both may accept for a moment, which does no harm.
+        """
+        if self.successor == SERVING:
+            self.successor = UNRESPONSIVE
 
-    def elder_told(self, holds):
-        """The elder holds so many descriptors now."""
-        self.elder_holds = holds
+    def successor_gone(self):
+        """The successor's link has ended: it exited, or its own successor has taken over."""
+        if not (self.ending and self.successor in (SERVING, UNRESPONSIVE)):
+            self.successor = NONE  # otherwise the successor keeps the node, since this process exits
 
-    def elder_gone(self):
-        """It has ended; all is this process's."""
-        self.elder_holds = 0
+    def predecessor_reported(self, holds):
+        """The predecessor holds this many descriptors now."""
+        self.predecessor_holds = holds
+
+    def predecessor_gone(self):
+        """The predecessor has ended, and this process may hold all descriptors."""
+        self.predecessor_holds = 0
 
     def end(self):
-        """This process is to exit."""
+        """This process is about to exit."""
         self.ending = True
 
-    # --- what follows -----------------------------------------------------------------------------------
+    # --- outputs ----------------------------------------------------------------------------------------
 
     @property
     def accepting(self):
-        """Whether this process takes new clients."""
-        return self.heir != SERVES
+        """Whether this process accepts new clients."""
+        return self.successor != SERVING
 
     @property
-    def holding(self):
-        """Whether the queue is held on to though this process is to exit: the heir does not look at it."""
-        return self.heir in (GIVEN, SILENT)
+    def keeps_listening(self):
+        """Whether to keep the listening socket open while exiting, as the successor does not accept."""
+        return self.successor in (STATE_SENT, UNRESPONSIVE)
 
     @property
     def handed(self):
-        """Whether the heir has this node's part of budgets: it keeps that though it stands still."""
-        return self.heir in (SERVES, SILENT)
+        """Whether the successor has this node's share of the budgets; it keeps that while unresponsive."""
+        return self.successor in (SERVING, UNRESPONSIVE)
 
     @property
-    def kept(self):
-        """How many descriptors stay this process's though an heir serves."""
-        return max(0, self.limit // KEPT - self.spare // 2)
+    def reserved(self):
+        """How many descriptors this process keeps while a successor serves."""
+        return max(0, self.limit // RESERVED_SHARE - self.spare // 2)
 
     @property
-    def room(self):
-        """How many descriptors clients and servers may hold here, while no heir serves: then what is let go
-        is the heir's."""
-        return max(0, self.limit - self.spare - self.elder_holds)
+    def capacity(self):
+        """How many descriptors this process may use for clients and servers while no successor serves."""
+        return max(0, self.limit - self.spare - self.predecessor_holds)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -79,7 +79,7 @@
         wire, _ = sent(made)
         active = wire.protocol.active
         made.reply(active, 503, 'no')
-        with mock.patch.object(Node, 'over'):
+        with mock.patch.object(Node, 'release_limits'):
             active.client = client(made)[0]
             self.assert_violated(made, 'answered_twice', lambda: made.forget(active))
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -3,7 +3,7 @@
 from lilacdyke.decode import place
 from lilacdyke.logic import Server
 from lilacdyke.net.node import AWAY, DRAINING, SERVING
-from lilacdyke.net.operator import MOST, STAYS, Desk
+from lilacdyke.net.operator import CALL_TIMEOUT, MAX_CALLERS, OperatorServer
 from lilacdyke.values import BadLine
 
 from .helpers import Wire, asked, dialled, node, page, router, said, sent, taken
@@ -62,15 +62,15 @@
 
     def test_silent_callers_make_way_and_are_told_to_go(self):
         made, door = desk()
-        silent = [call(door, 'GET /v1') for _ in range(MOST)]
+        silent = [call(door, 'GET /v1') for _ in range(MAX_CALLERS)]
         self.assertEqual(status(call(door, 'GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n')), 200)
-        self.assertEqual([status(wire) for wire in silent], [408] + [None] * (MOST - 1))
-        made.reactor.pump([STAYS / 20_000] * 3)
+        self.assertEqual([status(wire) for wire in silent], [408] + [None] * (MAX_CALLERS - 1))
+        made.reactor.pump([CALL_TIMEOUT / 20_000] * 3)
         self.assertEqual({status(wire) for wire in silent}, {408})
 
     def test_the_page_names_it_or_nothing_listens(self):
         self.assertIsNone(node().desk)
-        self.assertIsInstance(desk()[0].desk, Desk)
+        self.assertIsInstance(desk()[0].desk, OperatorServer)
         with self.assertRaises(BadLine):
             place(page(operator='door:1'))
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -26,7 +26,7 @@
     def test_the_elder_takes_clients_until_the_heir_serves(self):
         elder = Succession(384, 32)
         seen = [elder.accepting]
-        for step in (elder.heir_came, elder.heir_serves, elder.heir_gone):
+        for step in (elder.successor_connected, elder.successor_serving, elder.successor_gone):
             step()
             seen.append(elder.accepting)
         self.assertEqual(seen, [True, True, False, True])
@@ -34,37 +34,42 @@
     def test_one_heir_at_a_time_and_another_after_it_died(self):
         elder = Succession(384, 32)
         self.assertEqual(
-            [elder.heir_came(), elder.heir_came(), elder.heir_gone(), elder.heir_came()],
+            [
+                elder.successor_connected(),
+                elder.successor_connected(),
+                elder.successor_gone(),
+                elder.successor_connected(),
+            ],
             [True, False, None, True],
         )
 
     def test_an_ending_elder_does_not_take_clients_again(self):
         elder = Succession(384, 32)
-        elder.heir_came(), elder.heir_serves(), elder.end(), elder.heir_gone()
+        elder.successor_connected(), elder.successor_serving(), elder.end(), elder.successor_gone()
         self.assertFalse(elder.accepting)
 
     def test_an_ending_elder_goes_on_if_its_heir_never_served(self):
         elder = Succession(384, 32)
-        elder.heir_came(), elder.end(), elder.heir_gone()
+        elder.successor_connected(), elder.end(), elder.successor_gone()
         self.assertTrue(elder.accepting)
 
     def test_an_heir_that_stands_still_leaves_the_queue_to_the_elder_also_while_that_one_ends(self):
         elder = Succession(384, 32)
-        elder.heir_came(), elder.heir_serves(), elder.end()
-        seen = [(elder.accepting, elder.holding, elder.handed)]
-        for step in (elder.heir_silent, elder.heir_serves):
+        elder.successor_connected(), elder.successor_serving(), elder.end()
+        seen = [(elder.accepting, elder.keeps_listening, elder.handed)]
+        for step in (elder.successor_unresponsive, elder.successor_serving):
             step()
-            seen.append((elder.accepting, elder.holding, elder.handed))
+            seen.append((elder.accepting, elder.keeps_listening, elder.handed))
         self.assertEqual(seen, [(False, False, True), (True, True, True), (False, False, True)])
 
     def test_together_they_stay_within_the_limit(self):
         heir = Succession(384, 32)
-        heir.elder_told(150)
-        rooms = [heir.room]
-        heir.elder_told(60)
-        rooms.append(heir.room)
-        heir.elder_gone()
-        self.assertEqual(rooms + [heir.room], [202, 292, 352])
+        heir.predecessor_reported(150)
+        rooms = [heir.capacity]
+        heir.predecessor_reported(60)
+        rooms.append(heir.capacity)
+        heir.predecessor_gone()
+        self.assertEqual(rooms + [heir.capacity], [202, 292, 352])
 
 
 class Pair(Quiet):
@@ -76,16 +81,16 @@
         self.addCleanup(self.folder.cleanup)
         self.made = node(operator='127.0.0.1:9001')
         self.made.reactor.listenUNIX = self.made.reactor.connectUNIX = lambda *given, **named: None
-        self.made.kin = kin = self.kin_of(self.made)
-        self.wire, self.heir = Wire(), Link(kin, False)
+        self.made.handover = handover = self.handover_of(self.made)
+        self.wire, self.heir = Wire(), Link(handover, False)
         self.made.listener.port.fileno = lambda: 0
         self.wire.sendFileDescriptor = lambda fd: None
         self.heir.makeConnection(self.wire)
 
-    def kin_of(self, made):
-        from lilacdyke.net.handover import Kin
+    def handover_of(self, made):
+        from lilacdyke.net.handover import Handover
 
-        return Kin(made, made.reactor, made.deadlines, made.clock, self.folder.name, 384, 32)
+        return Handover(made, made.reactor, made.deadlines, made.clock, self.folder.name, 384, 32)
 
     def says(self, **line):
         self.heir.dataReceived(json.dumps(line).encode() + b'\n')
@@ -94,8 +99,8 @@
         self.made.suspend('c0'), self.made.empty()
         told = json.loads(json.dumps(self.made.legacy()))
         heir = starting(operator='127.0.0.1:9002', known={})
-        heir.discovery.version, heir.kin = None, self.kin_of(heir)
-        heir.kin.serves = lambda: None
+        heir.discovery.version, heir.handover = None, self.handover_of(heir)
+        heir.handover.announce_serving = lambda: None
         heir.begin(dict(told, v=1), None)
         self.assertEqual(
             (
@@ -117,9 +122,9 @@
         ):
             with self.subTest(told=told):
                 heir = starting(operator='127.0.0.1:9002')
-                heir.kin = self.kin_of(heir)
-                heir.kin.serves = lambda: None
-                heir.begin_or_end(dict(told, v=1), None)
+                heir.handover = self.handover_of(heir)
+                heir.handover.announce_serving = lambda: None
+                heir.begin_unless_stopped(dict(told, v=1), None)
                 self.assertIn(heir.phase, ('serving', 'away'))
                 self.assertIn('c0', heir.router.known)
 
@@ -180,8 +185,8 @@
             b'\xff\n',
         ):
             with self.subTest(line=line):
-                link, wire = Link(self.made.kin, False), Wire()
-                link.kin.heir_came = lambda link: None
+                link, wire = Link(self.made.handover, False), Wire()
+                link.handover.successor_connected = lambda link: None
                 link.makeConnection(wire)
                 link.dataReceived(line)
                 self.assertTrue(wire.aborted)
@@ -460,7 +465,7 @@
         return found
 
     def test_an_heir_that_stops_right_after_its_yes_keeps_nobody_out(self):
-        new, _ = self.begin(False, stops={'<net.handover:Kin.elder_holds': 1})
+        new, _ = self.begin(False, stops={'<net.handover:Handover.descriptors_reported': 1})
         self.stopped(new)
         self.first.send_signal(signal.SIGTERM)
         self.assertEqual(self.ask(20, 0.8), [200] * 20)
@@ -468,7 +473,7 @@
         self.assertEqual((self.first.wait(4), self.ask(5, 0.8)), (0, [200] * 5))
 
     def test_an_heir_that_stops_before_its_yes_has_the_elder_go_on_after_sigterm(self):
-        new, _ = self.begin(False, stops={'<net.handover:Kin.given': 1})
+        new, _ = self.begin(False, stops={'<net.handover:Handover.state_received': 1})
         self.stopped(new)
         self.first.send_signal(signal.SIGTERM)
         time.sleep(1.0)  # the elder's door used to close 0.75 s after the signal
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from lilacdyke.net.discovery import Entry
-from lilacdyke.net.handover import started_at
+from lilacdyke.net.handover import process_start
 from lilacdyke.net.logs import Sparse
 from lilacdyke.net.sockets import Reactor
 from lilacdyke.net.starts import StartTimes
@@ -128,8 +128,8 @@
         self.assertAlmostEqual(heir.clock() - since, 5 * SECOND, delta=10)
 
     def test_the_process_that_started_last_is_asked_first(self):
-        self.assertGreater(started_at(str(os.getpid())), started_at('1'))
-        self.assertEqual((started_at('0'), started_at('x')), (-1, -1))
+        self.assertGreater(process_start(str(os.getpid())), process_start('1'))
+        self.assertEqual((process_start('0'), process_start('x')), (-1, -1))
 
 
 class Told(unittest.TestCase):
@@ -137,7 +137,7 @@
         made = node()
         made.reactor.advance(1.1)
         with (
-            mock.patch.object(made.system, 'wall', lambda: made.elapsed() + made.wall_ahead - 20),
+            mock.patch.object(made.system, 'wall', lambda: made.elapsed() + made.wall_offset - 20),
             self.assertLogs('lilacdyke', 'WARNING') as caught,
         ):
             made.reactor.advance(1.1)
