--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -1,7 +1,7 @@
 """The node: owns the router, the clock, the active requests and their attempts, and the process's lifecycle.
 
-After every input the node asks the router (logic.py) for decisions until there are none, and carries them out.
-It makes no routing decisions itself, but makes sure that each request it has taken gets exactly one answer.
+After every input the node asks the router (logic.py) for decisions until there are none, and carries them
+out. It makes no routing decisions itself, but ensures that each request it has taken gets exactly one answer.
 """
 
 import gc
@@ -44,7 +44,7 @@
 
 
 class ActiveRequest:
-    """A transaction that the node has taken, and the client it owes an answer."""
+    """A request that the node has taken, its transaction, and the client that is owed the answer."""
 
     __slots__ = ('number', 'name', 'client', 'message', 'tx', 'attempts', 'wait', 'shared', 'sent_hops')
 
@@ -52,40 +52,40 @@
         self.client, self.message, self.wait = client, message, wait
         self.name = message.field(b'req-id')
         self.number = self.tx = None
-        self.attempts = []  # hops under way
+        self.attempts = []  # in flight
         self.sent_hops = []  # (time, hop) of each attempt sent, for the guard
-        self.shared = False  # whether it counts in the fleet's limits
+        self.shared = False  # whether it counts against the fleet's limits
 
 
 class Attempt:
-    """A hop under way for an active."""
+    """A hop in flight for an active request."""
 
     __slots__ = ('number', 'active', 'hop', 'exchange', 'relay_at', 'looked_at')
 
     def __init__(self, active, hop):
         self.active, self.hop = active, hop
         self.number = self.exchange = None
-        self.looked_at = False  # whether its deadline has waited for what lay unread
-        self.relay_at = None  # from when on an answer that is here in part is passed on
+        self.looked_at = False  # whether a deadline was already deferred to read its socket
+        self.relay_at = None  # when to start to relay an answer that has arrived in part
 
 
 class Node:
-    """One node from start to exit."""
+    """A node from its start to its exit."""
 
     def __init__(self, place, reactor, system=System, lines_per_second=0):
         self.place, self.reactor, self.system, self.elapsed = place, reactor, system, system.elapsed
         reactor.call_failed = self.call_failed
         self.phase = STARTING
         self.zero = self.elapsed() - 1  # the node's clock starts at one second
-        # Unix time is read here once, for lists; what a step does to it later changes nothing.
+        # Unix time is read once, for server lists, so that later steps of the wall clock have no effect.
         self.starts = StartTimes(self.clock() - int(system.wall() * SECOND))
-        self.wall_offset = system.wall() - self.elapsed()  # as last seen: a step changes it
+        self.wall_offset = system.wall() - self.elapsed()  # changes when the wall clock is stepped
         self.chance = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
         self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_within)
-        self.servers, self.entries = {}, {}  # by name: the module's objects; what the list last said
+        self.servers, self.entries = {}, {}  # by name: the router's objects; the latest list entries
         self.active_requests, self.attempts = Table(), Table()
-        self.ids = set()  # what clients call the transactions that are open
+        self.ids = set()  # Req-Ids of the active requests
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.events = EventLog(self.clock, lines_per_second)
         budget = self.descriptor_share(self.descriptors() - RESERVED_DESCRIPTORS)
@@ -103,31 +103,34 @@
             self.call_failed,
         )
         self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.chance, self)
-        self.desk = None  # operators' door
-        self.gone_away, self.away_since = False, 0  # whether operators have it away_since, and since when
-        self.handover, self.exit_code = None, 0  # links to other processes of this node; the exit code
-        self.changes = None  # changes that are passed to it, where a changes file says so (changes/node.py)
-        self.fleet = None  # what this node shares with others, where a fleet file says so (plan/fleet.py)
-        self.last = None  # once it is to exit: until when all is answered
-        self.pending_drain = None  # SIGTERM, and when it came, while that waits for discovery's first word
+        self.desk = None  # the operators' server
+        self.gone_away, self.away_since = False, 0  # whether operators took it out of rotation; since when
+        self.handover, self.exit_code = None, 0  # links to the node's other processes, if it can hand over
+        self.changes = None  # distributed changes, if there is a changes file (changes/node.py)
+        self.fleet = None  # limits shared with other nodes, if there is a fleet file (plan/fleet.py)
+        self.last = None  # while draining: when all requests have to be answered
+        self.pending_drain = None  # (signal, time) of a SIGTERM that waits for discovery's first list
         self.settling = False
         self.counts = Counter()
 
     def clock(self):
-        """The module's time."""
+        """Return the current time in ticks by the node's monotonic clock."""
         return int((self.elapsed() - self.zero) * SECOND)
 
     def descriptors(self):
-        """How many this process may hold."""
+        """Return how many file descriptors this process may use."""
         return min(self.place.sockets, self.system.descriptors() or self.place.sockets)
 
-    # --- phases -----------------------------------------------------------------------------------------
+    # --- lifecycle --------------------------------------------------------------------------------------
 
     def start(self, folder=None):
-        """Begin; where operators have a door, first ask in this folder whether a process of this node is
-        there."""
+        """Start the node.
+
+        If it has an operators' address, first look in `folder` for a running process of this node to take
+        over from.
+        """
         if self.place.operator:
-            from .operator import OperatorServer  # what is off is not imported
+            from .operator import OperatorServer  # imported only where it is used
 
             self.desk = OperatorServer(self, self.deadlines, self.clock)
             self.desk.listen(self.reactor, *self.place.operator)
@@ -147,36 +150,38 @@
         else:
             self.begin(None, None)
 
-    def begin_unless_stopped(self, told, fd):
-        """Begin, unless SIGTERM came while an elder was asked; a start that fails ends the program."""
+    def begin_unless_stopped(self, state, fd):
+        """Begin, unless SIGTERM came during the search for a predecessor. A failed start ends the program."""
         if self.phase == STOPPED:
             return
         try:
-            self.begin(told, fd)
+            self.begin(state, fd)
         except CannotListenError as err:
             warn('cannot listen', reason=err)
             self.phase, self.exit_code = STOPPED, 1
             self.reactor.stop()
         except Exception:
-            if told is None:
+            if state is None:
                 raise
-            LOG.exception('hand-over failed')  # what was given is of no use: a plain start
+            LOG.exception('hand-over failed')  # the predecessor's state is unusable: start without it
             self.begin_unless_stopped(None, None)
 
-    def begin(self, told, fd):
-        """Take the remembered list, or what an elder gave, listen, and open the watch. Clients wait at the
-        door for discovery's first word, or for the first watch to be lost: guards against sends to servers
-        that drained while nobody was here, as the agent holds word of that from the start on. An elder's list
-        is as new."""
+    def begin(self, state, fd):
+        """Load the remembered list or a predecessor's state, listen, and start to watch discovery.
+
+        Without a predecessor, clients are accepted only after discovery's first list, or once its first watch
+        is lost, since servers of the remembered list may have drained while no process was running.
+        state, fd: the predecessor's state and listening socket, or None.
+        """
         try:
-            self.discovery.version, _, entries = read_list(told.get('list') if told else self.place.known)
+            self.discovery.version, _, entries = read_list(state.get('list') if state else self.place.known)
             self.remember(entries)
         except BadLine as err:
             warn('remembered list not read', reason=err)
-        if told:
-            self.inherit(told)
+        if state:
+            self.inherit(state)
         self.listener.listen(self.reactor, *self.place.listen, *([fd] if fd is not None else []))
-        if told:
+        if state:
             self.serve()
         if self.discovery.pushed:
             self.discovery.open()
@@ -186,12 +191,11 @@
         self.deadlines.at(self.clock() + SECOND, self.check_wall_clock, 0)
 
     def first_list_timed_out(self, _):
-        """Guards against clients that wait at the door until their time is up: a call to discovery may wait
-        its turn for longer."""
+        """Accept clients even though discovery has sent no list: it may take longer than they wait."""
         self.serve()
 
     def serve(self):
-        """Let clients in, from now on."""
+        """Start to accept clients."""
         if self.phase != STARTING:
             return
         self.phase = AWAY if self.gone_away else SERVING
@@ -210,26 +214,28 @@
             self.drain(*self.pending_drain)
 
     def ready(self):
-        """Whether clients should come here."""
+        """Return whether clients should use this node (the readiness check)."""
         here = self.can_serve() or self.phase == DRAINING and self.handed
         return here and not self.gone_away and bool(self.router.caches)
 
     def began(self):
-        """Whether clients have been let in."""
+        """Return whether the node has started to accept clients."""
         return self.phase != STARTING
 
     def can_serve(self):
-        """Whether this process serves whoever comes, wherever clients are sent."""
+        """Return whether this process serves the clients that come, in rotation or not."""
         return self.phase in (SERVING, AWAY)
 
     def leaving(self):
-        """Whether clients are asked to close."""
+        """Return whether clients are asked to close their connections."""
         return self.phase != SERVING
 
     def drain(self, signum=signal.SIGTERM, since=None):
-        """SIGTERM: answer all that is taken and all that still comes, then exit. Who waits at the door of a
-        node that starts is owed an answer too, but not by a list that is only remembered: first discovery
-        speaks, or its watch is lost."""
+        """Handle SIGTERM: answer the requests taken and those that still arrive, then exit.
+
+        While the node starts, clients may already be waiting to be accepted. The drain is then put off until
+        discovery has sent a list or its watch is lost.
+        """
         since = self.clock() if since is None else since
         if self.phase == STARTING and self.listener.port:
             self.pending_drain = self.pending_drain or (signum, since)
@@ -238,7 +244,7 @@
             self.reactor.stop()
         elif self.can_serve():
             self.phase = DRAINING
-            if not self.handed:  # else the heir's door is the same
+            if not self.handed:  # otherwise the successor listens on the same socket
                 self.listener.show_all()
             say(
                 'draining',
@@ -256,8 +262,7 @@
             self.deadlines.at(since + ARRIVAL_GRACE, self.drain_step, since)
 
     def cap_deadline(self, active):
-        """The process ends soon, and owes an answer before. Guards against SIGKILL, which does not wait for
-        the longest limits."""
+        """Cap a request's limit at the end of the drain, as SIGKILL does not wait for the longest limits."""
         tx = active.tx
         if self.last and tx.limit is not None and tx.limit > self.last:
             tx.limit = self.last
@@ -265,8 +270,10 @@
             self.deadlines.at(tx.limit, self.limit_due, active.number)
 
     def reread(self, path):
-        """SIGHUP: the page may name another address of discovery. All else in it is for the next start; a
-        page that cannot be read changes nothing."""
+        """Handle SIGHUP: apply the discovery address of the node's page.
+
+        All other settings are applied only at a start. A page that cannot be read changes nothing.
+        """
         if self.phase == STOPPED:
             return
         try:
@@ -277,14 +284,15 @@
         say('page read', discovery='%s:%d' % where, moved=self.discovery.move(where))
 
     def drain_step(self, since):
-        """Clients have stopped coming: ask those that are idle to go, and exit once nothing is owed."""
+        """Close idle connections, and exit once no client is left or the drain's time is over."""
         now = self.clock()
-        # With an heir nobody comes anew, so there is time: who rests for long is unlikely to ask just now.
+        # With a successor no new clients arrive here, so first close only connections that have been idle for
+        # long: a request is unlikely to cross their close.
         self.listener.close_idle(
             SETTLED_IDLE if self.successor_accepts and now < since + 4 * ARRIVAL_GRACE else 0
         )
-        # With an heir the queue is held on to until the exit: should the heir stand still, nobody else looks
-        # at it.
+        # With a successor the listening socket stays open until the exit: nobody else would accept if the
+        # successor became unresponsive.
         held = self.handed or self.keeps_listening
         if now >= self.last - ARRIVAL_GRACE or not held and self.listener.nobody_comes(since + ARRIVAL_GRACE):
             self.listener.shut_door()
@@ -300,10 +308,10 @@
         else:
             self.deadlines.at(now + ARRIVAL_GRACE // 20, self.drain_step, since)
 
-    # --- by hand ----------------------------------------------------------------------------------------
+    # --- operator commands ------------------------------------------------------------------------------
 
     def empty(self):
-        """An operator has clients sent away; whoever still comes is served."""
+        """Take the node out of rotation; clients that still come are served."""
         self.gone_away = True
         if self.phase == SERVING:
             self.phase, self.away_since = AWAY, self.clock()
@@ -312,7 +320,7 @@
         return self.phase in (AWAY, DRAINING)
 
     def activate(self):
-        """An operator has clients come again."""
+        """Bring the node back into rotation."""
         self.gone_away = False
         if self.phase == AWAY:
             self.phase = SERVING
@@ -320,70 +328,70 @@
         return self.phase == SERVING or self.handed
 
     def send_away(self, since):
-        """While the node is away_since: who rests on a connection is asked to go, who just rested there a little
-        later."""
+        """Close idle connections while the node is out of rotation, at first only those idle for long."""
         if self.phase == AWAY and since == self.away_since:
             self.listener.close_idle(SETTLED_IDLE if self.clock() < since + 4 * ARRIVAL_GRACE else 0)
             self.deadlines.at(self.clock() + ARRIVAL_GRACE // 5, self.send_away, since)
 
     def suspend(self, name):
-        """An operator takes a cache out. Whether it is known."""
+        """Take a cache server out of use. Return whether it is known."""
         return self.apply_override('suspended', name, self.router.suspend(self.clock(), name))
 
     def resume(self, name):
-        """An operator brings it back. Whether it is known."""
+        """Bring a cache server back into use. Return whether it is known."""
         return self.apply_override('resumed', name, self.router.resume(self.clock(), name))
 
-    def apply_override(self, what, name, done):
+    def apply_override(self, event, name, done):
+        """Log and apply a suspension or its end if it succeeded. Return `done`."""
         if done:
             self.caches.tidy()
-            say(what, server=name, caches=len(self.router.caches))
+            say(event, server=name, caches=len(self.router.caches))
             self.settle()
         return done
 
-    # --- another process of this node -------------------------------------------------------------------
+    # --- other processes of this node -------------------------------------------------------------------
 
     @property
     def successor_accepts(self):
-        """Whether another process takes this node's clients."""
+        """Whether the successor accepts this node's clients."""
         return bool(self.handover) and not self.handover.succession.accepting
 
     @property
     def handed(self):
-        """Whether another process has this node, even if it stands still."""
+        """Whether the successor has taken over this node, even if it is unresponsive now."""
         return bool(self.handover) and self.handover.succession.handed
 
     @property
     def keeps_listening(self):
-        """Whether this process, which is to exit, is the only one to look at the queue."""
+        """Whether this process has to keep its listening socket while exiting."""
         return bool(self.handover) and self.handover.succession.keeps_listening
 
     def perform(self, method, name=None):
-        """A call of an operator, here or at the other process, by its name in here. Whether it is a yes."""
+        """Carry out an operator's call, made here or at another process. Return whether it succeeded."""
         return getattr(self, method)(*([] if name is None else [name]))
 
     def listening_fd(self):
-        """The listening socket, while there is one to give."""
+        """Return the listening socket's descriptor for a successor, or None if there is none to give."""
         return self.listener.port.fileno() if self.can_serve() and not self.successor_accepts else None
 
     def holds(self):
-        """Descriptors that this process holds or may still take."""
+        """Return how many descriptors this process holds or may still open."""
         return RESERVED_DESCRIPTORS + max(
             len(self.listener.table) + self.caches.open, self.handover.succession.reserved
         )
 
     @staticmethod
     def descriptor_share(total):
-        """What clients have of so many descriptors, and servers as well."""
+        """Return the part of these descriptors that clients get, and servers get as well."""
         return max(MIN_DESCRIPTORS, total // 2)
 
     def update_shares(self):
-        """Who takes clients, and how many descriptors are this process's, may have changed."""
+        """Apply a change in who accepts clients and how many descriptors this process may use."""
         self.router.handed, self.listener.yielded = self.handed, self.successor_accepts
         if self.successor_accepts:
             self.listener.budget = max(MIN_DESCRIPTORS, len(self.listener.table))
             self.caches.shrink(MIN_DESCRIPTORS)
-        elif self.handed:  # what the heir was told of is all there is
+        elif self.handed:  # no more than what was reported to the successor
             self.listener.budget = max(MIN_DESCRIPTORS, self.handover.succession.reserved // 2)
             self.caches.budget = max(
                 MIN_DESCRIPTORS, self.handover.succession.reserved // 2, self.caches.open
@@ -399,7 +407,7 @@
             self.fleet.hand_over()
 
     def legacy(self):
-        """What an heir must know, as plain values; times as ticks of Unix time."""
+        """Return the state that a successor needs, as JSON values; times in ticks of Unix time."""
         usual, servers = self.router.legacy(self.clock())
         hand = {
             name: [since - self.starts.offset, back and back - self.starts.offset]
@@ -409,7 +417,7 @@
         return {
             'away': self.gone_away,
             'hand': hand,
-            # By these an heir turns the times above into its own clock's without either's Unix time.
+            # With these a successor converts the times above to its own clock without reading Unix time.
             'elapsed': self.elapsed(),
             'unix': self.clock() - self.starts.offset,
             'usual': usual,
@@ -417,35 +425,37 @@
             'list': {'generation': self.discovery.version or 0, 'reset': True, 'instances': listed},
         }
 
-    def inherit(self, told):
-        """Go on with what an elder gave."""
+    def inherit(self, state):
+        """Adopt the state of a predecessor."""
         try:
-            self.gone_away = told['away'] is True
-            offset = self.clock_offset_from(told)
-            for name, (since, back) in told['hand'].items():
+            self.gone_away = state['away'] is True
+            offset = self.clock_offset_from(state)
+            for name, (since, back) in state['hand'].items():
                 self.router.hand[name] = (since + offset, back and back + offset)
             self.router.list_remembered(
                 self.clock(), [self.router.row(s) for s in self.router.known.values()]
             )
-            self.router.inherit(self.clock(), told['usual'], told['servers'])
+            self.router.inherit(self.clock(), state['usual'], state['servers'])
             for name, server in self.router.known.items():
                 self.starts.adopt(name, server.started)
         except (KeyError, TypeError, ValueError, AttributeError) as err:
             warn('hand-over not read', reason=repr(err))
 
-    def clock_offset_from(self, told):
-        """What turns an elder's times into this clock's. Both processes are on one machine, whose monotonic
-        clock they share; its wall clock may have been stepped between their starts. An elder of an older
-        version tells Unix times alone."""
-        if not ('elapsed' in told and 'unix' in told):
+    def clock_offset_from(self, state):
+        """Return the offset that converts a predecessor's times to this node's clock.
+
+        It goes by the monotonic clock, which both processes share; the wall clock may have been stepped
+        between their starts. A predecessor of an older version sends Unix times only.
+        """
+        if not ('elapsed' in state and 'unix' in state):
             return self.starts.offset
-        elders_now = told['unix'] + int((self.elapsed() - told['elapsed']) * SECOND)
-        return self.clock() - elders_now
+        predecessor_now = state['unix'] + int((self.elapsed() - state['elapsed']) * SECOND)
+        return self.clock() - predecessor_now
 
     # --- clients ----------------------------------------------------------------------------------------
 
     def take(self, client, message, row, key, wait, since):
-        """A client's request has come whole, or the head of a large one: one answer is owed from here on."""
+        """Take a request, or the head of a large one. It is owed one answer from now on."""
         active = client.active = ActiveRequest(client, message, wait)
         limit = None if message.source else since + wait
         active.number = self.active_requests.add(active)
@@ -461,11 +471,11 @@
         self.settle()
 
     def body_spent(self, active):
-        """A connection carries a large body, which cannot be sent a second time."""
+        """Record that part of a large body has been sent, so that the request cannot be retried."""
         active.tx.spent = True
 
     def body_came(self, active, when):
-        """The last byte of a large request came then: its time runs."""
+        """Start the time limit of a large request, whose last byte arrived at `when`."""
         limit = when + active.wait
         self.router.body_came(self.clock(), active.tx, limit)
         self.deadlines.at(limit, self.limit_due, active.number)
@@ -476,7 +486,7 @@
         self.settle()
 
     def client_gone(self, active):
-        """A client closed without waiting for its answer."""
+        """Handle a client that closed before it had its answer."""
         self.forget(active, answered=False)
         self.count('gone')
         self.events.say('client gone', active.name)
@@ -487,20 +497,22 @@
                 and not attempt.exchange.whole
                 and (attempt.exchange.message.source or not self.place.terms.may_cancel)
             ):
-                attempt.exchange.cut(
-                    'unsent'
-                )  # the rest of its body will not come, or need not leave: it never ran
+                # The rest of its body will not arrive or need not be sent, so it never ran.
+                attempt.exchange.cut('unsent')
         self.settle()
 
     def wanted(self, active):
-        """Whether a hop of it may still leave. Guards against work for a client that has gone: its end may
-        lie unread, and where nothing may be cancelled a hop that waits for a connection would leave for
-        nobody."""
+        """Return whether its attempts may still be sent.
+
+        They may not once the client is gone, even if that has not been read from its socket yet.
+        """
         return self.active_requests.get(active.number) is active and not active.client.left()
 
     def forget(self, active, answered=True):
-        """The client has its answer, or needs none; hops may still end, with nothing to hold on to. The
-        client."""
+        """Remove a request that has its answer or needs none, and return its client.
+
+        Its attempts may still be in flight.
+        """
         if answered:
             self.guard.check_answer(active)
         self.active_requests.remove(active.number)
@@ -510,11 +522,11 @@
         return client
 
     def is_open(self, active):
-        """Whether it is owed an answer."""
+        """Return whether the request is still owed an answer."""
         return self.active_requests.get(active.number) is active
 
     def release_limits(self, active):
-        """Once an active is over and no hop of it is out, what it spent of the fleet's limits is free."""
+        """Release a request's part of the fleet's limits once it is over and no attempt is in flight."""
         if not active.shared or self.active_requests.get(active.number) is active:
             return
         for attempt in active.attempts:
@@ -524,20 +536,19 @@
             self.router.shares.done(active.tx.profile)
 
     def cancel_unsent(self, number):
-        """A hop of an active that is over: should it wait for a connection that the limits do not let be
-        opened, it never leaves."""
+        """End an attempt of a finished request that is still waiting for a connection."""
         attempt = self.attempts.get(number)
         if attempt and attempt.exchange and not attempt.exchange.link:
             attempt.exchange.cut('unsent')
             self.settle()
 
     def reply(self, active, status, text):
-        """The final answer of the node's own."""
+        """Send a final answer of the node itself."""
         client = self.forget(active)
         client.reply(http.answer(status, self.listener.stay(client), text))
 
     def limit_due(self, number):
-        """The client's limit: hops end, and the module answers. Should it not, one is owed all the same."""
+        """End a request at its limit: cut its attempts, and answer it if the router does not."""
         active = self.active_requests.get(number)
         if active is None or self.defer_for_unread(active.attempts, self.limit_due, number):
             return
@@ -553,9 +564,10 @@
             self.router.client_gone(self.clock(), active.tx)
 
     def defer_for_unread(self, attempts, due, number):
-        """Whether one of these attempts has something unread: it is read first, and the deadline comes again
-        in the next turn; once for each attempt. Guards against cutting off an answer whose last piece came
-        before its time was up."""
+        """Return whether a deadline was deferred by one turn, as one of these attempts has unread data.
+
+        The last piece of an answer may have arrived in time. Each attempt defers a deadline only once.
+        """
         unread = [attempt for attempt in attempts if not attempt.looked_at and attempt.exchange.unread]
         for attempt in unread:
             attempt.looked_at = True
@@ -564,18 +576,19 @@
         return bool(unread)
 
     def time_up(self, active):
-        """The limit of a large request whose body is held unread: no hop of it can have left whole."""
+        """End a large request whose body was not read to its end, so that no attempt was sent whole."""
         active.tx.limit = self.clock()
         for attempt in active.attempts[:]:
             attempt.exchange.cut('unsent')
         self.limit_due(active.number)
 
-    # --- hops -------------------------------------------------------------------------------------------
+    # --- attempts ---------------------------------------------------------------------------------------
 
     def patience_due(self, number):
-        """An attempt's own limit, which one whose answer goes on coming may pass: cut off, a large answer
-        would be lost long before its request's limit. Guards also against one that nobody waits for at a site
-        where hops may not be cancelled: with the server gone silent it would be out for ever."""
+        """End an attempt at its own limit, unless its answer makes progress and the request has time left.
+
+        Where attempts may not be cancelled, this also ends those of finished requests at silent servers.
+        """
         attempt = self.attempts.get(number)
         if attempt is None or self.defer_for_unread([attempt], self.patience_due, number):
             return
@@ -591,7 +604,7 @@
         self.settle()
 
     def attempt_ended(self, ending, number):
-        """A hop has ended: by what came of it, or cut."""
+        """Handle the end of an attempt, by its outcome or by a cut."""
         attempt, (how, answer) = self.attempts.get(number), ending
         self.attempts.remove(number)
         active, hop = attempt.active, attempt.hop
@@ -602,19 +615,19 @@
         if open_ and how == 'unsent' and active.client.left():
             active.client.see_off()
             open_ = False
-        final = how in ('committed', 'rejected')  # rejected: it is the request that is bad, not the server
+        final = how in ('committed', 'rejected')  # rejected: the request is at fault, not the server
         if final and open_:
             minor = active.message.parts[2]
             client = self.forget(active)
             self.count(how)
             self.events.say('request answered', active.name, how=how, server=hop.server.name)
-            lasting = self.listener.stay(client)
+            keep_alive = self.listener.stay(client)
             if how != 'committed':
-                client.reply(http.answer(400, lasting, 'turned away by the server\n'))
+                client.reply(http.answer(400, keep_alive, 'turned away by the server\n'))
             elif answer.source:
                 client.stream(answer, minor, active.tx.limit)
             else:
-                client.reply(http.relayed(answer, lasting))
+                client.reply(http.relayed(answer, keep_alive))
         note = NOTES.get(answer.field(b'srv-cache'), 0) if answer else 0
         self.count('hops_' + how)
         if self.fleet:
@@ -624,19 +637,18 @@
         self.settle()
 
     def broken(self, server, err):
-        """A server's answer out of form."""
+        """Count and log a malformed answer of a server."""
         self.count('broken_answers')
         warn('answer not read', server=server.name, reason=err)
 
     def call_failed(self, call, number):
-        """A call to the system failed, which tells of this machine alone."""
+        """Count and log a failed system call, which is a fault of this machine and not of a server."""
         name = name_of(number)
         self.count('failed_%s_%s' % (call, name))
         warn('call failed: %s %s' % (call, name))
 
     def returned(self, server):
-        """A server takes connections again where nobody listened: its process is a new one, until the list
-        says otherwise."""
+        """Treat a server that accepts connections again as restarted, until the list says otherwise."""
         if server.state == 'ready' and not server.origin:
             now = self.clock()
             self.count('returned')
@@ -646,14 +658,16 @@
             )
 
     def fault(self, failure):
-        """A fault in the node itself."""
+        """Log an exception in the node itself."""
         LOG.error('fault', exc_info=(failure.type, failure.value, failure.getTracebackObject()))
 
     def partial_answer(self, attempt):
-        """A piece of an answer whose length is not told is here. Held on to, a small one keeps its further
-        attempts and its race; but should it be a large one it is timed by its first bytes, and cut off at the
-        limit it would be lost while its server gives it. So it is held for three quarters of the request's
-        time, less what this node was late in reading it."""
+        """Handle a piece of an answer of unknown length.
+
+        While it is buffered, the request can still be retried or hedged. But a large answer that is buffered
+        until the limit would be lost, so relaying starts after three quarters of the request's time, less the
+        time that the data lay unread in this node.
+        """
         now = self.clock()
         if attempt.relay_at is None:
             limit = attempt.active.tx.limit or attempt.exchange.until
@@ -664,36 +678,40 @@
             self.relay_due(attempt.number)
 
     def relay_due(self, number):
-        """An answer held in part has been held for long enough."""
+        """Relay a partial answer that has been buffered for long enough."""
         attempt = self.attempts.get(number)
         if attempt is not None and self.active_requests.get(attempt.active.number) is attempt.active:
             self.pass_on_part(attempt.active)
 
     def progressing_links(self, active):
-        """The connections on which an answer to this request goes on coming. One that came at once, and no
-        further, is likelier to break off, or its server to hang, than to be a large one: it stays held, for a
-        further attempt or an answer that says to try again."""
+        """Return the connections on which an answer to this request is making progress.
+
+        An answer that stalled after its first piece is more likely to fail than to be large, so it stays
+        buffered for a retry or a refusal.
+        """
         now, spread = self.clock(), active.wait // PROGRESS_FRACTION
         links = [attempt.exchange.link for attempt in active.attempts if attempt.exchange.link]
         return [link for link in links if link.still_gives(now, spread)]
 
     def pass_on_part(self, active):
-        """Pass on, from here, what goes on coming; of several attempts' the one of which most is here.
-        Whether there was one. Guards against a refusal, at the limit or before, of an answer that comes."""
+        """Start to relay a partial answer that is making progress, the longest if there are several.
+
+        Return whether there was one; a request with such an answer is not refused.
+        """
         links = self.progressing_links(active)
         if links:
             max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
         return bool(links)
 
-    # --- the list ---------------------------------------------------------------------------------------
+    # --- the server list --------------------------------------------------------------------------------
 
     def listed(self, whole, entries):
-        """Discovery has told a list, or changes to one."""
+        """Apply a list of discovery, or changes to one."""
         now, rows = self.clock(), [self.entry(entry) for entry in entries]
         (self.router.list_replaced if whole else self.router.list_changed)(now, rows)
         for server in [server for server in self.servers.values() if server.name not in self.router.known]:
-            # The module has forgotten it, so no hop is out there. Guards against growing with all that ever
-            # were.
+            # The router has forgotten it, so none of its hops is in flight. Without this, memory would grow
+            # with every server there ever was.
             del self.servers[server.name]
             self.entries.pop(server.name, None)
             self.starts.forget(server.name)
@@ -705,22 +723,22 @@
         self.settle()
 
     def remember(self, entries):
-        """The list that the node had before its start."""
+        """Apply the list that was stored before the start."""
         self.router.list_remembered(self.clock(), [self.entry(entry) for entry in entries])
 
     def entry(self, entry):
-        """A server's entry as the module takes it."""
+        """Return a list entry as the row that the router takes, and record it."""
         server = self.servers.get(entry.name)
         if server is None:
             server = self.servers[entry.name] = Server(entry.name, entry.kind == self.place.origin_kind)
         self.caches.listed(server, entry.address)
         self.entries[entry.name] = entry
-        zone = self.place.zones.get(entry.zone, entry.zone)  # one that the settings do not name is no other's
+        zone = self.place.zones.get(entry.zone, entry.zone)  # one missing in the settings matches no other
         start = self.starts.of(entry, self.clock(), self.discovery.last_word)
         return (server, entry.state, entry.weight, start, zone, entry.cell)
 
     def list_lost(self):
-        """The watch has ended."""
+        """Handle the end of the watch on discovery."""
         if not self.discovery.pushed:
             self.router.list_failed(self.clock())
             self.settle()
@@ -729,9 +747,9 @@
     # --- decisions --------------------------------------------------------------------------------------
 
     def settle(self):
-        """Pull the module's decisions until none is left."""
+        """Carry out the router's decisions until there are none."""
         if self.settling:
-            return  # the pull that this came out of goes on
+            return  # called from a decision: the outer call continues
         self.settling, going = True, True
         while going:
             try:
@@ -745,14 +763,16 @@
         self.settling = False
 
     def skip_ready(self):
-        """Guards against a fault that one transaction meets: it is looked at next at its limit, the others go
-        on. Whether there are others."""
+        """Skip a transaction whose decision failed; it is next looked at at its limit.
+
+        Return whether others are ready.
+        """
         if self.router.ready:
             self.router.ready.popleft()
         return bool(self.router.ready)
 
     def do_send(self, hop, patience):
-        """A hop goes out."""
+        """Start an attempt."""
         active, now = hop.tx.ref, self.clock()
         limit = now + active.wait if hop.tx.limit is None else hop.tx.limit
         until = limit if patience is None else min(limit, now + patience)
@@ -778,27 +798,26 @@
         )
         attempt.exchange.in_part = lambda: self.partial_answer(attempt)
         attempt.exchange.done.addCallback(self.attempt_ended, attempt.number).addErrback(self.fault)
-        if hop.tx.limit is not None and (
-            until < limit or not self.place.terms.may_cancel
-        ):  # else it ends with its active
+        # In all other cases the attempt ends with its request.
+        if hop.tx.limit is not None and (until < limit or not self.place.terms.may_cancel):
             self.deadlines.at(until, self.patience_due, attempt.number)
 
     @staticmethod
     def send_reason(hop):
-        """Why an attempt is made, for the log: a retry by how the one before it ended."""
+        """Return why an attempt is made, for the log: for a retry, how the previous attempt ended."""
         if hop.copy:
             return 'copy'
         return 'after %s' % (hop.tx.hops[hop.index - 1].how or 'a miss') if hop.index else 'first'
 
     def do_cancel(self, hop):
-        """A hop is not waited for any more."""
+        """Cancel an attempt."""
         for attempt in hop.tx.ref.attempts:
             if attempt.hop is hop:
                 attempt.exchange.cut('cancelled')
                 return
 
     def do_roll_back(self, tx, after):
-        """The client may safely try again."""
+        """Refuse a request that had no effect, so that its client can safely retry it."""
         if self.pass_on_part(tx.ref):
             return
         self.count('rolled_back')
@@ -807,13 +826,13 @@
         client.reply(self.refusal(self.listener.stay(client), after, tx.refused or 503))
 
     @staticmethod
-    def refusal(lasting, after, status=503):
-        """The answer that says that trying again is harmless, and when."""
+    def refusal(keep_alive, after, status=503):
+        """Return the answer that says that a retry is safe. after: the delay in ticks, or none."""
         more = 'Retry-After: %s\r\n' % seconds(after) if after else ''
-        return http.answer(status, lasting, 'try again\n', more)
+        return http.answer(status, keep_alive, 'try again\n', more)
 
     def do_abandon(self, tx):
-        """Nothing can be promised."""
+        """Answer a request that may have taken effect or not."""
         if self.pass_on_part(tx.ref):
             return
         self.count('abandoned')
@@ -822,15 +841,15 @@
         self.reply(tx.ref, 504 if late else 502, 'it may have taken effect\n')
 
     def do_watch(self):
-        """Ask for the list's changes."""
+        """Ask discovery for changes to the list."""
         self.discovery.ask()
 
     def do_wake(self, when):
-        """Let the module look again."""
+        """Ask the router for decisions again at this time."""
         self.deadlines.at(when, self.wake_due, 0)
 
     def do_log(self, text):
-        """A line for staff."""
+        """Log a warning of the router."""
         warn(text)
 
     def wake_due(self, _):
@@ -839,11 +858,11 @@
     # --- figures ----------------------------------------------------------------------------------------
 
     def count(self, what):
-        """One more of these."""
+        """Increment a counter."""
         self.counts[what] += 1
 
     def check_wall_clock(self, _):
-        """Tell staff of a wall clock that was stepped. Nothing here goes by it."""
+        """Log and count steps of the wall clock. Nothing in the node depends on it."""
         ahead = self.system.wall() - self.elapsed()
         by, self.wall_offset = ahead - self.wall_offset, ahead
         if abs(by) > STEP_SECONDS:
@@ -852,7 +871,7 @@
         self.deadlines.at(self.clock() + SECOND, self.check_wall_clock, 0)
 
     def figures(self, _):
-        """A line of counts since the start."""
+        """Log the counters since the start."""
         say(
             'figures',
             open=len(self.active_requests),
@@ -865,9 +884,12 @@
 
 
 def serve(place, path, fleet=None, early=(), changes=None, lines_per_second=0):
-    """Run a node, whose page is at this path, until it has drained. fleet: what a fleet file says, read and
-    checked, or None. early: filled if SIGHUP came since before the page was read; it may have been read too
-    soon. lines_per_second: of the log on single requests, at most; 0: none."""
+    """Run a node until it has drained, and return its exit code.
+
+    path: of its page, for SIGHUP; fleet, changes: the contents of these files, or None; early: not empty if
+    SIGHUP came before or while the page was read, which is then read again; lines_per_second: limit of the
+    log on single requests; 0: no such lines.
+    """
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
@@ -877,11 +899,11 @@
     installReactor(reactor)
     node = Node(place, reactor, lines_per_second=lines_per_second)
     if fleet:
-        from ..plan.fleet import Share  # what is off is not imported
+        from ..plan.fleet import Share  # imported only where it is used
 
         node.fleet = Share(node, fleet)
     if changes:
-        from ..changes.node import NodeChanges  # what is off is not imported
+        from ..changes.node import NodeChanges  # imported only where it is used
 
         node.changes = NodeChanges(reactor, node.elapsed, node.chance, place.name, place.rank, changes)
         node.changes.begin()
@@ -896,6 +918,6 @@
         warn('cannot listen', reason=err)
         return 1
     gc.collect()
-    gc.freeze()  # what the start has made stays for good: the collector need not go through it again
+    gc.freeze()  # objects made at the start live forever, so the garbage collector can skip them
     reactor.run(installSignalHandlers=False)
     return node.exit_code
