--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -1,6 +1,6 @@
 """The command line: serve, plan, fleet, site, task, change, check, version, lab, scale, trial.
 
-Owns the words on the command line and the exit codes. Must never do what a sub-command's own module does.
+Defines the commands, their options and exit codes; the work is done in the module of each command.
 """
 
 import os
@@ -14,8 +14,8 @@
 from .values import BadLine
 
 
-def read(path):
-    """The node's page at this path; what is wrong with it ends the program with one line."""
+def read_page(path):
+    """Return the node's configuration from its JSON page. Exit with one line and code 2 if it is invalid."""
     if not path:
         click.echo('lilacdyke: no config: give --config or EDGE_CONFIG', err=True)
         sys.exit(2)
@@ -26,20 +26,19 @@
         sys.exit(2)
 
 
-def with_operator(place):
-    """The page, with the operators' address that the environment names if the page names none."""
+def with_operator_address(node_config):
+    """Return the configuration, with the operators' address from EDGE_OPERATOR if the page has none."""
     try:
-        if not place.operator and os.environ.get('EDGE_OPERATOR'):
-            place.operator = address(os.environ['EDGE_OPERATOR'])
+        if not node_config.operator and os.environ.get('EDGE_OPERATOR'):
+            node_config.operator = address(os.environ['EDGE_OPERATOR'])
     except BadLine as err:
         click.echo('lilacdyke: EDGE_OPERATOR: %s' % err, err=True)
         sys.exit(2)
-    return place
+    return node_config
 
 
-def fleet_file(path):
-    """What the fleet file at this path says; what is wrong with it ends the program with one line. Loaded
-    only where one is named."""
+def read_fleet(path):
+    """Return the contents of a fleet file. Exit with one line and code 2 if it is invalid."""
     from .plan import limits
 
     try:
@@ -49,30 +48,35 @@
         sys.exit(2)
 
 
-def changes_file(place, path):
-    """What the changes file at this path says, for the page's installation; what is wrong with it ends the
-    program with one line. Loaded only where one is named."""
+def read_changes(node_config, path):
+    """Return the contents of a changes file. Exit with one line and code 2 if it is invalid.
+
+    It is also invalid if it is disabled or for another installation than the node's page.
+    """
     from .changes import settings
 
     try:
-        return settings.enabled(settings.read(path), place.installation)
+        return settings.enabled(settings.read(path), node_config.installation)
     except BadLine as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
 
-def in_fleet(place, path):
-    """The fleet file that a node is to go by; the page must name the same installation and no longer
-    requests."""
+def read_fleet_for_node(node_config, path):
+    """Return the contents of a node's fleet file. Exit with one line and code 2 if it is invalid.
+
+    It is also invalid if it is for another installation than the node's page, or if the page allows longer
+    requests.
+    """
     from .plan import limits
 
-    fleet = fleet_file(path)
+    fleet = read_fleet(path)
     try:
-        limits.enabled(fleet, place.installation)
-        slowest = max(profile.hard for profile in place.terms.profiles)
-        if slowest > fleet.longest_s * 10_000:
+        limits.enabled(fleet, node_config.installation)
+        longest = max(profile.hard for profile in node_config.terms.profiles)
+        if longest > fleet.longest_s * 10_000:
             raise BadLine(
-                'longest_s: %g, but the page has requests of %g s' % (fleet.longest_s, slowest / 10_000)
+                'longest_s: %g, but the page has requests of %g s' % (fleet.longest_s, longest / 10_000)
             )
     except BadLine as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
@@ -84,13 +88,13 @@
     '--log-level',
     default='info',
     type=click.Choice(['info', 'warning', 'error']),
-    help='The least that is written.',
+    help='The lowest level to log.',
 )
 config = click.option(
     '--config',
     envvar='EDGE_CONFIG',
     type=click.Path(),
-    help="The node's JSON page; by default what EDGE_CONFIG names.",
+    help="The node's JSON page; default: the path in EDGE_CONFIG.",
 )
 
 
@@ -102,41 +106,43 @@
 @main.command()
 @config
 @click.option(
-    '--fleet', type=click.Path(), help='The fleet file, where this node is one of a fleet with planners.'
+    '--fleet', type=click.Path(), help='The fleet file, if this node belongs to a fleet with planners.'
+)
+@click.option(
+    '--changes', type=click.Path(), help='The changes file, if changes are distributed to this node.'
 )
-@click.option('--changes', type=click.Path(), help='The changes file, where changes are passed to this node.')
 @click.option(
     '--log-requests',
     'lines_per_second',
     envvar='EDGE_LOG_REQUESTS',
     type=click.IntRange(0),
     default=0,
-    help='Log single requests, attempts and connections with their ids, at most so many lines a second.',
+    help='Log single requests, attempts and connections with their ids, at most this many lines per second.',
 )
 @log_level
 def serve(config, fleet, changes, lines_per_second, log_level):
-    """Run one node until SIGTERM has drained it."""
+    """Run a node until SIGTERM has drained it."""
     from .net import logs, node
 
     logs.begin(log_level)
-    early = []  # SIGHUP that comes from before the page is read until the node listens for it
+    early = []  # not empty if SIGHUP arrives before the node handles it
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
-    place = with_operator(read(config))
-    fleet = in_fleet(place, fleet) if fleet else None
-    changes = changes_file(place, changes) if changes else None
-    sys.exit(node.serve(place, config, fleet, early, changes, lines_per_second))
+    node_config = with_operator_address(read_page(config))
+    fleet = read_fleet_for_node(node_config, fleet) if fleet else None
+    changes = read_changes(node_config, changes) if changes else None
+    sys.exit(node.serve(node_config, config, fleet, early, changes, lines_per_second))
 
 
 @main.command()
 @click.option('--file', 'path', type=click.Path(), required=True, help='The fleet file.')
-@click.option('--name', required=True, help='Which of its planners this is.')
+@click.option('--name', required=True, help='The name of this planner in the fleet file.')
 @log_level
 def plan(path, name, log_level):
-    """Run one planner until SIGTERM."""
+    """Run a planner until SIGTERM."""
     from .net import logs
 
     logs.begin(log_level)
-    fleet = fleet_file(path)
+    fleet = read_fleet(path)
     names = [row.name for row in fleet.planner]
     if name not in names or not fleet.enabled:
         click.echo(
@@ -153,9 +159,9 @@
 @main.command()
 @config
 def check(config):
-    """Read a node's page and say what is wrong with it."""
-    told = read(config)
-    click.echo('%s: in order, %d profiles' % (told.name, len(told.terms.profiles)))
+    """Validate a node's page."""
+    node_config = read_page(config)
+    click.echo('%s: in order, %d profiles' % (node_config.name, len(node_config.terms.profiles)))
 
 
 @main.command()
@@ -164,35 +170,41 @@
     click.echo('lilacdyke %s' % __version__)
 
 
-class Lazy(click.Group):
-    """A group whose commands are imported only when one of them is asked for: a node never loads the lab.
-    module: where the group of this name is."""
+class LazyGroup(click.Group):
+    """A command group whose module is imported only on use, so that a node never loads the lab.
+
+    module: the module that defines the group, under the group's name.
+    """
 
     def __init__(self, name, module, help):
         super().__init__(name, help=help)
         self.module = module
 
-    def inner(self):
+    def load(self):
         from importlib import import_module
 
         return getattr(import_module(self.module, __package__), self.name)
 
     def list_commands(self, ctx):
-        return self.inner().list_commands(ctx)
+        return self.load().list_commands(ctx)
 
     def get_command(self, ctx, name):
-        return self.inner().get_command(ctx, name)
+        return self.load().get_command(ctx, name)
 
 
 main.add_command(
-    Lazy('lab', '.lab.cli', 'Fleets of nodes against stand-ins, in simulated time or on loopback.')
+    LazyGroup('lab', '.lab.cli', 'Run fleets of nodes against stand-ins, in simulated time or on loopback.')
+)
+main.add_command(LazyGroup('fleet', '.plan.staff', 'Query the planners of a fleet.'))
+main.add_command(LazyGroup('site', '.plan.site_cli', 'Plan for the loss of a whole site.'))
+main.add_command(LazyGroup('task', '.plan.tasks', 'Run tasks that one process does for the whole fleet.'))
+main.add_command(
+    LazyGroup('change', '.changes.cli', 'Distribute configuration changes and purges to all nodes.')
+)
+main.add_command(
+    LazyGroup('scale', '.scale.cli', 'Measure what each role costs by the size of the installation.')
 )
-main.add_command(Lazy('fleet', '.plan.staff', 'Ask the planners of a fleet.'))
-main.add_command(Lazy('site', '.plan.site_cli', 'The loss of a whole site, worked out before the day.'))
-main.add_command(Lazy('task', '.plan.tasks', 'Tasks that one process does for the whole fleet.'))
-main.add_command(Lazy('change', '.changes.cli', 'Changes of configuration, and purges, for all nodes.'))
-main.add_command(Lazy('scale', '.scale.cli', 'What each role costs by the size of the installation.'))
-main.add_command(Lazy('trial', '.trial.cli', 'Real processes of the program with faults between them.'))
+main.add_command(LazyGroup('trial', '.trial.cli', 'Run real processes of the program with injected faults.'))
 
 
 if __name__ == '__main__':
