--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -1,5 +1,4 @@
-"""The guard: each invariant that a broken node breaks is counted and logged with the request's id, and
-nothing that the node does changes."""
+"""The guard counts and logs each broken invariant with the request's id, and changes nothing else."""
 
 import unittest
 from unittest import mock
@@ -15,12 +14,12 @@
 
 
 def violations(made):
-    """What the guard of a node has counted."""
+    """Return the counters of a node's guard."""
     return {name: count for name, count in made.counts.items() if name.startswith(('violated', 'guard'))}
 
 
-class Sound(unittest.TestCase):
-    def test_a_node_in_order_breaks_nothing(self):
+class IntactNode(unittest.TestCase):
+    def test_correct_node_has_no_violations(self):
         made = node()
         for _ in range(3):
             wire, server = sent(made)
@@ -29,7 +28,7 @@
             server.protocol.connectionLost()
         self.assertEqual(violations(made), {})
 
-    def test_a_fault_of_its_own_changes_nothing(self):
+    def test_exception_in_guard_is_counted_and_request_is_answered(self):
         made = node()
         made.guard.not_ready_since = None
         with self.assertLogs('lilacdyke', 'ERROR'):
@@ -39,42 +38,42 @@
         self.assertEqual(violations(made), {'guard_faults': 1})
 
 
-class Broken(unittest.TestCase):
-    def assert_violated(self, made, rule, act):
-        """That this is what the guard says, once, with the id of the first request."""
+class BrokenInvariants(unittest.TestCase):
+    def assert_violated(self, made, rule, action):
+        """Assert that the guard reports this violation once, with the id of the first request."""
         with self.assertLogs('lilacdyke', 'ERROR') as caught:
-            act()
-        told = [record for record in caught.records if rule in record.getMessage()]
-        self.assertEqual([record.fields['request'] for record in told], ['7'])
+            action()
+        reported = [record for record in caught.records if rule in record.getMessage()]
+        self.assertEqual([record.fields['request'] for record in reported], ['7'])
         self.assertEqual(violations(made), {'violated_' + rule: 1})
 
-    def test_an_attempt_after_the_end(self):
+    def test_attempt_after_end_of_request(self):
         made = node()
         with mock.patch.object(Node, 'wanted', lambda *given: True), mock.patch.object(Node, 'do_cancel'):
             wire = asked(made)
             wire.protocol.connectionLost()
             self.assert_violated(made, 'sent_after_end', lambda: dialled(made))
 
-    def test_a_second_effect(self):
+    def test_second_effect_of_request(self):
         made = node()
         wire, _ = sent(made, ONCE)
         active = wire.protocol.active
-        again = active.attempts[0].hop
-        self.assert_violated(made, 'second_effect', lambda: made.guard.check_send(active, again))
+        second_hop = active.attempts[0].hop
+        self.assert_violated(made, 'second_effect', lambda: made.guard.check_send(active, second_hop))
 
-    def test_an_attempt_at_a_server_that_drains(self):
+    def test_attempt_at_draining_server(self):
         made = node()
         made.guard.not_ready_since['c0'] = made.clock() - 10 * SECOND
         self.assert_violated(made, 'sent_to_drained', lambda: sent(made))
 
-    def test_an_answer_out_of_its_time(self):
+    def test_answer_after_limit(self):
         made = node()
         with mock.patch.object(Node, 'limit_due'):
             _, server = sent(made)
             made.reactor.advance(3)
             self.assert_violated(made, 'answered_late', lambda: server.protocol.dataReceived(said()))
 
-    def test_a_second_answer(self):
+    def test_second_answer_to_request(self):
         made = node()
         wire, _ = sent(made)
         active = wire.protocol.active
@@ -83,13 +82,13 @@
             active.client = client(made)[0]
             self.assert_violated(made, 'answered_twice', lambda: made.forget(active))
 
-    def test_a_connection_that_is_closed_on_a_request(self):
+    def test_close_of_connection_with_open_request(self):
         made = node()
         wire, _ = sent(made)
         wire.protocol.closed_for = 'idle'
         self.assert_violated(made, 'closed_unanswered', wire.protocol.connectionLost)
 
-    def test_a_cold_server_that_gets_too_much(self):
+    def test_too_many_attempts_at_cold_server(self):
         made = node()
         server = made.servers['c0']
         server.started = made.clock()
@@ -104,8 +103,8 @@
         self.assertGreaterEqual(violations(made).get('violated_slow_start', 0), 1)
 
 
-class Bounded(unittest.TestCase):
-    def test_books_do_not_grow_without_end(self):
+class Limits(unittest.TestCase):
+    def test_records_of_servers_are_bounded(self):
         made = node()
         guard = Guard(made.clock, made.count, made.is_open, made.router, made.place.stop_within)
         for number in range(9_000):
