--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Log lines on single requests: what they tell, and the bound on their number."""
+"""Log lines about single requests: their contents and their rate limit."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 
 
 class RequestLines(unittest.TestCase):
-    """What became of one request can be read from its lines."""
+    """The log lines of a request show what became of it."""
 
     def lines(self, act):
-        """(event, fields) of all that a serving node logs meanwhile."""
+        """Return (event, fields) of each line that a serving node logs during act(node)."""
         names = ('c0', 'c1', 'c2')
         made = node(known={'generation': 4, 'reset': True, 'instances': [entry(name) for name in names]})
         made.events.rate = made.events.tokens = made.router.smooth = 1_000
@@ -21,7 +21,7 @@
             act(made)
         return [(record.getMessage(), record.fields) for record in caught.records]
 
-    def test_an_answered_request_has_its_id_on_each_line(self):
+    def test_lines_of_answered_request_have_its_id(self):
         def act(made):
             client, server = sent(made)
             server.protocol.dataReceived(said())
@@ -33,7 +33,7 @@
         closed = dict(rows)['client connection closed']
         self.assertEqual((closed['phase'], closed['why']), ('resting', 'other side'))
 
-    def test_a_retry_and_a_refusal_tell_why(self):
+    def test_retry_and_refusal_have_reasons(self):
         def act(made):
             asked(made)
             while any(True for _ in made.active_requests):
@@ -45,7 +45,7 @@
         self.assertIn('ConnectionRefusedError', dict(rows)['connect failed']['why'])
         self.assertTrue(dict(rows)['request refused']['why'])
 
-    def test_a_close_by_this_side_tells_why(self):
+    def test_close_by_this_side_has_reason(self):
         def act(made):
             client, server = sent(made)
             server.protocol.dataReceived(b'nonsense\r\n\r\n')
@@ -57,7 +57,7 @@
         self.assertEqual(rows['server connection closed']['why'], 'answer out of form')
         self.assertEqual(rows['client connection closed']['why'], '400: out of form')
 
-    def test_none_is_written_unless_asked_for(self):
+    def test_no_lines_by_default(self):
         made = node()
         self.assertIsInstance(made, Node)
         with self.assertNoLogs('lilacdyke', 'INFO'):
@@ -65,10 +65,8 @@
             server.protocol.dataReceived(said())
 
 
-class Bound(unittest.TestCase):
-    """So many lines a second, and how many were left out."""
-
-    def test_lines_over_the_rate_are_counted_and_told(self):
+class RateLimit(unittest.TestCase):
+    def test_omitted_lines_are_counted_in_next_line(self):
         now = [SECOND]
         log = EventLog(lambda: now[0], 3)
         with self.assertLogs('lilacdyke', 'INFO') as caught:
