--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The command line and the node's page."""
+"""The command line and the validation of a node's page."""
 
 import json
 import os
@@ -14,23 +14,23 @@
 from .helpers import SETTINGS, page
 
 
-def changed(**other):
-    """The page with some settings changed."""
+def page_with(**other):
+    """Return the page with some settings changed."""
     return page(settings=dict(SETTINGS, **other))
 
 
-class Page(unittest.TestCase):
-    def test_what_is_read(self):
-        told = place(page())
+class Pages(unittest.TestCase):
+    def test_valid_page(self):
+        config = place(page())
         self.assertEqual(
-            (told.listen, told.seed, told.origin_kind, told.idle, told.connect_within),
+            (config.listen, config.seed, config.origin_kind, config.idle, config.connect_within),
             (('127.0.0.1', 9000), 0x8C1F, 'origin', 150_000, 2_500),
         )
 
-    def test_a_repeat_waits_for_its_connection_within_its_window(self):
+    def test_tick_leaves_time_to_connect_within_repeat_window(self):
         self.assertEqual(place(page()).terms.tick, 2_550)
 
-    def test_what_is_out_of_form_is_named(self):
+    def test_error_names_invalid_key(self):
         limits = dict(SETTINGS['limits'], connIdleS='soon')
         cases = {
             '[]': 'settings',
@@ -40,31 +40,31 @@
             page(discovery='127.0.0.1:99999'): 'port',
             page(seed='xyz'): 'seed',
             page(limits={}): 'limits.sockets',
-            changed(limits=limits): 'connIdleS',
-            changed(profiles=[]): 'no profile',
-            changed(kinds=['std']): 'kind',
-            changed(balancers=0): 'no node',
+            page_with(limits=limits): 'connIdleS',
+            page_with(profiles=[]): 'no profile',
+            page_with(kinds=['std']): 'kind',
+            page_with(balancers=0): 'no node',
         }
-        for text, told in cases.items():
-            with self.subTest(told=told), self.assertRaisesRegex(BadLine, told):
+        for text, expected in cases.items():
+            with self.subTest(expected=expected), self.assertRaisesRegex(BadLine, expected):
                 place(text)
 
 
-class Shape(unittest.TestCase):
-    """One build, two shapes: a pool of nodes over several zones, or a node for each client process."""
+class Shapes(unittest.TestCase):
+    """A deployment is a pool of nodes over several zones or one node per client process, never a mix."""
 
-    def told(self, **other):
-        """The page with some settings changed, and some keys of tables."""
-        return changed(
+    def page_with_keys(self, **other):
+        """Return the page with some settings, and some keys of its tables, changed."""
+        return page_with(
             **{
                 name: dict(SETTINGS[name], **value) if isinstance(value, dict) else value
                 for name, value in other.items()
             }
         )
 
-    def test_either_shape_is_in_order(self):
-        pool = self.told(balancers=3, dcs=['a', 'b', 'c'], fees={'crossZone': 0.014, 'probe': 0.01})
-        office = self.told(
+    def test_both_shapes_are_valid(self):
+        pool = self.page_with_keys(balancers=3, dcs=['a', 'b', 'c'], fees={'crossZone': 0.014, 'probe': 0.01})
+        office = self.page_with_keys(
             balancers=400,
             rank=399,
             dcs=['room'],
@@ -73,7 +73,7 @@
             membershipMode='on_request',
             stats={'how': 'inline', 'fields': ['inflight', 'eps']},
         )
-        files = self.told(
+        files = self.page_with_keys(
             balancers=380,
             dcs=['a', 'b', 'c', 'd'],
             zone=3,
@@ -83,7 +83,7 @@
         for text, zones in ((pool, 3), (office, 1), (files, 4)):
             self.assertEqual(len(place(text).zones), zones)
 
-    def test_a_mix_is_refused_with_the_key_named(self):
+    def test_mixed_shape_is_refused_with_key(self):
         unprobed = {'probing': False}
         cases = {
             'fees.crossZone': dict(dcs=['room'], fees={'crossZone': 0.06}),
@@ -98,17 +98,17 @@
         }
         for key, mix in cases.items():
             with self.subTest(key=key), self.assertRaisesRegex(BadLine, '(shapes|form): %s: ' % key):
-                place(self.told(**mix))
+                place(self.page_with_keys(**mix))
 
 
 class Commands(unittest.TestCase):
-    def test_a_mix_ends_the_start_with_one_line(self):
+    def test_mixed_shape_exits_with_one_line(self):
         for word in ('check', 'serve'):
-            code, lines = self.run_with(changed(zone=7), word)
+            code, lines = self.run_with(page_with(zone=7), word)
             self.assertEqual((code, len(lines), 'shapes: zone: ' in lines[0]), (2, 1, True))
 
     def run_with(self, text, *words):
-        """Run a sub-command on a page with this text: (exit code, lines printed)."""
+        """Run a command on a page with this text; return (exit code, lines printed)."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, 'page.json')
             with open(path, 'w', encoding='utf-8') as file:
@@ -116,17 +116,17 @@
             done = CliRunner().invoke(main, words, env={'EDGE_CONFIG': path})
         return done.exit_code, done.output.splitlines()
 
-    def test_check(self):
+    def test_check_of_valid_page(self):
         self.assertEqual(self.run_with(page(), 'check'), (0, ['n0: in order, 2 profiles']))
 
-    def test_a_bad_page_ends_the_start_with_one_line(self):
+    def test_invalid_page_exits_with_one_line(self):
         for word in ('check', 'serve'):
             code, lines = self.run_with(json.dumps({'name': 'n0'}), word)
             self.assertEqual((code, len(lines)), (2, 1))
 
-    def test_no_page_too(self):
+    def test_missing_page_exits_with_one_line(self):
         done = CliRunner().invoke(main, ['serve'], env={'EDGE_CONFIG': None})
         self.assertEqual((done.exit_code, len(done.output.splitlines())), (2, 1))
 
-    def test_version(self):
+    def test_version_output(self):
         self.assertEqual(CliRunner().invoke(main, ['version']).output, 'lilacdyke 0.3.0\n')
