--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that steps beneath the program and its libraries changes nothing that it does."""
+"""Steps of the wall clock do not affect the program or its libraries."""
 
 import logging
 import os
@@ -17,54 +17,54 @@
 from .helpers import entry, node
 
 HOUR = 3_600.0
-LIMIT = 0.4  # seconds that a client waits for its answer
-GRACE = 0.5  # within so many seconds beyond it there has to be one
+LIMIT = 0.4  # seconds
+TOLERANCE = 0.5  # seconds by which an answer may miss the limit
 
 
 class SteppedClock(OnFaultyMachine):
-    """Requests whose server says nothing are answered at their limit, whatever the wall clock does."""
+    """A request to a silent server is answered at its limit, whatever the wall clock does."""
 
-    def unanswered(self):
-        """How long the node took to answer a request to which its server says nothing: (seconds, status)."""
+    def time_unanswered(self):
+        """Send a request to a silent server; return (seconds until the node's answer, status)."""
         line = self.client()
         begun = time.monotonic()
         self.ask(line, 'r%d' % len(self.clients), more='Req-Deadline: %.3f\r\n' % LIMIT)
-        line.socket.settimeout(LIMIT + GRACE + 1.0)
+        line.socket.settimeout(LIMIT + TOLERANCE + 1.0)
         try:
             status, _ = line.answered()
         except TimeoutError:
             status = None
         return time.monotonic() - begun, status
 
-    def assert_in_time(self):
-        took, status = self.unanswered()
+    def assert_answered_in_time(self):
+        took, status = self.time_unanswered()
         self.assertIn(status, (502, 503, 504), 'no answer after %.2f s' % took)
-        self.assertLess(took, LIMIT + GRACE)
+        self.assertLess(took, LIMIT + TOLERANCE)
 
-    def test_a_step_back_does_not_hold_up_the_answer_at_the_limit(self):
-        self.assert_in_time()
+    def test_step_back_before_request(self):
+        self.assert_answered_in_time()
         self.board.put(wall_s=-HOUR)
-        self.assert_in_time()
+        self.assert_answered_in_time()
 
-    def test_a_step_back_while_a_request_is_open_does_not_hold_up_its_answer(self):
+    def test_step_back_during_request(self):
         line = self.client()
         begun = time.monotonic()
         self.ask(line, 'r0', more='Req-Deadline: %.3f\r\n' % LIMIT)
         self.servers['c0'].take().request()
         self.board.put(wall_s=-3.0)
         self.assertIn(line.answered()[0], (502, 503, 504))
-        self.assertLess(time.monotonic() - begun, LIMIT + GRACE)
+        self.assertLess(time.monotonic() - begun, LIMIT + TOLERANCE)
 
-    def test_steps_forward_and_back_again_change_nothing(self):
+    def test_steps_forward_and_back(self):
         for wall_s in (HOUR, 0.0, 20.0, -10.0):
             self.board.put(wall_s=wall_s)
-            self.assert_in_time()
+            self.assert_answered_in_time()
 
 
 class Libraries(unittest.TestCase):
-    """What libraries do beneath the program by a clock is done by the monotonic one."""
+    """Libraries use the monotonic clock too."""
 
-    def test_the_reactors_timers_go_by_the_monotonic_clock(self):
+    def test_reactor_timers_use_monotonic_clock(self):
         reactor = Reactor()
         self.addCleanup(reactor._poller.close)
         self.assertIs(reactor.seconds, time.monotonic)
@@ -73,7 +73,7 @@
         self.assertAlmostEqual(call.getTime(), time.monotonic() + 5, delta=1)
         call.cancel()
 
-    def test_warnings_are_written_again_after_a_minute_of_real_time(self):
+    def test_repeated_warnings_resume_after_monotonic_minute(self):
         now, record = [100.0], logging.LogRecord('x', logging.WARNING, '', 0, 'same', (), None)
         with mock.patch('lilacdyke.net.logs.System.elapsed', lambda: now[0]):
             sparse = Sparse()
@@ -84,56 +84,55 @@
             self.assertTrue(sparse.filter(record))
 
 
-class Lists(unittest.TestCase):
-    """Starts of servers that lists tell in Unix time, at a node whose wall clock was off as it started."""
+class ServerStarts(unittest.TestCase):
+    """Start times in lists are in Unix time, and the node's wall clock may have been wrong at its start."""
 
     NOW, UNIX_S = 500 * SECOND, 1_700_000_000
 
-    def start_of(self, ahead_s, age_s, last_word):
-        """By a wall clock so far ahead, the age in seconds that a start so long ago has."""
+    def age_of(self, ahead_s, age_s, last_word):
+        """Return the age, in seconds, of a server of age age_s at a node whose clock is ahead by ahead_s."""
         times = StartTimes(self.NOW - int((self.UNIX_S + ahead_s) * SECOND))
-        told = Entry(entry('c0', startedAtMs=(self.UNIX_S - age_s) * 1_000))
-        first = times.of(told, self.NOW, last_word)
-        self.assertEqual(times.of(told, self.NOW + SECOND, self.NOW), first)  # it is told again
+        listed = Entry(entry('c0', startedAtMs=(self.UNIX_S - age_s) * 1_000))
+        first = times.of(listed, self.NOW, last_word)
+        self.assertEqual(times.of(listed, self.NOW + SECOND, self.NOW), first)  # listed again
         return (self.NOW - first) / SECOND
 
-    def test_a_start_is_as_old_as_the_list_says_where_the_clock_is_right(self):
+    def test_age_is_as_listed_if_clock_is_right(self):
         for age in (0.0, 3.0, 400.0):
-            self.assertAlmostEqual(self.start_of(0, age, None), age, delta=0.01)
-        self.assertAlmostEqual(self.start_of(0, 3.0, self.NOW - SECOND), 3.0, delta=0.01)
+            self.assertAlmostEqual(self.age_of(0, age, None), age, delta=0.01)
+        self.assertAlmostEqual(self.age_of(0, 3.0, self.NOW - SECOND), 3.0, delta=0.01)
 
-    def test_news_of_a_start_is_not_taken_for_old_by_a_clock_that_is_ahead(self):
+    def test_new_start_is_recent_if_clock_is_ahead(self):
         for ahead in (20, 3_600):
-            self.assertLessEqual(self.start_of(ahead, 0.5, self.NOW - SECOND), 6.0)
-
-    def test_a_start_in_the_future_is_now(self):
-        self.assertEqual(self.start_of(-3_600, 0.5, None), 0.0)
-
-
-class HandedOver(unittest.TestCase):
-    """What an elder tells in time keeps its age at an heir, whatever the wall clock did between their
-    starts."""
-
-    def test_servers_out_by_hand(self):
-        elder, heir = node(), node()
-        elder.reactor.advance(20)
-        heir.reactor.advance(20)
-        elder.router.suspend(elder.clock(), 'c0')
-        elder.reactor.advance(5)
-        heir.reactor.advance(5)
-        heir.starts.offset += int(HOUR * SECOND)  # it read a clock that was stepped since
-        heir.inherit(elder.legacy())
-        since, back = heir.router.hand['c0']
+            self.assertLessEqual(self.age_of(ahead, 0.5, self.NOW - SECOND), 6.0)
+
+    def test_start_in_future_is_now(self):
+        self.assertEqual(self.age_of(-3_600, 0.5, None), 0.0)
+
+
+class HandOver(unittest.TestCase):
+    """Times keep their age in a hand-over, even if the wall clock is stepped between the starts."""
+
+    def test_time_of_suspension_keeps_its_age(self):
+        predecessor, successor = node(), node()
+        predecessor.reactor.advance(20)
+        successor.reactor.advance(20)
+        predecessor.router.suspend(predecessor.clock(), 'c0')
+        predecessor.reactor.advance(5)
+        successor.reactor.advance(5)
+        successor.starts.offset += int(HOUR * SECOND)  # it started after a step of the wall clock
+        successor.inherit(predecessor.legacy())
+        since, back = successor.router.hand['c0']
         self.assertIsNone(back)
-        self.assertAlmostEqual(heir.clock() - since, 5 * SECOND, delta=10)
+        self.assertAlmostEqual(successor.clock() - since, 5 * SECOND, delta=10)
 
-    def test_the_process_that_started_last_is_asked_first(self):
+    def test_process_start_orders_processes(self):
         self.assertGreater(process_start(str(os.getpid())), process_start('1'))
         self.assertEqual((process_start('0'), process_start('x')), (-1, -1))
 
 
-class Told(unittest.TestCase):
-    def test_staff_are_told_of_a_step(self):
+class Reports(unittest.TestCase):
+    def test_step_is_counted_and_logged(self):
         made = node()
         made.reactor.advance(1.1)
         with (
