--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new process of a node beside the old: the order by state, the link, and two real processes over loopback."""
+"""Hand-over between two processes of a node: state machine, link, and real processes on loopback."""
 
 import http.client
 import json
@@ -22,58 +22,67 @@
 from .test_net import READY, Quiet, status
 
 
-class Order(unittest.TestCase):
-    def test_the_elder_takes_clients_until_the_heir_serves(self):
-        elder = Succession(384, 32)
-        seen = [elder.accepting]
-        for step in (elder.successor_connected, elder.successor_serving, elder.successor_gone):
+class SuccessionStates(unittest.TestCase):
+    def test_predecessor_accepts_until_successor_serves(self):
+        predecessor = Succession(384, 32)
+        seen = [predecessor.accepting]
+        for step in (
+            predecessor.successor_connected,
+            predecessor.successor_serving,
+            predecessor.successor_gone,
+        ):
             step()
-            seen.append(elder.accepting)
+            seen.append(predecessor.accepting)
         self.assertEqual(seen, [True, True, False, True])
 
-    def test_one_heir_at_a_time_and_another_after_it_died(self):
-        elder = Succession(384, 32)
+    def test_one_successor_at_a_time(self):
+        predecessor = Succession(384, 32)
         self.assertEqual(
             [
-                elder.successor_connected(),
-                elder.successor_connected(),
-                elder.successor_gone(),
-                elder.successor_connected(),
+                predecessor.successor_connected(),
+                predecessor.successor_connected(),
+                predecessor.successor_gone(),
+                predecessor.successor_connected(),
             ],
             [True, False, None, True],
         )
 
-    def test_an_ending_elder_does_not_take_clients_again(self):
-        elder = Succession(384, 32)
-        elder.successor_connected(), elder.successor_serving(), elder.end(), elder.successor_gone()
-        self.assertFalse(elder.accepting)
-
-    def test_an_ending_elder_goes_on_if_its_heir_never_served(self):
-        elder = Succession(384, 32)
-        elder.successor_connected(), elder.end(), elder.successor_gone()
-        self.assertTrue(elder.accepting)
-
-    def test_an_heir_that_stands_still_leaves_the_queue_to_the_elder_also_while_that_one_ends(self):
-        elder = Succession(384, 32)
-        elder.successor_connected(), elder.successor_serving(), elder.end()
-        seen = [(elder.accepting, elder.keeps_listening, elder.handed)]
-        for step in (elder.successor_unresponsive, elder.successor_serving):
+    def test_exiting_predecessor_does_not_accept_again(self):
+        predecessor = Succession(384, 32)
+        (
+            predecessor.successor_connected(),
+            predecessor.successor_serving(),
+            predecessor.end(),
+            predecessor.successor_gone(),
+        )
+        self.assertFalse(predecessor.accepting)
+
+    def test_exiting_predecessor_accepts_if_successor_never_served(self):
+        predecessor = Succession(384, 32)
+        predecessor.successor_connected(), predecessor.end(), predecessor.successor_gone()
+        self.assertTrue(predecessor.accepting)
+
+    def test_exiting_predecessor_accepts_while_successor_is_unresponsive(self):
+        predecessor = Succession(384, 32)
+        predecessor.successor_connected(), predecessor.successor_serving(), predecessor.end()
+        seen = [(predecessor.accepting, predecessor.keeps_listening, predecessor.handed)]
+        for step in (predecessor.successor_unresponsive, predecessor.successor_serving):
             step()
-            seen.append((elder.accepting, elder.keeps_listening, elder.handed))
+            seen.append((predecessor.accepting, predecessor.keeps_listening, predecessor.handed))
         self.assertEqual(seen, [(False, False, True), (True, True, True), (False, False, True)])
 
-    def test_together_they_stay_within_the_limit(self):
-        heir = Succession(384, 32)
-        heir.predecessor_reported(150)
-        rooms = [heir.capacity]
-        heir.predecessor_reported(60)
-        rooms.append(heir.capacity)
-        heir.predecessor_gone()
-        self.assertEqual(rooms + [heir.capacity], [202, 292, 352])
+    def test_descriptors_of_both_stay_within_limit(self):
+        successor = Succession(384, 32)
+        successor.predecessor_reported(150)
+        capacities = [successor.capacity]
+        successor.predecessor_reported(60)
+        capacities.append(successor.capacity)
+        successor.predecessor_gone()
+        self.assertEqual(capacities + [successor.capacity], [202, 292, 352])
 
 
-class Pair(Quiet):
-    """A node with a link to an heir that is only played."""
+class LinkToSuccessor(Quiet):
+    """A node with a link to a simulated successor."""
 
     def setUp(self):
         super().setUp()
@@ -82,62 +91,62 @@
         self.made = node(operator='127.0.0.1:9001')
         self.made.reactor.listenUNIX = self.made.reactor.connectUNIX = lambda *given, **named: None
         self.made.handover = handover = self.handover_of(self.made)
-        self.wire, self.heir = Wire(), Link(handover, False)
+        self.wire, self.successor = Wire(), Link(handover, False)
         self.made.listener.port.fileno = lambda: 0
         self.wire.sendFileDescriptor = lambda fd: None
-        self.heir.makeConnection(self.wire)
+        self.successor.makeConnection(self.wire)
 
     def handover_of(self, made):
         from lilacdyke.net.handover import Handover
 
         return Handover(made, made.reactor, made.deadlines, made.clock, self.folder.name, 384, 32)
 
-    def says(self, **line):
-        self.heir.dataReceived(json.dumps(line).encode() + b'\n')
+    def receive(self, **line):
+        self.successor.dataReceived(json.dumps(line).encode() + b'\n')
 
-    def test_the_heir_goes_on_with_what_binds(self):
+    def test_successor_adopts_state(self):
         self.made.suspend('c0'), self.made.empty()
-        told = json.loads(json.dumps(self.made.legacy()))
-        heir = starting(operator='127.0.0.1:9002', known={})
-        heir.discovery.version, heir.handover = None, self.handover_of(heir)
-        heir.handover.announce_serving = lambda: None
-        heir.begin(dict(told, v=1), None)
+        received = json.loads(json.dumps(self.made.legacy()))
+        successor = starting(operator='127.0.0.1:9002', known={})
+        successor.discovery.version, successor.handover = None, self.handover_of(successor)
+        successor.handover.announce_serving = lambda: None
+        successor.begin(dict(received, v=1), None)
         self.assertEqual(
             (
-                heir.phase,
-                heir.ready(),
-                heir.router.banned('c0'),
-                heir.servers['c0'].state,
-                heir.servers['o'].state,
-                heir.discovery.version,
+                successor.phase,
+                successor.ready(),
+                successor.router.banned('c0'),
+                successor.servers['c0'].state,
+                successor.servers['o'].state,
+                successor.discovery.version,
             ),
             ('away', False, True, 'banned', 'ready', 4),
         )
 
-    def test_what_is_given_and_cannot_be_used_means_a_plain_start(self):
-        for told in (
+    def test_unusable_state_means_start_without_it(self):
+        for received in (
             {},
             {'list': 3, 'away': True},
             {'list': self.made.legacy()['list'], 'hand': {'c0': 7}, 'away': False},
         ):
-            with self.subTest(told=told):
-                heir = starting(operator='127.0.0.1:9002')
-                heir.handover = self.handover_of(heir)
-                heir.handover.announce_serving = lambda: None
-                heir.begin_unless_stopped(dict(told, v=1), None)
-                self.assertIn(heir.phase, ('serving', 'away'))
-                self.assertIn('c0', heir.router.known)
-
-    def test_a_call_is_a_yes_once_it_binds_both(self):
+            with self.subTest(received=received):
+                successor = starting(operator='127.0.0.1:9002')
+                successor.handover = self.handover_of(successor)
+                successor.handover.announce_serving = lambda: None
+                successor.begin_unless_stopped(dict(received, v=1), None)
+                self.assertIn(successor.phase, ('serving', 'away'))
+                self.assertIn('c0', successor.router.known)
+
+    def test_call_succeeds_once_other_process_confirms(self):
         caller = Wire()
         protocol = self.made.desk.buildProtocol(None)
         protocol.makeConnection(caller)
         protocol.dataReceived(b'POST /v1/cache-servers/c0/suspend HTTP/1.1\r\nHost: x\r\n\r\n')
         before, number = status(caller), json.loads(self.wire.value().splitlines()[-1])['n']
-        self.says(done=number)
+        self.receive(done=number)
         self.assertEqual((before, status(caller), self.made.router.banned('c0')), (None, 200, True))
 
-    def test_a_call_is_answered_within_a_second_though_the_other_hangs(self):
+    def test_call_is_answered_if_other_process_hangs(self):
         caller = Wire()
         protocol = self.made.desk.buildProtocol(None)
         protocol.makeConnection(caller)
@@ -145,37 +154,37 @@
         self.made.reactor.advance(0.5)
         self.assertEqual(status(caller), 200)
 
-    def test_a_call_at_the_other_binds_this_one(self):
-        self.says(call=['suspend', 'c0'], n=7)
+    def test_call_at_other_process_applies_here(self):
+        self.receive(call=['suspend', 'c0'], n=7)
         self.assertEqual(
             (self.made.router.banned('c0'), json.loads(self.wire.value().splitlines()[-1])),
             (True, {'done': 7}),
         )
 
-    def test_ready_stays_yes_while_the_elder_empties(self):
-        self.says(serves=True)
+    def test_ready_while_predecessor_drains(self):
+        self.receive(serves=True)
         self.made.drain()
         before = status(asked(self.made, READY))
-        self.says(call=['empty', None], n=1)
+        self.receive(call=['empty', None], n=1)
         self.assertEqual((before, status(asked(self.made, READY))), (200, 503))
 
-    def test_what_is_taken_is_answered_and_its_connection_closes(self):
+    def test_open_request_is_answered_and_connection_closes(self):
         wire, server = sent(self.made)
-        self.says(serves=True)
+        self.receive(serves=True)
         self.made.drain()
         server.protocol.dataReceived(said())
         self.assertEqual((status(wire), wire.ended, b'Connection: close' in wire.value()), (200, True, True))
 
-    def test_an_heir_that_dies_gives_the_door_back(self):
-        self.says(serves=True)
-        yielded = self.made.listener.yielded, self.made.router.handed
-        self.heir.connectionLost()
+    def test_predecessor_accepts_again_after_successor_dies(self):
+        self.receive(serves=True)
+        before = self.made.listener.yielded, self.made.router.handed
+        self.successor.connectionLost()
         self.assertEqual(
-            (yielded, self.made.listener.yielded, self.made.router.handed), ((True, True), False, False)
+            (before, self.made.listener.yielded, self.made.router.handed), ((True, True), False, False)
         )
         self.assertGreater(self.made.listener.budget, 100)
 
-    def test_lines_out_of_form_end_the_link_only(self):
+    def test_malformed_lines_end_link_only(self):
         for line in (
             b'[]\n',
             b'{"call": ["stop"]}\n',
@@ -192,8 +201,8 @@
                 self.assertTrue(wire.aborted)
 
 
-class Asking(Quiet):
-    """A node that asks an elder, which has not answered yet."""
+class SearchForPredecessor(Quiet):
+    """A node that waits for the state of a predecessor."""
 
     def setUp(self):
         super().setUp()
@@ -202,17 +211,17 @@
         self.made = unbegun(operator='127.0.0.1:9001')
         self.made.reactor.connectUNIX = lambda *given, **named: None
         name = PREFIX % crc32(repr((self.made.place.name, self.made.place.listen)).encode())
-        with socket.socket(socket.AF_UNIX) as elder:
-            elder.bind(os.path.join(self.folder.name, name + '1'))
+        with socket.socket(socket.AF_UNIX) as predecessor:
+            predecessor.bind(os.path.join(self.folder.name, name + '1'))
         self.made.start(self.folder.name)
 
-    def test_sigterm_ends_it_and_an_answer_that_comes_then_begins_nothing(self):
+    def test_sigterm_ends_search_and_start(self):
         self.made.drain()
         ended = self.made.phase, self.made.reactor.hasStopped
-        self.made.reactor.advance(1.1)  # it asks nobody for longer
+        self.made.reactor.advance(1.1)  # longer than the search may take
         self.assertEqual((ended, self.made.phase, self.made.listener.port), ((STOPPED, True), STOPPED, None))
 
-    def test_sighup_is_not_lost_on_it(self):
+    def test_sighup_is_applied_after_search(self):
         path = os.path.join(self.folder.name, 'page.json')
         with open(path, 'w', encoding='utf-8') as file:
             file.write(page(discovery='127.0.0.1:8501'))
@@ -225,7 +234,7 @@
 
 
 class Caches(ThreadingHTTPServer):
-    """A cache server, or the origin, that keeps what it was asked and when."""
+    """A cache server or origin that records the time and Req-Id of each request."""
 
     daemon_threads = True
 
@@ -235,7 +244,7 @@
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     def handle_error(self, request, address):
-        """A hop that is given up breaks off: ordinary."""
+        """Ignore connections that the node aborts."""
 
 
 class Answer(BaseHTTPRequestHandler):
@@ -252,7 +261,7 @@
     do_PUT = do_GET
 
     def log_message(self, *given):
-        """Nothing is printed."""
+        """Print nothing."""
 
 
 def free():
@@ -271,8 +280,8 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.servers, self.listen, self.running = self.make_servers(), free(), []
-        self.stop, self.bad, self.good, self.writes = False, [], 0, []
-        self.first, self.door = self.begin()
+        self.stop, self.failures, self.successes, self.writes = False, [], 0, []
+        self.first, self.operator_port = self.begin()
         self.addCleanup(self.end)
 
     def end(self):
@@ -284,9 +293,12 @@
             server.shutdown()
             server.server_close()
 
-    def begin(self, ready=True, **bends):
-        """Start a process of the node, maybe bent by the trial's launcher: (process, its operators' port)."""
-        door, path = free(), os.path.join(self.folder.name, 'page.json')
+    def begin(self, ready=True, **faults):
+        """Start a process of the node, with any faults given to the trial's launcher.
+
+        Returns the process and its operators' port.
+        """
+        operator_port, path = free(), os.path.join(self.folder.name, 'page.json')
         known = [
             entry(name, 'origin' if name == 'o' else 'std', hostPort='127.0.0.1:%d' % server.server_port)
             for name, server in self.servers.items()
@@ -295,14 +307,14 @@
             file.write(
                 page(
                     listen='127.0.0.1:%d' % self.listen,
-                    operator='127.0.0.1:%d' % door,
+                    operator='127.0.0.1:%d' % operator_port,
                     discovery='127.0.0.1:%d' % free(),
                     limits={'cores': 1.0, 'memory_mb': 80, 'sockets': 384},
                     settings=SETTINGS,
                     known={'generation': 4, 'reset': True, 'instances': known},
                 )
             )
-        program = ['lilacdyke.trial.launch', json.dumps(bends)] if bends else ['lilacdyke']
+        program = ['lilacdyke.trial.launch', json.dumps(faults)] if faults else ['lilacdyke']
         process = subprocess.Popen(
             [sys.executable, '-m', *program, 'serve', '--config', path],
             stderr=subprocess.DEVNULL,
@@ -310,14 +322,14 @@
         )
         self.running.append(process)
         for _ in range(500 if ready else 0):
-            if self.call(door, 'GET', '/v1/readyz') == 200:
+            if self.call(operator_port, 'GET', '/v1/readyz') == 200:
                 break
             time.sleep(0.02)
-        return process, door
+        return process, operator_port
 
     @staticmethod
-    def call(door, method, path):
-        link = http.client.HTTPConnection('127.0.0.1', door, timeout=1)
+    def call(operator_port, method, path):
+        link = http.client.HTTPConnection('127.0.0.1', operator_port, timeout=1)
         try:
             link.request(method, path)
             return link.getresponse().status
@@ -328,10 +340,10 @@
 
 
 class Upgrades(Processes):
-    """Under steady requests."""
+    """Upgrades under a steady load of requests."""
 
     def client(self, number):
-        """Requests one after the other, each answered or counted as bad. One that crosses a close is sent once more."""
+        """Send requests in a row and record those that fail. One that crosses a close is sent once more."""
         link, count = None, 0
         while not self.stop:
             count += 1
@@ -349,11 +361,11 @@
                     link.close()
                     link = None
                     if fresh:
-                        self.bad.append((name, repr(err)))
+                        self.failures.append((name, repr(err)))
                         break
                     fresh = True
                     continue
-                self.good += answer.status == 200
+                self.successes += answer.status == 200
                 if method == 'PUT' and answer.status == 200:
                     self.writes.append(name)
                 if answer.status != 200 or answer.getheader('Connection') == 'close':
@@ -364,68 +376,69 @@
         if link:
             link.close()
 
-    def steady(self):
+    def start_clients(self):
         threads = [threading.Thread(target=self.client, args=(number,), daemon=True) for number in range(8)]
         for thread in threads:
             thread.start()
         time.sleep(0.3)
         return threads
 
-    def halt(self, threads):
+    def stop_clients(self, threads):
         self.stop = True
         for thread in threads:
             thread.join(5)
 
-    def test_many_upgrades_lose_nothing_and_keep_a_suspension(self):
-        threads, old = self.steady(), self.first
-        self.assertEqual(self.call(self.door, 'POST', '/v1/cache-servers/c0/suspend'), 200)
+    def test_repeated_upgrades_lose_no_request_and_keep_suspension(self):
+        threads, old = self.start_clients(), self.first
+        self.assertEqual(self.call(self.operator_port, 'POST', '/v1/cache-servers/c0/suspend'), 200)
         since = time.monotonic()
         for _ in range(4):
-            new, self.door = self.begin()
+            new, self.operator_port = self.begin()
             old.send_signal(signal.SIGTERM)
             self.assertEqual(old.wait(4), 0)
             self.assertIsNone(new.poll())
             old = new
         time.sleep(0.2)
-        # What left before the yes is seen by the stand-in a moment later: it shares this process with the clients.
-        sent_out = [name for at, name in self.servers['c0'].seen if at > since + 0.2]
-        self.assertEqual(self.call(self.door, 'POST', '/v1/cache-servers/c0/resume'), 200)
-        self.halt(threads)
+        # Attempts sent just before the suspension may be recorded late: servers and clients share a process.
+        sent_to_suspended = [name for at, name in self.servers['c0'].seen if at > since + 0.2]
+        self.assertEqual(self.call(self.operator_port, 'POST', '/v1/cache-servers/c0/resume'), 200)
+        self.stop_clients(threads)
         ran = [name for _, name in self.servers['o'].seen]
         self.assertEqual(
-            (self.bad, sent_out, [name for name in set(self.writes) if ran.count(name) != 1]), ([], [], [])
+            (self.failures, sent_to_suspended, [name for name in set(self.writes) if ran.count(name) != 1]),
+            ([], [], []),
         )
-        self.assertGreater(self.good, 300)
+        self.assertGreater(self.successes, 300)
 
-    def test_a_new_process_killed_before_it_is_ready_costs_nothing(self):
-        threads = self.steady()
+    def test_killed_successor_does_not_stop_service(self):
+        threads = self.start_clients()
         for wait in (0.1, 0.3, 0.5, 0.7):
             new, _ = self.begin(False)
             time.sleep(wait)
             new.kill()
             new.wait()
         new, _ = self.begin()
-        new.kill()  # it served already, and is killed before SIGTERM comes to the old
+        new.kill()  # after it began to serve, before SIGTERM for the old process
         time.sleep(0.2)
         self.assertIsNone(self.first.poll())
-        before = self.good
+        before = self.successes
         time.sleep(0.3)
-        self.halt(threads)
-        self.assertGreater(self.good, before + 20)
-        self.assertLessEqual(len(self.bad), 8)  # what the killed one held is the clients'
+        self.stop_clients(threads)
+        self.assertGreater(self.successes, before + 20)
+        self.assertLessEqual(len(self.failures), 8)  # at most the requests open at the killed process
 
-    def test_sigterm_at_the_heir_leaves_the_door_to_the_elder_and_loses_nothing(self):
-        threads = self.steady()
+    def test_sigterm_for_successor_loses_no_request(self):
+        threads = self.start_clients()
         new, _ = self.begin()
         new.send_signal(signal.SIGTERM)
         self.assertEqual(new.wait(6), 0)
-        before = self.good
+        before = self.successes
         time.sleep(0.5)
-        self.halt(threads)
-        self.assertEqual((self.first.poll(), self.bad), (None, []))
-        self.assertGreater(self.good, before + 20)
+        self.stop_clients(threads)
+        self.assertEqual((self.first.poll(), self.failures), (None, []))
+        self.assertGreater(self.successes, before + 20)
 
-    def test_a_stale_socket_and_a_silent_peer_mean_a_plain_start(self):
+    def test_start_despite_stale_socket_and_silent_peer(self):
         self.first.kill()
         self.first.wait()
         with socket.socket(socket.AF_UNIX) as silent:
@@ -433,28 +446,28 @@
             silent.bind(os.path.join(self.folder.name, name + '1'))
             silent.listen(1)
             began = time.monotonic()
-            new, door = self.begin()
+            new, operator_port = self.begin()
             self.assertEqual(
-                (self.call(door, 'GET', '/v1/readyz'), time.monotonic() - began < 4), (200, True)
+                (self.call(operator_port, 'GET', '/v1/readyz'), time.monotonic() - began < 4), (200, True)
             )
 
 
-class Standstills(Processes):
-    """One of the two processes stands still at a step of the hand-over."""
+class StoppedProcesses(Processes):
+    """One of the two processes is stopped at a step of the hand-over."""
 
-    def stopped(self, process):
+    def wait_until_stopped(self, process):
         for _ in range(500):
             with open('/proc/%d/stat' % process.pid, encoding='ascii') as file:
                 if file.read().rpartition(')')[2].split()[0] == 'T':
                     return
             time.sleep(0.01)
-        self.fail('it never came to that step')
+        self.fail('the process never reached that step')
 
-    def ask(self, count, within):
-        """The answers to so many requests, each on a connection of its own; None for none in time."""
+    def statuses(self, count, timeout):
+        """Return the statuses of requests on separate connections; None for one without an answer in time."""
         found = []
         for number in range(count):
-            link = http.client.HTTPConnection('127.0.0.1', self.listen, timeout=within)
+            link = http.client.HTTPConnection('127.0.0.1', self.listen, timeout=timeout)
             try:
                 link.request('GET', '/read/%d' % number, headers={'Req-Id': 'still-%d' % number})
                 found.append(link.getresponse().status)
@@ -464,22 +477,22 @@
                 link.close()
         return found
 
-    def test_an_heir_that_stops_right_after_its_yes_keeps_nobody_out(self):
+    def test_successor_stopped_right_after_it_began_to_serve(self):
         new, _ = self.begin(False, stops={'<net.handover:Handover.descriptors_reported': 1})
-        self.stopped(new)
+        self.wait_until_stopped(new)
         self.first.send_signal(signal.SIGTERM)
-        self.assertEqual(self.ask(20, 0.8), [200] * 20)
+        self.assertEqual(self.statuses(20, 0.8), [200] * 20)
         new.send_signal(signal.SIGCONT)
-        self.assertEqual((self.first.wait(4), self.ask(5, 0.8)), (0, [200] * 5))
+        self.assertEqual((self.first.wait(4), self.statuses(5, 0.8)), (0, [200] * 5))
 
-    def test_an_heir_that_stops_before_its_yes_has_the_elder_go_on_after_sigterm(self):
+    def test_successor_stopped_before_it_serves_and_sigterm_for_predecessor(self):
         new, _ = self.begin(False, stops={'<net.handover:Handover.state_received': 1})
-        self.stopped(new)
+        self.wait_until_stopped(new)
         self.first.send_signal(signal.SIGTERM)
-        time.sleep(1.0)  # the elder's door used to close 0.75 s after the signal
-        self.assertEqual(self.ask(10, 0.8), [200] * 10)
+        time.sleep(1.0)  # longer than the predecessor listens without a successor
+        self.assertEqual(self.statuses(10, 0.8), [200] * 10)
         new.send_signal(signal.SIGCONT)
-        self.assertEqual((self.first.wait(4), self.ask(5, 2)), (0, [200] * 5))
+        self.assertEqual((self.first.wait(4), self.statuses(5, 2)), (0, [200] * 5))
 
 
 if __name__ == '__main__':
