--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -57,7 +57,7 @@
 
     def __init__(self, handover, peer_is_predecessor):
         self.handover, self.peer_is_predecessor = handover, peer_is_predecessor
-        self.buffer, self.fd, self.last_call, self.over = bytearray(), None, 0, False
+        self.buffer, self.fd, self.last_call, self.closed = bytearray(), None, 0, False
         self.pending = {}  # callbacks of calls without a reply yet, by call number
 
     def fileDescriptorReceived(self, descriptor):
@@ -73,7 +73,7 @@
     def dataReceived(self, data):
         self.buffer += data
         try:
-            while not self.over and (end := self.buffer.find(b'\n')) >= 0:
+            while not self.closed and (end := self.buffer.find(b'\n')) >= 0:
                 line = bytes(self.buffer[:end])
                 del self.buffer[: end + 1]
                 self.line_received(json.loads(line))
@@ -113,7 +113,7 @@
 
     def send(self, **line):
         """Send a line, if the link is still up."""
-        if self.transport and not self.over:
+        if self.transport and not self.closed:
             self.transport.write(json.dumps(line).encode() + b'\n')
 
     def call(self, verb, name, done):
@@ -135,9 +135,9 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason=None):
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         if self.fd is not None:
             os.close(self.fd)
         for done in list(self.pending.values()):
@@ -183,14 +183,17 @@
         self.folder, self.folder_fd = folder, None  # folder_fd: opened only if the path is long
         self.succession = Succession(limit, spare)
         self.predecessor, self.successor, self.port = None, None, None
-        self.candidates, self.begin = [], None  # sockets still to try; the callback that continues the start
+        self.candidates, self.start_node = (
+            [],
+            None,
+        )  # sockets still to try; the callback that continues the start
         self.sends_heartbeats, self.last_heartbeat = False, None  # to the predecessor; from the successor
 
     # --- finding a predecessor --------------------------------------------------------------------------
 
-    def find_predecessor(self, begin):
-        """Look for a predecessor, then call begin(its state, its listening socket), or begin(None, None)."""
-        self.begin = begin
+    def find_predecessor(self, start_node):
+        """Look for a predecessor; call start_node with its state and listening socket, or with None twice."""
+        self.start_node = start_node
         try:
             found = [name for name in os.listdir(self.folder) if name.startswith(self.socket_prefix)]
             found = [name for name in found if self.is_socket(name)]
@@ -209,7 +212,7 @@
     def try_next(self):
         """Connect to the next candidate; without one, start without a predecessor."""
         self.predecessor = None
-        if not self.begin:
+        if not self.start_node:
             return
         if self.candidates:
             self.reactor.connectUNIX(
@@ -222,7 +225,7 @@
 
     def search_timed_out(self, _):
         """Start without a predecessor, as the one that was tried hangs or is another program."""
-        if self.begin:
+        if self.start_node:
             warn('no hand-over', why='silent')
             predecessor, self.predecessor = self.predecessor, None
             if predecessor:
@@ -231,7 +234,7 @@
 
     def state_received(self, link, state):
         """Handle the predecessor's first line."""
-        if not self.begin or link is not self.predecessor:
+        if not self.start_node or link is not self.predecessor:
             raise BadLine('unexpected state')
         if state['v'] != VERSION or link.fd is None:
             warn('no hand-over', why='version %s' % state['v'])
@@ -248,8 +251,8 @@
 
     def finish_search(self, state, fd):
         """Continue the start, with or without a predecessor's state."""
-        begin, self.begin = self.begin, None
-        begin(state, fd)
+        start_node, self.start_node = self.start_node, None
+        start_node(state, fd)
 
     def announce_serving(self):
         """Tell the predecessor that this process serves clients, and listen for a successor."""
@@ -330,7 +333,7 @@
     def link_lost(self, link):
         """A link has ended."""
         if link is self.predecessor:
-            if self.begin:
+            if self.start_node:
                 self.try_next()
                 return
             self.predecessor = None
