--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -750,16 +750,16 @@
         """Carry out the router's decisions until there are none."""
         if self.settling:
             return  # called from a decision: the outer call continues
-        self.settling, going = True, True
-        while going:
+        self.settling, more = True, True
+        while more:
             try:
                 decision = self.router.decide(self.clock())
                 if decision:
                     getattr(self, 'do_' + decision[0])(*decision[1:])
-                going = bool(decision)
+                more = bool(decision)
             except Exception:
                 LOG.exception('decision failed')
-                going = self.skip_ready()
+                more = self.skip_ready()
         self.settling = False
 
     def skip_ready(self):
