--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -1,41 +1,43 @@
-"""Leases for tasks that one process does for the whole fleet: voters promise, a majority of promises is a
-lease. Pure.
-
-Owns the promises of a voter (Voter) and one process's seeking and holding of one task (Seeker). Must never do
-I/O, trust another's clock for more than its rate, or give a number twice.
-
-Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. What keeps two from
-holding at once: a voter promises a task to one seeker for a lease, a twentieth and more longer, from when it
-was asked; a seeker that has the promises of most voters holds for a lease, a twentieth and more shorter, from
-when it asked. Any two majorities have a voter in common, and a voter that starts says nothing until whatever
-a life before it promised has run out. What keeps numbers rising: before it holds, a seeker has most voters
-note a number above all that any of them has noted; a voter keeps a bound on those beyond its own life
-(`keep`).
+"""Quorum-based leases for tasks that a single process performs for the whole fleet. Free of I/O.
+
+A Voter keeps the promises that one voter has made; a Seeker acquires and renews the lease of one task for one
+process. Neither relies on another process's clock beyond its rate, and no lease number (fencing token) is
+issued twice.
+
+Times are integer ticks of the caller's own clock; clock rates may differ as stated in ledger.py.
+
+Mutual exclusion: a voter promises a task to one seeker for the lease plus a margin of at least a twentieth,
+counted from the request's arrival. A seeker with promises from a majority holds the task for the lease minus
+such a margin, counted from sending the request. Any two majorities share a voter, and a restarted voter stays
+silent until every promise of its previous life has expired.
+
+Rising numbers: before a seeker holds the lease, a majority of voters must record a number higher than any
+that they recorded before. A voter persists an upper bound on these numbers across restarts.
 """
 
 from .ledger import longer, shorter
 
-TASKS, WAITING, LIVES = 1_024, 1_024, 1_024  # that a voter keeps count of
-BLOCK = 1_000  # numbers that are written down at a time
-RENEWS = 4  # in a lease
-TRY = 4  # a round waits for answers for this part of a lease
+MAX_TASKS, MAX_WAITING, MAX_LIVES = 1_024, 1_024, 1_024  # bounds on what a voter remembers
+NUMBER_BLOCK = 1_000  # numbers reserved by one write to disk
+RENEWALS_PER_LEASE = 4
+ROUND_PARTS = 4  # a voting round times out after lease / ROUND_PARTS
 ASK, CONFIRM, RENEW, RELEASE = 'ask', 'confirm', 'renew', 'release'
 VERBS = (ASK, CONFIRM, RENEW, RELEASE)
 
 
-def promised(lease):
-    """How long a voter's promise runs."""
+def promise_duration(lease):
+    """Return how long a voter's promise lasts."""
     return longer(lease)
 
 
-def silent(lease):
-    """How long a voter that starts says nothing: the longest that a promise before it can run, by another
-    rate of its clock."""
-    return longer(promised(lease)) + 1
+def startup_silence(lease):
+    """Return how long a restarted voter must not answer: the longest that a promise of its previous life can
+    last, allowing for a different clock rate."""
+    return longer(promise_duration(lease)) + 1
 
 
 class Promise:
-    """A task that is one seeker's, until then; number: what it has had noted, None before."""
+    """A voter's promise of one task to one seeker. number: the lease number confirmed, or None."""
 
     __slots__ = ('life', 'until', 'seq', 'number')
 
@@ -44,116 +46,128 @@
 
 
 class Voter:
-    """One voter, from its start to its end. lease: the longest; keep(bound): have a bound written down for
-    good, whether that was done; bound: the one that a life before wrote down, None: none is known, so it does
-    not vote; before: the longest lease that such a life may have promised."""
-
-    __slots__ = ('life', 'lease', 'keep', 'top', 'bound', 'mute', 'promises', 'last', 'waiting')
-
-    def __init__(self, now, life, lease, keep, bound, before=0):
-        self.life, self.lease, self.keep = life, lease, keep
-        self.top = self.bound = bound
-        self.mute = now + silent(max(lease, before))
-        self.promises, self.waiting = (
-            {},
-            {},
-        )  # by task: the promise; by task, the lives that were told no, the earliest first
-        self.last = {}  # by (task, life): the newest message that was heeded, and when that may be forgotten
+    """One voter during the life of its process.
+
+    lease: the longest lease granted. persist(bound): store an upper bound durably, return whether that
+    succeeded. bound: the one stored by a previous life; with None the voter never votes. before: the longest
+    lease that a previous life may have promised.
+    """
+
+    __slots__ = ('life', 'lease', 'persist', 'highest', 'bound', 'mute', 'promises', 'latest', 'waiting')
+
+    def __init__(self, now, life, lease, persist, bound, before=0):
+        self.life, self.lease, self.persist = life, lease, persist
+        self.highest = self.bound = bound
+        self.mute = now + startup_silence(max(lease, before))
+        # By task: the promise; the lives that were refused, in order of arrival.
+        self.promises, self.waiting = {}, {}
+        self.latest = {}  # by (task, life): (last sequence number processed, when this entry may be dropped)
 
     def votes(self, now):
-        """Whether it votes yet."""
-        return self.top is not None and now > self.mute
+        """Return whether this voter may answer yet."""
+        return self.highest is not None and now > self.mute
 
     def promise(self, now, task):
-        """The promise in force, or None."""
+        """Return the task's unexpired promise, or None."""
         found = self.promises.get(task)
         return found if found is not None and now <= found.until else None
 
     def told(self, now, message):
-        """A seeker's message: (the answer or None, the lives to tell that the task is free)."""
+        """Process a seeker's message. Return (the answer or None, lives to notify that the task is free)."""
         task, life, seq, verb = message['task'], message['life'], message['seq'], message['verb']
-        if not self.votes(now) or not self.newest(now, task, life, seq):
+        if not self.votes(now) or not self.is_new(now, task, life, seq):
             return None, []
-        mine = self.promise(now, task)
+        current = self.promise(now, task)
         if verb == RELEASE:
-            return None, self.released(task, life, mine)
-        yes = getattr(self, verb)(now, task, life, seq, message['number'], mine)
+            return None, self.released(task, life, current)
+        yes = getattr(self, verb)(now, task, life, seq, message['number'], current)
         if not yes:
-            self.wait(task, life)
+            self.add_waiter(task, life)
         return {
             'task': task,
             'life': life,
             'seq': seq,
             'voter': self.life,
             'yes': yes,
-            'number': self.top,
+            'number': self.highest,
         }, []
 
-    def newest(self, now, task, life, seq):
-        """Guards against messages that come twice or late: a release that has overtaken a renewal ends it all
-        the same."""
-        last = self.last.get((task, life))
-        if last is not None and seq <= last[0]:
+    def is_new(self, now, task, life, seq):
+        """Return whether the message is newer than all processed before; discards duplicates and messages
+        that were overtaken, such as a renewal that arrives after the release."""
+        latest = self.latest.get((task, life))
+        if latest is not None and seq <= latest[0]:
             return False
-        if last is None and len(self.last) >= LIVES:
-            self.last = {key: kept for key, kept in self.last.items() if now <= kept[1]}
-            if len(self.last) >= LIVES:
+        if latest is None and len(self.latest) >= MAX_LIVES:
+            self.latest = {key: kept for key, kept in self.latest.items() if now <= kept[1]}
+            if len(self.latest) >= MAX_LIVES:
                 return False
-        self.last[task, life] = (seq, now + 2 * promised(self.lease))
+        self.latest[task, life] = (seq, now + 2 * promise_duration(self.lease))
         return True
 
-    def ask(self, now, task, life, seq, number, mine):
-        """Whether the task is promised to this seeker from now on."""
-        if mine is not None and mine.life != life or task not in self.promises and not self.room(now):
+    def ask(self, now, task, life, seq, number, current):
+        """Promise the task to this seeker unless it is promised to another. Return whether that was done."""
+        if (
+            current is not None
+            and current.life != life
+            or task not in self.promises
+            and not self.has_room(now)
+        ):
             return False
-        self.promises[task] = Promise(life, now + promised(self.lease), seq)
+        self.promises[task] = Promise(life, now + promise_duration(self.lease), seq)
         return True
 
-    def confirm(self, now, task, life, seq, number, mine):
-        """Whether a number is noted for whom the task is promised: one above all noted before."""
-        if mine is None or mine.life != life or number <= self.top:
+    def confirm(self, now, task, life, seq, number, current):
+        """Record a lease number for the promise's holder. Return whether it was recorded: it must exceed all
+        numbers recorded before."""
+        if current is None or current.life != life or number <= self.highest:
             return False
         if number > self.bound:
-            if not self.keep(number + BLOCK):
+            if not self.persist(number + NUMBER_BLOCK):
                 return False
-            self.bound = number + BLOCK
-        self.top = number
-        self.promises[task] = Promise(life, now + promised(self.lease), seq, number)
+            self.bound = number + NUMBER_BLOCK
+        self.highest = number
+        self.promises[task] = Promise(life, now + promise_duration(self.lease), seq, number)
         return True
 
-    def renew(self, now, task, life, seq, number, mine):
-        """Whether the promise goes on. A voter that knows of none, as it was restarted, gives it anew: who
-        asks holds by others' promises."""
-        if mine is not None and mine.life != life or task not in self.promises and not self.room(now):
+    def renew(self, now, task, life, seq, number, current):
+        """Extend the promise and return whether that was done. A restarted voter that knows of no promise
+        makes a new one: the seeker holds the lease through promises of the other voters."""
+        if (
+            current is not None
+            and current.life != life
+            or task not in self.promises
+            and not self.has_room(now)
+        ):
             return False
-        self.promises[task] = Promise(life, now + promised(self.lease), seq, number)
+        self.promises[task] = Promise(life, now + promise_duration(self.lease), seq, number)
         return True
 
-    def room(self, now):
-        """Whether there is a place for one more task."""
-        if len(self.promises) >= TASKS:
+    def has_room(self, now):
+        """Return whether one more task fits, after dropping expired promises at the bound."""
+        if len(self.promises) >= MAX_TASKS:
             self.promises = {task: kept for task, kept in self.promises.items() if now <= kept.until}
-        return len(self.promises) < TASKS
+        return len(self.promises) < MAX_TASKS
 
-    def released(self, task, life, mine):
-        """The task is free, if it was that seeker's; who waits is told, the first to ask first."""
-        if mine is None or mine.life != life:
+    def released(self, task, life, current):
+        """Drop the promise if it belongs to this seeker. Return the life to notify: the first waiting."""
+        if current is None or current.life != life:
             return []
         del self.promises[task]
         waiting = list(self.waiting.pop(task, ()))
         return [other for other in waiting if other != life][:1]
 
-    def wait(self, task, life):
-        """One that was told no."""
+    def add_waiter(self, task, life):
+        """Queue a seeker that was refused."""
         waiting = self.waiting.setdefault(task, {})
         waiting[life] = None
-        if len(waiting) > WAITING:
+        if len(waiting) > MAX_WAITING:
             del waiting[next(iter(waiting))]
-        if len(self.waiting) > TASKS:
+        if len(self.waiting) > MAX_TASKS:
             del self.waiting[next(iter(self.waiting))]
 
     def holders(self, now):
-        """For staff: task, life, number, time left of each promise."""
+        """Return [task, life, number, time left] of each unexpired promise, for status output."""
         return [
             [task, kept.life, kept.number, kept.until - now]
             for task, kept in sorted(self.promises.items())
@@ -162,9 +176,12 @@
 
 
 class Seeker:
-    """One process's side of one task. Inputs only update it; the host then pulls `decide(now)` until it gives
-    None: ('lost', number), ('got', number), ('send', voter, message), ('wake', when). Between got and lost it
-    holds; before each act the host asks `held(now)`."""
+    """One process's side of the lease for one task, as a state machine.
+
+    Inputs only update its state; the host then calls `decide(now)` until it returns None. Decisions are
+    ('lost', number), ('got', number), ('send', voter, message) and ('wake', when). The lease is held between
+    'got' and 'lost'; the host must check `held(now)` before each action that relies on it.
+    """
 
     __slots__ = (
         'task',
@@ -180,52 +197,50 @@
         'no',
         'number',
         'until',
-        'next',
+        'next_round',
         'failures',
-        'out',
-        'told_of',
-        'woken',
+        'outbox',
+        'reported_number',
+        'wakeup_at',
     )
 
     def __init__(self, now, task, life, voters, lease, chance):
         self.task, self.life, self.voters, self.lease, self.chance = task, life, list(voters), lease, chance
-        self.seq, self.wanted, self.out = 0, False, []  # out: messages to be sent
-        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # of the round under way
-        self.number, self.until = None, None  # of the lease that it has, or had last
-        self.next, self.failures = now, 0  # when to ask, or to renew
-        self.told_of, self.woken = (
-            None,
-            None,
-        )  # the number that the host was told it has; the wake-up asked for
+        self.seq, self.wanted, self.outbox = 0, False, []
+        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # the current round
+        self.number, self.until = None, None  # the current lease, or the last one held
+        self.next_round, self.failures = now, 0  # when to start the next round
+        # The lease number that 'got' reported to the host; the last wake-up requested from it.
+        self.reported_number, self.wakeup_at = None, None
 
     @property
     def most(self):
         return len(self.voters) // 2 + 1
 
     def held(self, now):
-        """Whether it holds now, by its own clock."""
+        """Return whether the lease is held now, by this process's clock."""
         return self.until is not None and now < self.until
 
     # --- inputs -----------------------------------------------------------------------------------------
 
     def want(self, now):
-        """The task is wanted from now on."""
+        """Start to acquire the lease."""
         if not self.wanted:
-            self.wanted, self.next = True, now
+            self.wanted, self.next_round = True, now
 
     def release(self, now):
-        """It is not wanted any more: nothing is held from here on, whatever voters think."""
+        """Give the lease up. It counts as not held at once, whatever the voters know."""
         self.wanted, self.until = False, None
         self.end_round()
-        self.say(RELEASE, now)
+        self.send_all(RELEASE, now)
 
     def free(self, now):
-        """A voter tells that the task is free."""
+        """Try again at once: a voter reports that the task is free."""
         if self.wanted and self.until is None and self.verb is None:
-            self.next = now
+            self.next_round = now
 
     def told(self, now, voter, answer):
-        """A voter has answered. What is not of the round under way says nothing."""
+        """Process a voter's answer; one that does not belong to the current round is ignored."""
         if (
             self.verb is None
             or answer['seq'] != self.seq
@@ -241,19 +256,19 @@
         if len(self.yes) >= self.most:
             getattr(self, 'most_' + self.verb)(now)
         elif len(self.voters) - len(self.no) < self.most:
-            self.failed(now)
+            self.round_failed(now)
 
     def most_ask(self, now):
-        """Most promise: have them note a number above all of theirs."""
-        self.begin(CONFIRM, now, max(self.yes.values()) + 1)
+        """A majority has promised: have the voters record a number above all of theirs."""
+        self.start_round(CONFIRM, now, max(self.yes.values()) + 1)
 
     def most_confirm(self, now):
-        """Most have noted it: it is held, if its time is not up yet."""
+        """A majority has recorded the number: the lease is held, unless it has expired already."""
         self.failures = 0
         self.holds()
 
     def most_renew(self, now):
-        """It goes on; but what has ended is not begun again."""
+        """Extend the lease; one that has expired meanwhile is not revived."""
         if self.held(now):
             self.holds()
         else:
@@ -261,22 +276,22 @@
 
     def holds(self):
         self.until = self.sent + shorter(self.lease)
-        self.next = self.sent + self.lease // RENEWS
+        self.next_round = self.sent + self.lease // RENEWALS_PER_LEASE
         self.end_round()
 
     # --- rounds -----------------------------------------------------------------------------------------
 
-    def begin(self, verb, now, number):
-        """Ask all voters."""
+    def start_round(self, verb, now, number):
+        """Start a round: send the request to all voters."""
         self.number = number if verb == CONFIRM else self.number
-        self.say(verb, now, number)
+        self.send_all(verb, now, number)
         self.verb, self.sent, self.yes, self.no = verb, now, {}, set()
-        self.next = now + max(1, self.lease // TRY)
+        self.next_round = now + max(1, self.lease // ROUND_PARTS)
 
-    def say(self, verb, now, number=0):
-        """A message to all voters; those of before that have not gone are void."""
+    def send_all(self, verb, now, number=0):
+        """Queue a message to all voters, replacing earlier ones not sent yet."""
         self.seq += 1
-        self.out = [
+        self.outbox = [
             (voter, {'task': self.task, 'life': self.life, 'seq': self.seq, 'verb': verb, 'number': number})
             for voter in self.voters
         ]
@@ -284,43 +299,43 @@
     def end_round(self):
         self.verb, self.yes, self.no = None, {}, set()
 
-    def failed(self, now):
-        """No majority. What was promised is given back, and the next try drawn from ever longer: guards
-        against seekers that split the votes."""
+    def round_failed(self, now):
+        """Handle a round without a majority: release what was promised and retry after a randomized, growing
+        backoff, so that competing seekers don't split the votes again and again."""
         renewing = self.verb == RENEW
         self.end_round()
         if renewing:
-            self.next = now + max(1, self.lease // (2 * RENEWS))
+            self.next_round = now + max(1, self.lease // (2 * RENEWALS_PER_LEASE))
             return
-        self.say(RELEASE, now)
+        self.send_all(RELEASE, now)
         self.failures = min(4, self.failures + 1)
-        self.next = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.chance())))
+        self.next_round = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.chance())))
 
     def decide(self, now):
-        """The next thing to do, or None."""
+        """Return the next decision for the host, or None."""
         if self.until is not None and not self.held(now):
             self.until = None
             if self.verb == RENEW:
                 self.end_round()
-            self.next = max(self.next, now)
-        if self.told_of is not None and (self.until is None or self.told_of != self.number):
-            number, self.told_of = self.told_of, None
+            self.next_round = max(self.next_round, now)
+        if self.reported_number is not None and (self.until is None or self.reported_number != self.number):
+            number, self.reported_number = self.reported_number, None
             return 'lost', number
-        if self.until is not None and self.told_of is None:
-            self.told_of = self.number
+        if self.until is not None and self.reported_number is None:
+            self.reported_number = self.number
             return 'got', self.number
-        if self.out:
-            return 'send', *self.out.pop(0)
-        if self.wanted and now >= self.next:
+        if self.outbox:
+            return 'send', *self.outbox.pop(0)
+        if self.wanted and now >= self.next_round:
             if self.verb is not None:
-                self.failed(now)
+                self.round_failed(now)
             elif self.until is not None:
-                self.begin(RENEW, now, self.number)
+                self.start_round(RENEW, now, self.number)
             else:
-                self.begin(ASK, now, 0)
+                self.start_round(ASK, now, 0)
             return self.decide(now)
-        first = min([self.next] * self.wanted + [self.until] * (self.until is not None), default=None)
-        if first is not None and first != self.woken and first > now:
-            self.woken = first
+        first = min([self.next_round] * self.wanted + [self.until] * (self.until is not None), default=None)
+        if first is not None and first != self.wakeup_at and first > now:
+            self.wakeup_at = first
             return 'wake', first
         return None
