--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -1,9 +1,9 @@
-"""A model checker for leases: a small world of voters and seekers, whose messages are lost, late, doubled and
-reordered, who restart with nothing (voters but for the bound that they wrote down), and whose clocks run
-apart.
+"""Model checker for the leases: a small world of voters and seekers whose messages are lost, delayed,
+duplicated and reordered, which restart without state (except for a voter's persisted bound), and whose clocks
+drift.
 
-Owns the worlds and what must hold in all of their states: no two seekers hold at once, and each lease has a
-higher number than all before it. Must never help the leases.
+In every state at most one seeker may hold the lease, and each lease must have a higher number than the one
+before.
 
 python -m lilacdyke.plan.vote_check [--walks N] [--steps N] [--states N] [--seed N]
 """
@@ -17,24 +17,24 @@
 from .ledger import DRIFT
 
 LEASE, TASK = 20, 't'
-MOST = 4  # messages under way in a searched world
+MAX_MESSAGES = 4  # in flight in a searched world
 
 
-class TwoHold(Exception):
-    """What was promised does not hold; says where."""
+class LeaseViolation(Exception):
+    """Two seekers hold the lease at once, or lease numbers do not rise."""
 
 
-def half():
-    """Chance of a searched world: always the same."""
+def fixed_chance():
+    """Stands in for the random source in a searched world, which must be deterministic."""
     return 0.5
 
 
-def kept(bound):
+def accept_bound(bound):
     return True
 
 
-class Drawn:
-    """Chance of a walked world."""
+class DrawnChance:
+    """The random source of a walked world."""
 
     def __init__(self, chance):
         self.chance = chance
@@ -44,11 +44,10 @@
 
 
 class World:
-    """Some voters and seekers of one task, and what is under way between them. Each has a clock of its
-    own."""
+    """Voters and seekers of one task with the messages in flight between them. Each has its own clock."""
 
-    def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, chance=half):
-        self.voter, self.seeker, self.chance, self.now, self.lives, self.numbers, self.changes = (
+    def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, chance=fixed_chance):
+        self.voter, self.seeker, self.chance, self.now, self.lives, self.last_numbers, self.leases_granted = (
             voter,
             seeker,
             chance,
@@ -60,12 +59,12 @@
         self.rates = rates or [DRIFT] * (voters + seekers)
         self.offsets = [5 * number for number in range(voters + seekers)]
         self.bounds = [0] * voters
-        # What has always been running owes nothing to a life before it.
+        # The first voters start long ago, so that they need no silence.
         self.voters = [self.new_voter(number, self.clock(number) - 10 * LEASE) for number in range(voters)]
         self.seekers = [self.new_seeker(number) for number in range(seekers)]
-        self.bag = []  # (to a voter, number of the voter, number of the seeker, message)
+        self.messages = []  # (whether to a voter, voter, seeker, message)
 
-    def life(self):
+    def new_life(self):
         self.lives += 1
         return self.lives
 
@@ -76,14 +75,14 @@
         return self.clock(len(self.bounds) + number)
 
     def new_voter(self, number, now):
-        return self.voter(now, self.life(), LEASE, kept, self.bounds[number])
+        return self.voter(now, self.new_life(), LEASE, accept_bound, self.bounds[number])
 
     def new_seeker(self, number):
-        made = self.seeker(
-            self.seeker_clock(number), TASK, self.life(), range(len(self.bounds)), LEASE, self.chance
+        result = self.seeker(
+            self.seeker_clock(number), TASK, self.new_life(), range(len(self.bounds)), LEASE, self.chance
         )
-        made.want(self.seeker_clock(number))
-        return made
+        result.want(self.seeker_clock(number))
+        return result
 
     # --- steps ------------------------------------------------------------------------------------------
 
@@ -91,23 +90,23 @@
         self.now += 1
 
     def pull(self, number):
-        """A seeker does what it has to."""
+        """Carry out the seeker's pending decisions."""
         seeker, now = self.seekers[number], self.seeker_clock(number)
         while decision := seeker.decide(now):
             if decision[0] == 'send':
-                self.bag.append((True, decision[1], number, decision[2]))
+                self.messages.append((True, decision[1], number, decision[2]))
             elif decision[0] == 'got':
                 self.got(decision[1])
 
     def got(self, number):
-        self.changes += 1
-        if self.numbers and number <= self.numbers[-1]:
-            raise TwoHold('at %d: number %s after %s' % (self.now, number, self.numbers[-1]))
-        self.numbers = [number]
-
-    def deliver(self, index, keep=False):
-        """A message comes; keep: and will come once more."""
-        to_voter, number, seeker, message = self.bag[index] if keep else self.bag.pop(index)
+        self.leases_granted += 1
+        if self.last_numbers and number <= self.last_numbers[-1]:
+            raise LeaseViolation('at %d: number %s after %s' % (self.now, number, self.last_numbers[-1]))
+        self.last_numbers = [number]
+
+    def deliver(self, index, duplicate=False):
+        """Deliver a message; a duplicate stays in flight and arrives once more."""
+        to_voter, number, seeker, message = self.messages[index] if duplicate else self.messages.pop(index)
         if not to_voter:
             self.seekers[seeker].told(self.seeker_clock(seeker), number, message)
             return self.pull(seeker)
@@ -115,13 +114,13 @@
         answer, free = voter.told(self.clock(number), message)
         self.bounds[number] = voter.bound
         if answer is not None:
-            self.bag.append((False, number, seeker, answer))
+            self.messages.append((False, number, seeker, answer))
         for other, waiting in enumerate(self.seekers):
             if waiting.life in free:
                 waiting.free(self.seeker_clock(other))
 
     def lose(self, index):
-        del self.bag[index]
+        del self.messages[index]
 
     def restart_voter(self, number):
         self.voters[number] = self.new_voter(number, self.clock(number))
@@ -130,135 +129,138 @@
         self.seekers[number] = self.new_seeker(number)
 
     def release(self, number):
-        """It gives back what it has, and wants it again later."""
+        """Have a seeker release its lease and request it again."""
         seeker, now = self.seekers[number], self.seeker_clock(number)
         seeker.release(now)
         self.pull(number)
         seeker.want(now)
 
-    # --- what must hold ---------------------------------------------------------------------------------
+    # --- invariants -------------------------------------------------------------------------------------
 
-    def judge(self):
+    def check(self):
+        """Raise LeaseViolation if two seekers hold the lease."""
         holding = [
             number for number, seeker in enumerate(self.seekers) if seeker.held(self.seeker_clock(number))
         ]
         if len(holding) > 1:
-            raise TwoHold('at %d: %s hold' % (self.now, holding))
+            raise LeaseViolation('at %d: %s hold' % (self.now, holding))
 
 
-def nexts(world):
-    """All worlds one step on."""
+def successors(world):
+    """Yield all worlds that are one step away."""
     steps = [('tick',)]
-    for index in range(len(world.bag)):
+    for index in range(len(world.messages)):
         steps += [('deliver', index), ('lose', index)]
-        if len(world.bag) < MOST:
+        if len(world.messages) < MAX_MESSAGES:
             steps.append(('deliver', index, True))
     steps += [('pull', number) for number in range(len(world.seekers))]
     steps += [('restart_voter', number) for number in range(len(world.voters))]
     steps += [('restart_seeker', number) for number in range(len(world.seekers))]
     steps += [('release', number) for number, seeker in enumerate(world.seekers) if seeker.until is not None]
-    mark = pickle.dumps(world)
+    state = pickle.dumps(world)
     for name, *given in steps:
-        made = pickle.loads(mark)
-        getattr(made, name)(*given)
-        yield made
+        result = pickle.loads(state)
+        getattr(result, name)(*given)
+        yield result
 
 
-def settled(world):
-    """The same, with the first seeker holding and nothing under way."""
+def with_holder(world):
+    """Return the world with the first seeker holding the lease and no message in flight."""
     world.pull(0)
-    while world.bag:
+    while world.messages:
         world.deliver(0)
     return world
 
 
 def search(states, **kinds):
-    """All interleavings of a small world in which one holds, breadth first, up to so many states: (states
-    seen, depth reached whole)."""
-    first = settled(World(**kinds))
-    edge, seen, depth = [first], {pickle.dumps(first)}, 0
-    while edge:
-        further = []
-        for world in edge:
-            for made in nexts(world):
-                made.judge()
-                mark = pickle.dumps(made)
-                if mark not in seen:
-                    seen.add(mark)
-                    further.append(made)
+    """Explore all interleavings from a small world with a holder, breadth first, up to this many states.
+    Return (states seen, depth explored completely)."""
+    first = with_holder(World(**kinds))
+    frontier, seen, depth = [first], {pickle.dumps(first)}, 0
+    while frontier:
+        next_frontier = []
+        for world in frontier:
+            for result in successors(world):
+                result.check()
+                state = pickle.dumps(result)
+                if state not in seen:
+                    seen.add(state)
+                    next_frontier.append(result)
                     if len(seen) >= states:
                         return len(seen), depth
-        edge, depth = further, depth + 1
+        frontier, depth = next_frontier, depth + 1
     return len(seen), depth
 
 
 def walk(seed, steps, **kinds):
-    """One long random history: 3 or 5 voters, 2 or 3 seekers; (steps made, leases got in it)."""
+    """Run one long random history of 3 or 5 voters and 2 or 3 seekers. Return (steps, leases granted)."""
     chance = Random(seed)
     voters, seekers = chance.choice((3, 3, 5)), chance.choice((2, 2, 3))
     rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(voters + seekers)]
-    world = World(voters, seekers, rates, chance=Drawn(Random(seed)), **kinds)
-    prompt, hurry = (
+    world = World(voters, seekers, rates, chance=DrawnChance(Random(seed)), **kinds)
+    in_order_rate, steps_per_tick = (
         chance.choice((0.3, 0.7, 0.95)),
         chance.choice((8, 16, 30)),
-    )  # messages in their turn; steps while time passes once
-    generous = chance.choice((0.0, 0.002, 0.04))  # how readily a lease is given back
-    trouble, losses = chance.choice((0.0, 0.005, 0.02)), chance.choice((0.0, 0.05, 0.2))
-    # For a while a seeker is cut off, one way or both: its messages are lost, or come once that is over; it
-    # may stand still besides.
-    apart, until, late = None, 0, False
-    for made in range(steps):
-        drawn = chance.random()
+    )
+    release_rate = chance.choice((0.0, 0.002, 0.04))
+    restart_rate, loss_rate = chance.choice((0.0, 0.005, 0.02)), chance.choice((0.0, 0.05, 0.2))
+    # (seeker, blocked directions, whether it is also suspended): a partition that lasts for a while. Blocked
+    # messages are lost, or delivered after its end.
+    isolated, until, delayed = None, 0, False
+    for _ in range(steps):
+        draw = chance.random()
         if world.now >= until:
             holder = next(
                 (number for number, seeker in enumerate(world.seekers) if seeker.until is not None), 0
             )
-            apart = (
+            isolated = (
                 holder if chance.random() < 0.7 else chance.randrange(seekers),
                 chance.choice(((True,), (False,), (True, False))),
                 chance.random() < 0.3,
             )
             until = world.now + chance.randint(2, chance.choice((LEASE, LEASE, 4 * LEASE)))
-            late = chance.random() < 0.5
+            delayed = chance.random() < 0.5
             if chance.random() < 0.25:
-                apart = None
-        cut = [apart is not None and row[2] == apart[0] and row[0] in apart[1] for row in world.bag]
-        if not late and any(cut):
-            world.bag = [row for row, gone in zip(world.bag, cut) if not gone]
-            cut = [False] * len(world.bag)
-        there = [index for index, gone in enumerate(cut) if not gone]
-        if drawn < 1 / hurry:
+                isolated = None
+        blocked = [
+            isolated is not None and row[2] == isolated[0] and row[0] in isolated[1] for row in world.messages
+        ]
+        if not delayed and any(blocked):
+            world.messages = [row for row, gone in zip(world.messages, blocked) if not gone]
+            blocked = [False] * len(world.messages)
+        deliverable = [index for index, gone in enumerate(blocked) if not gone]
+        if draw < 1 / steps_per_tick:
             world.tick()
             number = chance.randrange(seekers)
-            if apart is None or not apart[2] or number != apart[0]:
+            if isolated is None or not isolated[2] or number != isolated[0]:
                 world.pull(number)
-        elif drawn > 1 - trouble:
+        elif draw > 1 - restart_rate:
             if chance.random() < 0.6:
-                # One, or all at once.
+                # Restart one voter, or all at once.
                 for number in range(voters) if chance.random() < 0.2 else [chance.randrange(voters)]:
                     world.restart_voter(number)
             else:
                 world.restart_seeker(chance.randrange(seekers))
-        elif drawn > 1 - trouble - generous:
+        elif draw > 1 - restart_rate - release_rate:
             number = chance.randrange(seekers)
             if world.seekers[number].until is not None:
                 world.release(number)
-        elif there and chance.random() < 0.85:
-            index = there[0] if chance.random() < prompt else chance.choice(there)
-            if chance.random() < losses:
+        elif deliverable and chance.random() < 0.85:
+            index = deliverable[0] if chance.random() < in_order_rate else chance.choice(deliverable)
+            if chance.random() < loss_rate:
                 world.lose(index)
             else:
                 world.deliver(index, chance.random() < 0.05)
         else:
             number = chance.randrange(seekers)
             if chance.random() < 0.3:
-                world.seekers[number].free(world.seeker_clock(number))  # a hint, which may come at any time
-            if apart is None or not apart[2] or number != apart[0]:
+                world.seekers[number].free(world.seeker_clock(number))  # a spurious notification
+            if isolated is None or not isolated[2] or number != isolated[0]:
                 world.pull(number)
-        while len(world.bag) > 120:
+        while len(world.messages) > 120:
             world.lose(0)
-        world.judge()
-    return steps, world.changes
+        world.check()
+    return steps, world.leases_granted
 
 
 @click.command()
@@ -267,15 +269,13 @@
 @click.option('--states', default=100_000, show_default=True)
 @click.option('--seed', default=1, show_default=True)
 def main(walks, steps, states, seed):
-    """Search a small world whole to some depth, then walk by chance."""
+    """Search a small world exhaustively to some depth, then take random walks."""
     seen, depth = search(states)
+    click.echo('3 voters, 2 seekers, 1 task: %d states, complete to depth %d; no violation' % (seen, depth))
+    results = [walk(number, steps) for number in range(seed, seed + walks)]
     click.echo(
-        '3 voters, 2 seekers, 1 task: %d states, whole to depth %d; no two hold, numbers rise' % (seen, depth)
-    )
-    made = [walk(number, steps) for number in range(seed, seed + walks)]
-    click.echo(
-        '%d walks, %d steps, %d leases: the same'
-        % (walks, sum(row[0] for row in made), sum(row[1] for row in made))
+        '%d walks, %d steps, %d leases: no violation'
+        % (walks, sum(row[0] for row in results), sum(row[1] for row in results))
     )
 
 
--- a/tests/plan/test_leases.py
+++ b/tests/plan/test_leases.py
@@ -15,7 +15,7 @@
     startup_silence,
 )
 from lilacdyke.plan.ledger import shorter
-from lilacdyke.plan.vote_check import TwoHold
+from lilacdyke.plan.vote_check import LeaseViolation
 
 LONG = 1_000
 
@@ -321,14 +321,16 @@
         seen, depth = vote_check.search(4_000)
         made = [vote_check.walk(seed, 5_000) for seed in range(60)]
         self.assertTrue(seen == 4_000 and depth >= 2)
-        self.assertGreater(sum(changes for _, changes in made), 200)  # otherwise the check is void
+        self.assertGreater(
+            sum(leases_granted for _, leases_granted in made), 200
+        )  # otherwise the check is void
 
     def walks_until_detected(self, kinds):
         """Return after how many walks the faulty variant is detected, or None."""
         for seed in range(200):
             try:
                 vote_check.walk(seed, 5_000, **kinds)
-            except TwoHold:
+            except LeaseViolation:
                 return seed + 1
         return None
 
