--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -1,12 +1,13 @@
-"""One process's lease for one task: links to all voters, and the seeker that they are for.
+"""One process's lease for one task: the connections to all voters and the Seeker that uses them.
 
-Owns those links. Must never hold anything up, nor say that it holds without looking at the time.
+Never blocks, and checks the clock whenever it is asked whether the lease is held.
 
     lease = Lease(reactor, deadlines, clock, fleet, 'name', chance, got, lost)
     lease.acquire(); lease.held(); lease.number; lease.release()
 
-got(number) is called once it holds; lost(number) before anybody else can, by the promise of leases.py, if this process runs at that time. Between look and
-act a process may stand still: who is acted on must refuse a number lower than one it has seen.
+got(number) is called when the lease is acquired. lost(number) is called before another process can acquire it,
+provided that this process is running at that time. A process may be suspended between checking and acting, so
+a resource must reject a number lower than one that it has seen (a fencing token).
 """
 
 import os
@@ -17,11 +18,11 @@
 from .leases import Seeker
 from .link import Speaker
 
-FIRST = 32  # waits between dials begin at this part of a lease, and end at one
+BACKOFF_PARTS = 32  # reconnection backoff doubles from 2 / BACKOFF_PARTS of a lease up to one lease
 
 
 class ToVoter(Speaker, Outgoing):
-    """The link to one voter."""
+    """The connection to one voter."""
 
     heard = {VOTE: 'voted', FREE: 'free'}
 
@@ -36,7 +37,7 @@
         self.lease.free(fields['task'])
 
     def count_bad(self):
-        """It is logged, and the link ends."""
+        """Count nothing; the caller logs the frame and closes the connection."""
 
     def connectionLost(self, reason=None):
         self.ended = True
@@ -44,7 +45,7 @@
 
 
 class Lease:
-    """See above. fleet: the fleet file, with tasks."""
+    """The lease, as described above. fleet: the settings of the fleet file, with its tasks."""
 
     def __init__(self, reactor, deadlines, clock, fleet, task, chance, got, lost):
         self.reactor, self.deadlines, self.clock, self.chance, self.do_got, self.do_lost = (
@@ -62,34 +63,34 @@
         self.seeker = Seeker(
             clock(), task, '%s-%s' % (task, os.urandom(8).hex()), fleet.voters, self.span, chance
         )
-        self.links, self.failures, self.pulling = {}, dict.fromkeys(self.addresses, 0), False
+        self.links, self.failures, self.deciding = {}, dict.fromkeys(self.addresses, 0), False
         for name in self.addresses:
             self.dial(name)
 
-    # --- for who holds ----------------------------------------------------------------------------------
+    # --- interface --------------------------------------------------------------------------------------
 
     def acquire(self):
-        """It is wanted from now on."""
+        """Start to acquire the lease."""
         self.seeker.want(self.clock())
-        self.settle()
+        self.run_decisions()
 
     def held(self):
-        """Whether this process holds it now."""
+        """Return whether this process holds the lease now."""
         return self.seeker.held(self.clock())
 
     def left(self):
-        """Ticks for which it is held yet; 0 or less: not."""
+        """Return the remaining ticks of the lease; 0 or less if it is not held."""
         return 0 if self.seeker.until is None else self.seeker.until - self.clock()
 
     @property
     def number(self):
-        """The number of the lease that it has, or had last; None: none yet."""
+        """The number of the current lease, or of the last one held; None before the first."""
         return self.seeker.number
 
     def release(self):
-        """Give it back: nothing is held from here on."""
+        """Give the lease up; it counts as not held at once."""
         self.seeker.release(self.clock())
-        self.settle()
+        self.run_decisions()
 
     # --- links ------------------------------------------------------------------------------------------
 
@@ -101,42 +102,42 @@
         self.deadlines.at(self.clock() + self.span, self.not_up, link)
 
     def not_up(self, link):
-        """Guards against a voter whose machine says nothing."""
+        """Cancel a connection attempt that the voter's host does not answer."""
         if self.links.get(link.name) is link and link.transport is None:
             link.up.cancel()
 
     def link_up(self, link):
         self.failures[link.name] = 0
-        self.free(self.seeker.task)  # one more who may say yes
+        self.free(self.seeker.task)  # retry at once: one more voter may accept
 
     def link_lost(self, link):
         if self.links.get(link.name) is link:
             del self.links[link.name]
             self.failures[link.name] = min(5, self.failures[link.name] + 1)
-            wait = min(self.span, (self.span << self.failures[link.name]) // FIRST)
+            wait = min(self.span, (self.span << self.failures[link.name]) // BACKOFF_PARTS)
             self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance())), self.dial, link.name)
 
     def voted(self, name, answer):
         self.seeker.told(self.clock(), name, answer)
-        self.settle()
+        self.run_decisions()
 
     def free(self, task):
         if task == self.seeker.task:
             self.seeker.free(self.clock())
-            self.settle()
+            self.run_decisions()
 
     # --- decisions --------------------------------------------------------------------------------------
 
-    def settle(self):
-        """Pull what there is to do."""
-        if self.pulling:
-            return  # the pull that this came out of goes on
-        self.pulling = True
+    def run_decisions(self):
+        """Carry out all pending decisions of the seeker."""
+        if self.deciding:
+            return  # the outer call continues the loop
+        self.deciding = True
         try:
             while decision := self.seeker.decide(self.clock()):
                 getattr(self, 'do_' + decision[0])(*decision[1:])
         finally:
-            self.pulling = False
+            self.deciding = False
 
     def do_send(self, voter, message):
         link = self.links.get(voter)
@@ -147,4 +148,4 @@
         self.deadlines.at(when, self.woken, 0)
 
     def woken(self, _):
-        self.settle()
+        self.run_decisions()
