--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -1,11 +1,11 @@
-"""`lilacdyke task`: leases for staff's commands, and what holds them.
+"""`lilacdyke task`: run operators' commands under a lease, and inspect leases and voters.
 
-Owns the command that runs while the lease is held, and the words on the command line. Must never let a
-command go on once the lease may be another's: it is ended within the time that is left.
+A command runs only while the lease is held: if it cannot be renewed, the command is terminated before another
+process can acquire the lease.
 
-Exit codes of `hold`: the command's own, if it ended while the lease was held (128 and a signal's number, if
-that ended it); 70 the lease could not be kept and SIGTERM ended the command; 71 it took SIGKILL; 75 the lease
-was not to be had in the time given; 2 wrong words.
+Exit codes of `hold`: the command's own if it exits while the lease is held (128 plus the signal's number if a
+signal ended it); 70 if the lease could not be renewed and SIGTERM ended the command; 71 if that took SIGKILL;
+75 if the lease was not acquired in the given time; 2 for invalid arguments.
 """
 
 import os
@@ -28,91 +28,93 @@
 from .sites import Name
 from .staff import asked_of, fleet_file, wrong
 
-ENDED, KILLED, NOT_HAD = 70, 71, 75
-TERM_AT, KILL_AT = 4, 12  # parts of a lease that are left as the command is asked to end, and killed
-LOOK = 50  # times in a second that the command is looked at
-NUMBER = 'LILACDYKE_TASK_NUMBER'  # in the command's environment
+LEASE_LOST_TERM, LEASE_LOST_KILL, NOT_ACQUIRED = 70, 71, 75
+TERM_PARTS, KILL_PARTS = 4, 12  # SIGTERM and SIGKILL are sent with 1 / PARTS of the lease left
+POLLS_PER_S = 50
+NUMBER_VARIABLE = 'LILACDYKE_TASK_NUMBER'  # in the command's environment
 
 
 class Holding:
-    """One process that seeks a task, and runs a command while it holds."""
+    """Acquires the lease of a task and runs a command while it is held."""
 
     def __init__(self, fleet, task, command, wait, reactor):
         self.command, self.reactor = command, reactor
         self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
-        self.task, self.popen, self.code, self.asked = task, None, None, False
+        self.task, self.popen, self.code, self.term_sent = task, None, None, False
         self.lease = Lease(reactor, self.deadlines, self.clock, fleet, task, self.chance, self.got, self.lost)
         if wait is not None:
-            self.deadlines.at(self.clock() + down(wait), self.not_had, 0)
+            self.deadlines.at(self.clock() + down(wait), self.wait_expired, 0)
         self.lease.acquire()
 
     def clock(self):
         return int((System.elapsed() - self.zero) * SECOND)
 
     def got(self, number):
-        """Run the command, unless the time is up already."""
-        say('held', task=self.task, number=number)
+        """Start the command, unless the lease has expired already."""
+        say('lease acquired', task=self.task, number=number)
         if self.popen is None and self.code is None and self.lease.held():
             try:
                 self.popen = subprocess.Popen(
-                    self.command, env=dict(os.environ, **{NUMBER: str(number)}), start_new_session=True
+                    self.command,
+                    env=dict(os.environ, **{NUMBER_VARIABLE: str(number)}),
+                    start_new_session=True,
                 )
             except OSError as err:
-                warn('cannot run', reason=err)
-                return self.over(2)
-            self.look(0)
+                warn('cannot run the command', reason=err)
+                return self.finish(2)
+            self.poll_command(0)
 
     def lost(self, number):
-        """The lease is over, or given back."""
-        say('not held', task=self.task, number=number)
+        """Kill the command: the lease has expired or was released."""
+        say('lease ended', task=self.task, number=number)
         if self.popen is not None and self.code is None:
-            self.end(KILLED)
+            self.kill(LEASE_LOST_KILL)
 
-    def look(self, _):
-        """Whether the command has ended, or must."""
+    def poll_command(self, _):
+        """Check whether the command has exited, or must be terminated as the lease runs out."""
         if self.code is not None:
             return
-        ended = self.popen.poll()
-        if ended is not None:
-            return self.over(ENDED if self.asked else ended if ended >= 0 else 128 - ended)
+        status = self.popen.poll()
+        if status is not None:
+            return self.finish(LEASE_LOST_TERM if self.term_sent else status if status >= 0 else 128 - status)
         left, span = self.lease.left(), self.lease.span
-        if left < span // KILL_AT:
-            return self.end(KILLED)
-        if left < span // TERM_AT and not self.asked:
-            self.asked = True
-            warn('cannot be kept', task=self.task, number=self.lease.number)
+        if left < span // KILL_PARTS:
+            return self.kill(LEASE_LOST_KILL)
+        if left < span // TERM_PARTS and not self.term_sent:
+            self.term_sent = True
+            warn('lease is expiring, terminating the command', task=self.task, number=self.lease.number)
             self.signal(signal.SIGTERM)
-        self.deadlines.at(self.clock() + SECOND // LOOK, self.look, 0)
+        self.deadlines.at(self.clock() + SECOND // POLLS_PER_S, self.poll_command, 0)
 
     def signal(self, number):
-        """The command and all that it started."""
+        """Send a signal to the command's process group."""
         with suppress(ProcessLookupError):
             os.killpg(self.popen.pid, number)
 
-    def end(self, code):
-        """There is no time left."""
+    def kill(self, code):
+        """Kill the command's process group and finish with this exit code."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
-        self.over(code)
+        self.finish(code)
 
-    def not_had(self, _):
+    def wait_expired(self, _):
         if self.popen is None:
-            self.over(NOT_HAD)
+            self.finish(NOT_ACQUIRED)
 
     def stop(self):
-        """Somebody ends this process: the command first, then the lease is given back."""
+        """Handle a request to stop: terminate the command first, then release the lease."""
         if self.popen is None:
-            self.over(NOT_HAD)
+            self.finish(NOT_ACQUIRED)
         elif self.code is None:
             self.signal(signal.SIGTERM)
 
-    def over(self, code):
-        """Give back what is held, and exit once that has been said."""
+    def finish(self, code):
+        """Release the lease and exit with this code once the release has been sent."""
         if self.code is None:
             self.code = code
             if self.popen is not None:
-                self.signal(signal.SIGKILL)  # what the command left behind
+                self.signal(signal.SIGKILL)  # processes that the command left behind
             self.lease.release()
             self.reactor.callLater(0.05, self.reactor.stop)
 
@@ -123,7 +125,7 @@
 
 
 def read(path):
-    """The fleet file, if it is on and has tasks; else one line and exit 2."""
+    """Return the fleet file's settings. Exit with status 2 unless it is enabled and has tasks."""
     if not fleet_file(path).enabled:
         wrong(path, 'enabled: is false')
     return fleet_file(path, 'tasks')
@@ -133,43 +135,43 @@
 @click.argument('name')
 @click.argument('command', nargs=-1, required=True, type=click.UNPROCESSED)
 @click.option('--file', 'path', type=click.Path(), required=True, help='The fleet file.')
-@click.option('--wait', type=click.FloatRange(0), help='Seconds to try for the lease; by default for ever.')
+@click.option('--wait', type=click.FloatRange(0), help='Seconds to wait for the lease; default: no limit.')
 def hold(name, command, path, wait):
-    """Run a command while this process holds a task; its number is in LILACDYKE_TASK_NUMBER."""
+    """Run a command while holding a task's lease; LILACDYKE_TASK_NUMBER has its number."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
     try:
         msgspec.convert(name, Name)
     except msgspec.ValidationError:
-        wrong('task', 'no name: %.60r' % name)
-    told = read(path)
+        wrong('task', 'invalid name: %.60r' % name)
+    fleet = read(path)
     begin('info')
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
-    holding = Holding(told, name, command, wait, reactor)
+    holding = Holding(fleet, name, command, wait, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(holding.stop))
     reactor.run(installSignalHandlers=False)
-    sys.exit(holding.code if holding.code is not None else NOT_HAD)
+    sys.exit(holding.code if holding.code is not None else NOT_ACQUIRED)
 
 
 @task.command('list')
 @click.option('--file', 'path', type=click.Path(), required=True, help='The fleet file.')
 def list_(path):
-    """Holders, numbers, time left, and voters."""
-    told, seen, voting = read(path), {}, []
-    for row in told.planner:
+    """List voters, lease holders, lease numbers and the time left."""
+    fleet, seen, voting = read(path), {}, []
+    for row in fleet.planner:
         found = asked_of(row)
-        if found is None or row.name not in told.voters:
+        if found is None or row.name not in fleet.voters:
             continue
         voting.append('%s %s' % (row.name, 'votes' if found['votes'] else 'does not vote'))
         for name, life, number, left in found['tasks']:
             seen.setdefault((name, life), []).append((number, left))
-    click.echo('voters: %s; %d of %d answer' % (', '.join(voting) or 'none', len(voting), len(told.voters)))
+    click.echo('voters: %s; %d of %d answer' % (', '.join(voting) or 'none', len(voting), len(fleet.voters)))
     for (name, life), rows in sorted(seen.items()):
-        held = len(rows) > len(told.voters) // 2 and any(number is not None for number, _ in rows)
+        held = len(rows) > len(fleet.voters) // 2 and any(number is not None for number, _ in rows)
         click.echo(
             '%-24s %-8s number %-8s %5.1f s left  %s'
             % (
@@ -180,36 +182,36 @@
                 life,
             )
         )
-    sys.exit(0 if 2 * len(voting) > len(told.voters) else 1)
+    sys.exit(0 if 2 * len(voting) > len(fleet.voters) else 1)
 
 
 @task.command()
 @click.option('--file', 'path', type=click.Path(), required=True, help='The fleet file.')
-@click.option('--name', required=True, help='Which planner this is.')
+@click.option('--name', required=True, help='Name of this planner.')
 @click.option(
     '--above',
     type=click.IntRange(0),
     default=0,
     show_default=True,
-    help='All numbers given before, where its old file is lost.',
+    help='A number above all issued before, if the old file is lost.',
 )
 def voter(path, name, above):
-    """Make a voter's file of numbers, once, where that planner runs."""
-    told = read(path)
-    book = Book(told.tasks.folder, name)
-    if name not in told.voters or os.path.exists(book.path):
+    """Create the voter's number file, once, on the planner's host."""
+    fleet = read(path)
+    book = Book(fleet.tasks.folder, name)
+    if name not in fleet.voters or os.path.exists(book.path):
         click.echo(
             'lilacdyke: %s'
             % (
-                '%s: is there already' % book.path
-                if name in told.voters
+                '%s: exists already' % book.path
+                if name in fleet.voters
                 else '%s: tasks: no voter %s' % (path, name)
             ),
             err=True,
         )
         sys.exit(2)
     try:
-        book.write(above, told.voters, told.task_lease)
+        book.write(above, fleet.voters, fleet.task_lease)
     except OSError as err:
         click.echo('lilacdyke: %s: %s' % (book.path, err.strerror), err=True)
         sys.exit(2)
