--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -1,7 +1,6 @@
-"""What a voter keeps beyond its own life: a bound on the numbers that it has noted, and who the voters were.
+"""The state that a voter persists: an upper bound on the lease numbers it recorded, and the voters.
 
-Owns one small file. Must never lose what it said was kept, nor take a file that it cannot read for an empty
-one.
+A write that succeeded survives a crash, and an unreadable file is never treated as an empty one.
 """
 
 import json
@@ -13,23 +12,30 @@
 
 
 class BookUnreadableError(BadLine):
-    """The file cannot be read now, which says nothing of what is in it."""
+    """The file cannot be read now, because of an I/O error rather than its contents."""
 
 
 class Book:
-    """One voter's file: {version, bound, voters, lease}. lease: the longest that it may have promised, ticks.
-    A change is written beside it, forced to the disk, and put in its place by one call to the system."""
+    """One voter's file: {version, bound, voters, lease}. lease: the longest it may have promised, in ticks.
+
+    A new version is written to a temporary file, synced, and renamed into place.
+    """
 
     def __init__(self, folder, name):
         self.folder, self.path = folder, os.path.join(folder, name + '.numbers')
         self.bound, self.voters, self.lease = None, None, 0
 
     def read(self):
-        """What was kept last. A BadLine says why there is nothing to go by: the voter must not vote."""
+        """Load the file and return self. Raise BadLine if it is missing or invalid: the voter must not vote."""
         try:
             with open(self.path, encoding='utf-8') as file:
-                told = json.load(file)
-            version, bound, voters, lease = told['version'], told['bound'], told['voters'], told['lease']
+                content = json.load(file)
+            version, bound, voters, lease = (
+                content['version'],
+                content['bound'],
+                content['voters'],
+                content['lease'],
+            )
             if (
                 version != VERSION
                 or type(bound) is not int
@@ -38,9 +44,9 @@
                 or lease < 0
                 or not all(type(name) is str for name in voters)
             ):
-                raise ValueError('no book of version %d' % VERSION)
+                raise ValueError('not a voter file of version %d' % VERSION)
         except FileNotFoundError:
-            raise BadLine('%s: there is none: lilacdyke task voter makes one' % self.path) from None
+            raise BadLine('%s: does not exist; create it with lilacdyke task voter' % self.path) from None
         except OSError as err:
             raise BookUnreadableError('%s: %s' % (self.path, err.strerror)) from None
         except (ValueError, KeyError, TypeError) as err:
@@ -49,7 +55,7 @@
         return self
 
     def write(self, bound, voters, lease):
-        """Keep this from now on, also through a crash of the machine. An OSError: it is not kept."""
+        """Store this durably, so that it survives a crash of the machine. Raise OSError if that fails."""
         new = self.path + '.new'
         with open(new, 'w', encoding='utf-8') as file:
             json.dump({'version': VERSION, 'bound': bound, 'voters': voters, 'lease': lease}, file)
@@ -65,6 +71,6 @@
 
 
 def step(before, after):
-    """Whether any majority of the one and any of the other have a voter in common, whoever goes by which: one
-    voter more, or one less, at a time."""
+    """Return whether two lists of voters differ by at most one voter, so that any majority of one shares a
+    voter with any majority of the other."""
     return len(set(before) ^ set(after)) <= 1
--- a/tests/plan/test_book.py
+++ b/tests/plan/test_book.py
@@ -1,4 +1,4 @@
-"""A voter's file of numbers on a disk that fails for a moment."""
+"""A voter's number file on a disk with a transient error."""
 
 import errno
 import tempfile
@@ -24,19 +24,19 @@
 }
 
 
-class TransientDisk(unittest.TestCase):
-    def test_a_voter_whose_file_cannot_be_read_at_its_start_votes_once_it_can(self):
+class TransientDiskErrorTests(unittest.TestCase):
+    def test_voter_votes_once_a_file_unreadable_at_start_can_be_read(self):
         with tempfile.TemporaryDirectory() as folder:
-            told = {**FLEET, 'tasks': {'folder': folder, 'lease_s': 1.0, 'voters': ['p0']}}
-            fleet = limits.check(limits.msgspec.convert(told, limits.Fleet))
+            settings = {**FLEET, 'tasks': {'folder': folder, 'lease_s': 1.0, 'voters': ['p0']}}
+            fleet = limits.check(limits.msgspec.convert(settings, limits.Fleet))
             Book(folder, 'p0').write(5, ['p0'], fleet.task_lease)
             reactor = MemoryReactorClock()
             with mock.patch('builtins.open', side_effect=OSError(errno.EIO, 'injected')):
-                office = process.Office(fleet, 0, reactor, Machine(reactor))
+                planner = process.Office(fleet, 0, reactor, Machine(reactor))
                 reactor.advance(0.2)
-            self.assertIsNone(office.voter)
+            self.assertIsNone(planner.voter)
             reactor.advance(0.5)
-            self.assertEqual(office.voter.bound, 5)
+            self.assertEqual(planner.voter.bound, 5)
 
 
 if __name__ == '__main__':
