--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -26,7 +26,8 @@
         self.bound, self.voters, self.lease = None, None, 0
 
     def read(self):
-        """Load the file and return self. Raise BadLine if it is missing or invalid: the voter must not vote."""
+        """Load the file and return self. Raise BadLine if it is missing or invalid: then the voter must
+        not vote."""
         try:
             with open(self.path, encoding='utf-8') as file:
                 content = json.load(file)
