--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -1,61 +1,67 @@
-"""A forwarder's side of verdicts: what it has seen of servers lately, and which of the fleet's verdicts act
-here. Pure.
+"""A forwarder's side of the fleet's verdicts on servers: its own evidence, and the verdicts in effect here.
+Free of I/O.
 
-Owns one forwarder's evidence (Seen) and what it was told (Belief). Must never let a verdict act beyond its
-span, against newer evidence of this forwarder's own, or on more servers than stated; nor name a server for a
-request: what follows of a verdict is a word that the module reads (known.NO_WORD), within its own rules.
+A verdict has no effect beyond its span, against newer evidence of this forwarder's own, or on more servers
+than the limits below allow. It never selects a server for a request; it only sets bounds on the server's
+share of requests (known.NO_WORD has none), which the routing module applies within its own rules.
 
-Times are whole ticks of the caller's own clock. A server is told apart by (name, start), the start as lists
-have it, so that what was seen of one that has been restarted or replaced says nothing of its successor.
+Times are integer ticks of the caller's own clock. A server is identified by (name, start time in discovery's
+list), so that evidence on a server that was restarted or replaced does not count for its successor.
 """
 
 from .ledger import longer, shorter
 
-BINS, UNIT = 12, 10  # of answer times: an octave each, the first up to a millisecond
-SERVERS = 1_024  # in one report
-VERDICTS = 128  # in one plan
+BINS, BIN_UNIT = 12, 10  # bins of answer times: the first ends at BIN_UNIT ticks, each further one doubles
+SERVERS = 1_024  # per report
+VERDICTS = 128  # per plan
 WELL, SLOW, FAILING, SILENT, FULL = 'well', 'slow', 'failing', 'silent', 'full'
 KINDS = (WELL, SLOW, FAILING, SILENT, FULL)
 FIELDS = ('sent', 'well', 'failed', 'silent', 'refused')
-HARM_SITE, HARM = 0.25, 0.2  # parts of a site's servers, and of all, that verdicts may hold down at once
-LEFT = {
-    SILENT: 1 / 32,
-    FAILING: 1 / 32,
-    FULL: 0.5,
-}  # of its turns that a server keeps, at full weight; a slow one as it is slower
-BACK = 0.5  # of its turns that one has at least that is well again
+HARM_SITE, HARM = 0.25, 0.2  # share of a site's servers, and of all, that verdicts may restrain at once
+# Share of its usual requests that a server keeps under a verdict of full weight; a slow one keeps 1 / factor.
+LEFT = {SILENT: 1 / 32, FAILING: 1 / 32, FULL: 0.5}
+BACK = 0.5  # least share of its usual requests for a recovered server
 
 
 class Row:
-    """What was seen of one server in a spell: counts, answer times, when it last answered well and soon
-    (fine), when it last did not (foul), when it last answered well at all (heard); and how many hops on end
-    were silent or failed (run), up to the newest."""
+    """Evidence on one server within a time window.
 
-    __slots__ = (*FIELDS, 'times', 'fine', 'foul', 'heard', 'run')
+    Counts of hops by result; a histogram of answer times; the times of the last good and quick answer
+    (last_good), of the last hop without one (last_bad) and of the last good answer of any duration
+    (last_answer); and the number of consecutive silent or failed hops up to the newest (bad_run).
+    """
+
+    __slots__ = (*FIELDS, 'times', 'last_good', 'last_bad', 'last_answer', 'bad_run')
 
     def __init__(self):
         self.sent = self.well = self.failed = self.silent = self.refused = 0
-        self.times, self.fine, self.foul, self.heard, self.run = [0] * BINS, None, None, None, 0
+        self.times, self.last_good, self.last_bad, self.last_answer, self.bad_run = (
+            [0] * BINS,
+            None,
+            None,
+            None,
+            0,
+        )
 
     def add(self, other):
-        """Both together."""
+        """Add another row to this one and return self."""
         for name in FIELDS:
             setattr(self, name, getattr(self, name) + getattr(other, name))
         self.times = [mine + more for mine, more in zip(self.times, other.times)]
-        self.fine, self.foul, self.heard = (
-            later(self.fine, other.fine),
-            later(self.foul, other.foul),
-            later(self.heard, other.heard),
+        self.last_good, self.last_bad, self.last_answer = (
+            later(self.last_good, other.last_good),
+            later(self.last_bad, other.last_bad),
+            later(self.last_answer, other.last_answer),
         )
         return self
 
     @property
     def newest(self):
-        return later(self.fine, self.foul)
+        return later(self.last_good, self.last_bad)
 
     @property
-    def middle(self):
-        """The bin of the middle answer time, or None."""
+    def median(self):
+        """The bin of the median answer time, or None."""
         left = (sum(self.times) + 1) // 2
         for index, count in enumerate(self.times):
             left -= count
@@ -65,31 +71,31 @@
 
 
 def later(one, other):
-    """The later of two times, either of which may be None."""
+    """Return the later of two times, either of which may be None."""
     return other if one is None else one if other is None else max(one, other)
 
 
 class Seen:
-    """One forwarder's own evidence, of two spells: the present one and the one before. late: from when on an
-    answer is slow."""
+    """One forwarder's own evidence over two time windows, the current and the previous one. late: the
+    duration from which an answer counts as slow."""
 
-    __slots__ = ('span', 'late', 'rows', 'before', 'since', 'runs')
+    __slots__ = ('window', 'late', 'rows', 'previous', 'since', 'bad_runs')
 
     def __init__(self, now, span, late=1 << 40):
-        self.span, self.late = span // 4, late  # span: of a spell
-        self.rows, self.before, self.since = {}, {}, now
-        self.runs = {}  # by server: how many hops on end have been bad
-
-    def turn(self, now):
-        """Old spells end."""
-        if now >= self.since + 2 * self.span:
-            self.rows, self.before, self.since = {}, {}, now
-        elif now >= self.since + self.span:
-            self.rows, self.before, self.since = {}, self.rows, now
-
-    def ended(self, now, server, how, lasted):
-        """A hop to a server has ended: well, failed, silent or refused, after so long."""
-        self.turn(now)
+        self.window, self.late = span // 4, late
+        self.rows, self.previous, self.since = {}, {}, now
+        self.bad_runs = {}  # by server: consecutive silent or failed hops
+
+    def rotate(self, now):
+        """Drop windows that have ended."""
+        if now >= self.since + 2 * self.window:
+            self.rows, self.previous, self.since = {}, {}, now
+        elif now >= self.since + self.window:
+            self.rows, self.previous, self.since = {}, self.rows, now
+
+    def ended(self, now, server, how, duration):
+        """Record the end of a hop to a server. how: 'well', 'failed', 'silent' or 'refused'."""
+        self.rotate(now)
         row = self.rows.get(server)
         if row is None:
             if len(self.rows) >= SERVERS:
@@ -97,139 +103,147 @@
             row = self.rows[server] = Row()
         row.sent += 1
         setattr(row, how, getattr(row, how) + 1)
-        if how != 'well' or lasted >= self.late:
-            row.foul = now
+        if how != 'well' or duration >= self.late:
+            row.last_bad = now
         else:
-            row.fine = now
-        self.runs[server] = self.runs.get(server, 0) + 1 if how in ('silent', 'failed') else 0
+            row.last_good = now
+        self.bad_runs[server] = self.bad_runs.get(server, 0) + 1 if how in ('silent', 'failed') else 0
         if how == 'well':
-            row.heard = now
-            row.times[min(BINS - 1, (lasted // UNIT).bit_length())] += 1
-            # Who answers is not silent any more: that is news as soon as its silence was.
-            for rows in (self.rows, self.before):
+            row.last_answer = now
+            row.times[min(BINS - 1, (duration // BIN_UNIT).bit_length())] += 1
+            # An answer cancels earlier silence at once, so that recovery is noticed as fast as an outage.
+            for rows in (self.rows, self.previous):
                 if server in rows:
                     rows[server].sent, rows[server].silent = rows[server].sent - rows[server].silent, 0
 
     def report(self, now):
-        """All that was seen in both spells, by server, as plain values: counts, times, the ages of the last
-        answer that was good, of the last hop that was not, and of the last answer (None: none), and how many
-        hops on end were bad. Told whole: a report that is lost, doubled or late changes nothing of what the
-        next one says."""
-        self.turn(now)
+        """Return the evidence of both windows by server as plain values: counts, answer times, the ages of
+        the last good answer, the last bad hop and the last answer (None: there was none), and the number of
+        consecutive bad hops. Each report is complete, so that a lost, duplicated or late one has no effect
+        on the next."""
+        self.rotate(now)
         told = {}
-        for server in list(dict.fromkeys([*self.rows, *self.before]))[:SERVERS]:
+        for server in list(dict.fromkeys([*self.rows, *self.previous]))[:SERVERS]:
             row = Row()
-            for rows in (self.rows, self.before):
+            for rows in (self.rows, self.previous):
                 if server in rows:
                     row.add(rows[server])
             told[server] = [
                 *(getattr(row, name) for name in FIELDS),
                 list(row.times),
-                *(None if when is None else now - when for when in (row.fine, row.foul, row.heard)),
-                self.runs.get(server, 0),
+                *(
+                    None if when is None else now - when
+                    for when in (row.last_good, row.last_bad, row.last_answer)
+                ),
+                self.bad_runs.get(server, 0),
             ]
-        self.runs = {server: count for server, count in self.runs.items() if server in told}
+        self.bad_runs = {server: count for server, count in self.bad_runs.items() if server in told}
         return told
 
 
-class Held:
-    """One verdict as it was told here: newest, when its newest evidence was seen, at the earliest."""
+class ReceivedVerdict:
+    """A verdict received from a planner. newest: the earliest time at which its newest evidence may have been
+    seen. way: whether it concerns only the path from this site."""
 
-    __slots__ = ('newest', 'kind', 'factor', 'took', 'witnesses', 'sites', 'weight', 'way')
+    __slots__ = ('newest', 'kind', 'factor', 'answer_time', 'witnesses', 'sites', 'weight', 'way')
 
-    def __init__(self, newest, kind, factor, took, witnesses, sites, weight, way):
-        self.newest, self.kind, self.factor, self.took = newest, kind, factor, took
+    def __init__(self, newest, kind, factor, answer_time, witnesses, sites, weight, way):
+        self.newest, self.kind, self.factor, self.answer_time = newest, kind, factor, answer_time
         self.witnesses, self.sites, self.weight, self.way = witnesses, sites, weight, way
 
     @property
-    def harsh(self):
+    def negative(self):
         return self.kind != WELL
 
-    def sure(self):
-        """The surest first: on the server before on a way to it, more sites, more forwarders, more weight."""
+    def certainty_key(self):
+        """Return a sort key, the most certain verdict first: on the server itself rather than on the path to
+        it, then by more sites, more forwarders, more weight."""
         return self.way, -self.sites, -self.witnesses, -self.weight
 
     def word(self, until, weight):
-        """What the module reads: until when, the least and the most of the server's turns, the wait to
-        expect."""
+        """Return what the routing module reads: (expiry, least and greatest share of the server's usual
+        requests, expected wait)."""
         if self.kind == WELL:
             return until, BACK * weight, 1, 0
         left = 1 / max(1.0, self.factor) if self.kind == SLOW else LEFT[self.kind]
-        return until, 0, left**weight, int(self.took * weight) if self.kind == SLOW else 0
+        return until, 0, left**weight, int(self.answer_time * weight) if self.kind == SLOW else 0
 
 
 class Belief:
-    """Which verdicts a forwarder may act on, and how much. Where it has fresh evidence of its own, that
-    decides."""
+    """The verdicts that a forwarder may act on. Its own newer evidence takes precedence."""
 
-    __slots__ = ('span', 'held', 'good', 'bad', 'late')
+    __slots__ = ('span', 'received', 'good_at', 'bad_at', 'late')
 
     def __init__(self, span, chance, late=0):
-        # Not all go back to their own view at once: guards against a fleet that turns as one when its
-        # planners are gone.
+        # Randomized, so that not all forwarders return to their own view at once when the planners are gone.
         self.span = int(shorter(span) * (0.75 + 0.25 * chance()))
-        self.late = late  # what answers must take for a slow server to be any trouble
-        self.held, self.good, self.bad = (
-            {},
-            {},
-            {},
-        )  # by server: what was told; when it last did well here, and badly
+        self.late = late  # slow servers that answer sooner than this are left alone
+        # By server: the verdict received; when a hop from here last went well, and badly.
+        self.received, self.good_at, self.bad_at = {}, {}, {}
 
     def saw(self, now, server, well):
-        """This forwarder's own: a server did well, or badly."""
-        seen = self.good if well else self.bad
+        """Record this forwarder's own evidence: a hop to a server went well, or badly."""
+        seen = self.good_at if well else self.bad_at
         seen.pop(server, None)
         seen[server] = now
         if len(seen) > SERVERS:
             del seen[next(iter(seen))]
 
     def planned(self, asked, rows):
-        """Verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one with the
-        newer evidence counts."""
-        for name, started, kind, factor, took, witnesses, sites, age, weight, way in rows[:VERDICTS]:
+        """Store the verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one
+        with the newer evidence counts."""
+        for name, started, kind, factor, answer_time, witnesses, sites, age, weight, way in rows[:VERDICTS]:
             newest, server = asked - longer(age), (name, started)
-            had = self.held.get(server)
-            if had is None or newest > had.newest:
-                self.held[server] = Held(newest, kind, factor, took, witnesses, sites, weight, way)
-        while len(self.held) > SERVERS:
-            del self.held[next(iter(self.held))]
-
-    def acts(self, now, server):
-        """The verdict that may act on a server now, or None: none, one that is too old, or own evidence as
-        new that says otherwise."""
-        had = self.held.get(server)
-        if had is None:
+            verdict = self.received.get(server)
+            if verdict is None or newest > verdict.newest:
+                self.received[server] = ReceivedVerdict(
+                    newest, kind, factor, answer_time, witnesses, sites, weight, way
+                )
+        while len(self.received) > SERVERS:
+            del self.received[next(iter(self.received))]
+
+    def in_effect(self, now, server):
+        """Return the verdict in effect on a server, or None if there is none, it is too old, or own evidence
+        that is as new contradicts it."""
+        verdict = self.received.get(server)
+        if verdict is None:
             return None
-        if now >= had.newest + self.span:
-            del self.held[server]
+        if now >= verdict.newest + self.span:
+            del self.received[server]
             return None
-        own = (self.good if had.harsh else self.bad).get(server)
+        own = (self.good_at if verdict.negative else self.bad_at).get(server)
         return (
             None
-            if own is not None and own >= had.newest or had.kind == SLOW and had.took < self.late
-            else had
+            if own is not None
+            and own >= verdict.newest
+            or verdict.kind == SLOW
+            and verdict.answer_time < self.late
+            else verdict
         )
 
     def words(self, now, servers):
-        """{server: (verdict, word)} of those that act. servers: {server: site}, all of this forwarder's list:
-        no more of them are held down than stated, of each site and in all, whoever said what; the least
-        certain give way."""
-        acting = [
-            (server, had)
-            for server in list(self.held)
-            if server in servers and (had := self.acts(now, server)) is not None
+        """Return {server: (verdict, word)} of the verdicts in effect. servers: {server: site} of this
+        forwarder's whole list. Where the limits HARM_SITE and HARM are reached, the most certain verdicts
+        take precedence."""
+        active = [
+            (server, verdict)
+            for server in list(self.received)
+            if server in servers and (verdict := self.in_effect(now, server)) is not None
         ]
-        sizes, down, found = {}, {}, {}
+        sizes, restrained, found = {}, {}, {}
         for site in servers.values():
             sizes[site] = sizes.get(site, 0) + 1
-        for server, had in sorted(acting, key=lambda pair: (pair[1].sure(), pair[0])):
+        for server, verdict in sorted(active, key=lambda pair: (pair[1].certainty_key(), pair[0])):
             site = servers[server]
-            if had.harsh:
-                if sum(down.values()) + 1 > HARM * len(servers) or down.get(site, 0) + 1 > max(
+            if verdict.negative:
+                if sum(restrained.values()) + 1 > HARM * len(servers) or restrained.get(site, 0) + 1 > max(
                     1, HARM_SITE * sizes[site]
                 ):
                     continue
-                down[site] = down.get(site, 0) + 1
-            until = had.newest + self.span
-            found[server] = had, had.word(until, had.weight * min(1.0, 2 * (until - now) / self.span))
+                restrained[site] = restrained.get(site, 0) + 1
+            until = verdict.newest + self.span
+            found[server] = (
+                verdict,
+                verdict.word(until, verdict.weight * min(1.0, 2 * (until - now) / self.span)),
+            )
         return found
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -1,30 +1,30 @@
-"""What forwarders saw of servers, put together by a planner: evidence in, verdicts out. Pure.
+"""A planner's verdicts on servers, derived from the evidence that forwarders report. Free of I/O and clocks.
 
-Owns the newest evidence of each seat (Sight) and what follows from all of it. Must never do I/O, read a
-clock, trust one forwarder alone, or make a verdict out of what everybody sees everywhere: that is load.
+No verdict rests on a single forwarder, and none is derived from what forwarders see of most servers at once,
+since that indicates load.
 
-Times are whole ticks of the caller's own clock; rates of clocks differ as in ledger.py. How a verdict's age
-holds without a common clock: a planner takes evidence for as old as it can be (the digest left no earlier
-than the plan that it echoes, and the time that that was held); a forwarder takes a plan for made when its own
-digest left, which it answers. Either errs to the early side, so a verdict ends no later than `span` after the
-newest thing that anybody saw of it.
+Times are integer ticks of the caller's own clock; clock rates may differ as stated in ledger.py. The age of
+a verdict is bounded without a common clock: a planner assumes that evidence is as old as it can be (a digest
+was sent no earlier than the plan that it echoes, plus the time for which that plan was held), and a forwarder
+assumes that a plan was made when the digest that it answers was sent. Both errors make evidence look older,
+so a verdict ends no later than `span` after its newest evidence was seen.
 """
 
-from .belief import BINS, FAILING, FIELDS, FULL, SERVERS, SILENT, SLOW, UNIT, VERDICTS, WELL, Row
+from .belief import BIN_UNIT, BINS, FAILING, FIELDS, FULL, SERVERS, SILENT, SLOW, VERDICTS, WELL, Row
 from .ledger import longer
 
-LEAST = 4  # hops in sum that a verdict stands on
-MOST = 8  # hops of one forwarder that count: the busiest, or one that makes them up, weighs no more
-BOTH = 2  # forwarders, and sites where there are two, that a verdict on a server needs
-BAD = 0.5  # share of hops unanswered, failed or refused that condemns; and of forwarders that must agree
-SLOWER = 2.0  # times the middle server's middle answer time
-TURNS = 3  # changes of mind within four spans from which a verdict weighs half
-WITNESSES = 4_096  # seats
-LOOKS = 24  # looks at all evidence, in a span
+MIN_HOPS = 4  # least number of hops for a verdict
+MAX_HOPS = 8  # hops of one forwarder that count, so that a busy or lying one cannot outweigh others
+BOTH = 2  # least number of forwarders, and of sites if there are several, for a verdict
+BAD_SHARE = 0.5  # share of hops that are silent, failed or refused from which a server is bad
+SLOW_FACTOR = 2.0  # a server is slow from this multiple of the median server's answer time
+FLAP_CHANGES = 3  # changes within four spans from which a verdict has half the weight
+MAX_SEATS = 4_096
+EVALUATIONS_PER_SPAN = 24
 
 
 class Witness:
-    """The newest evidence of one seat: by server, (life, number of the report, row)."""
+    """The newest evidence of one seat, by server: (life, number of the report, row)."""
 
     __slots__ = ('site', 'rows', 'life')
 
@@ -33,11 +33,14 @@
 
 
 class Verdict:
-    """What is held of a server: kind, how much slower, what its middle answer takes (ticks), by how many
-    forwarders of how many sites, when the newest evidence was seen, for which site alone it holds (None: for
-    all), and how much it weighs."""
+    """A verdict on a server.
 
-    __slots__ = ('server', 'kind', 'factor', 'took', 'witnesses', 'sites', 'newest', 'site', 'weight')
+    factor: how many times slower than usual. answer_time: the median, in ticks. witnesses, sites: how many
+    forwarders agree, of how many sites. newest: when the newest evidence was seen. site: the only site that
+    the verdict concerns, or None. weight: from 0 to 1.
+    """
+
+    __slots__ = ('server', 'kind', 'factor', 'answer_time', 'witnesses', 'sites', 'newest', 'site', 'weight')
 
     def __init__(self, server, kind, factor, agreeing, site):
         self.server, self.kind, self.factor, self.site, self.weight = server, kind, factor, site, 1.0
@@ -45,19 +48,19 @@
             len({seat for seat, _, _ in agreeing}),
             len({where for _, where, _ in agreeing}),
         )
-        whole = together(agreeing)
-        # Of a bad one the newest that was bad: own eyes that have seen better since decide. None: a slow one
-        # that is soon enough for all.
-        self.newest = whole.fine if kind == WELL else whole.foul
-        self.took = UNIT << whole.middle if whole.middle is not None else 0
+        total = merged(agreeing)
+        # For a negative verdict the newest bad hop, since a forwarder's own later good hops take precedence.
+        # None: a slow server that is still quick enough for all forwarders.
+        self.newest = total.last_good if kind == WELL else total.last_bad
+        self.answer_time = BIN_UNIT << total.median if total.median is not None else 0
 
     def plain(self, now):
-        """As a plan tells it, with its age."""
+        """Return the verdict as a row of a plan, with its age instead of a time."""
         return [
             *self.server,
             self.kind,
             self.factor,
-            self.took,
+            self.answer_time,
             self.witnesses,
             self.sites,
             now - self.newest,
@@ -67,71 +70,75 @@
 
 
 class Sight:
-    """A planner's: the newest evidence of each seat, and what follows. span: S."""
+    """The newest evidence of each seat and the verdicts that follow. span: how long evidence counts."""
 
-    __slots__ = ('span', 'witnesses', 'turns', 'last', 'looked', 'held')
+    __slots__ = ('span', 'witnesses', 'changes', 'last_kind', 'evaluated_at', 'current')
 
     def __init__(self, span):
         self.span, self.witnesses = span, {}
-        self.last, self.turns = {}, {}  # by server: what was held; when that changed lately
-        self.looked, self.held = None, {}  # when all was last looked at, and what followed
+        self.last_kind, self.changes = {}, {}  # by server: the last verdict's kind; when it changed recently
+        self.evaluated_at, self.current = None, {}  # the last evaluation and its verdicts
 
     # --- inputs -----------------------------------------------------------------------------------------
 
     def told(self, left, seat, site, life, seq, report):
-        """What a seat saw, or what of it has changed; it left at `left` at the earliest, by this clock. The
-        newest of a seat on a server is all that counts of it: told often, by two ways or under a second life
-        it counts once."""
+        """Store a seat's report, complete or with only its changed rows. left: the earliest time, by this
+        clock, at which it may have been sent. Only a seat's newest row on a server counts, however often, by
+        whatever path or under whichever life it is reported."""
         rows = {}
-        for server, (*counts, times, fine, foul, heard, run) in list(report.items())[:SERVERS]:
+        for server, (*counts, times, last_good, last_bad, last_answer, bad_run) in list(report.items())[
+            :SERVERS
+        ]:
             row = rows[server] = Row()
             for name, count in zip(FIELDS, counts):
                 setattr(row, name, count)
             row.times = [*times, *[0] * BINS][:BINS]
-            row.fine, row.foul, row.heard = (
-                None if age is None else left - longer(age) for age in (fine, foul, heard)
+            row.last_good, row.last_bad, row.last_answer = (
+                None if age is None else left - longer(age) for age in (last_good, last_bad, last_answer)
             )
-            row.run = min(run, MOST)
+            row.bad_run = min(bad_run, MAX_HOPS)
             if row.newest is None:
-                del rows[server]  # says nothing
+                del rows[server]  # no evidence
                 continue
-            self.even(row)
+            self.cap_hops(row)
         had = self.witnesses.get(seat)
         if had is None:
-            if len(self.witnesses) >= WITNESSES:
+            if len(self.witnesses) >= MAX_SEATS:
                 return
             had = self.witnesses[seat] = Witness()
         for server, row in rows.items():
             known = had.rows.get(server)
-            # Of one life the later report counts; of two, the newer evidence: a word of a life that has ended
-            # may come late.
+            # Within one life the later report counts; between two lives the newer evidence, since a report of
+            # an ended life may arrive late.
             if known is None or (seq > known[1] if life == known[0] else row.newest >= known[2].newest):
                 had.site, had.life, had.rows[server] = site, life, (life, seq, row)
 
     @staticmethod
-    def even(row):
-        """Guards against a forwarder whose hops would outnumber all others': MOST of them count, in their
-        shares."""
-        if row.sent > MOST:
+    def cap_hops(row):
+        """Scale a row down to at most MAX_HOPS hops, so that one forwarder cannot outweigh all others."""
+        if row.sent > MAX_HOPS:
             for name in FIELDS:
-                setattr(row, name, getattr(row, name) * MOST / row.sent if name != 'sent' else row.sent)
-            row.sent = MOST
+                setattr(row, name, getattr(row, name) * MAX_HOPS / row.sent if name != 'sent' else row.sent)
+            row.sent = MAX_HOPS
         total = sum(row.times)
-        if total > MOST:
-            row.times = [count * MOST / total for count in row.times]
+        if total > MAX_HOPS:
+            row.times = [count * MAX_HOPS / total for count in row.times]
 
-    # --- what follows -----------------------------------------------------------------------------------
+    # --- verdicts ---------------------------------------------------------------------------------------
 
     def now_held(self, now):
-        """All verdicts, by (server, site for which alone it holds or None); looked at anew a few times in a
+        """Return all verdicts by (server, the only site concerned or None); evaluated anew a few times per
         span."""
-        if self.looked is None or not self.looked <= now < self.looked + self.span // LOOKS:
-            self.looked, self.held = now, self.verdicts(now)
-        return self.held
+        if (
+            self.evaluated_at is None
+            or not self.evaluated_at <= now < self.evaluated_at + self.span // EVALUATIONS_PER_SPAN
+        ):
+            self.evaluated_at, self.current = now, self.verdicts(now)
+        return self.current
 
     def rows_for(self, now, site, doubts):
-        """What a forwarder of a site is told: all that is bad, and that a server is well where it doubts
-        that."""
+        """Return the verdicts for a forwarder of a site: all negative ones, and that a server is well where
+        the forwarder doubts it."""
         rows = [
             verdict
             for verdict in self.now_held(now).values()
@@ -143,8 +150,7 @@
         return [verdict.plain(now) for verdict in rows[:VERDICTS]]
 
     def fresh(self, now):
-        """By server, the rows that are young enough, with who says so: [(seat, site, row)]. Forgets what is
-        not."""
+        """Return the rows that are recent enough by server as [(seat, site, row)], and drop all others."""
         found = {}
         for seat, witness in list(self.witnesses.items()):
             witness.rows = {
@@ -152,17 +158,17 @@
             }
             for server, (_, _, row) in witness.rows.items():
                 found.setdefault(server, []).append((seat, witness.site, row))
-        return {server: self.spoken_since(rows) for server, rows in found.items()}
+        return {server: self.drop_outdated_silence(rows) for server, rows in found.items()}
 
     @staticmethod
-    def spoken_since(rows):
-        """A silence counts no more once the server has answered two forwarders since, one of them from
-        there."""
+    def drop_outdated_silence(rows):
+        """Drop rows with silence if the server has answered two other forwarders since, one of them at the
+        same site."""
         silent = [row for row in rows if row[2].silent]
         if not silent:
             return rows
         answers = sorted(
-            ((row.heard, seat, site) for seat, site, row in rows if row.heard is not None),
+            ((row.last_answer, seat, site) for seat, site, row in rows if row.last_answer is not None),
             key=lambda answer: -answer[0],
         )
         kept = []
@@ -174,80 +180,79 @@
         return kept
 
     @staticmethod
-    def lately(rows):
-        """Only what was bad, where nobody has had an answer since: what was well before that says nothing any
-        more. Else all rows."""
-        newest = max((row.heard for _, _, row in rows if row.heard is not None), default=None)
+    def recent_failures(rows):
+        """Return only the bad hops if they are enough for a verdict and no forwarder has had an answer since,
+        as earlier successes no longer count then; otherwise all rows."""
+        newest = max((row.last_answer for _, _, row in rows if row.last_answer is not None), default=None)
         ended = [
             (seat, site, row)
             for seat, site, row in rows
-            if row.run and row.foul is not None and (newest is None or row.foul > newest)
+            if row.bad_run and row.last_bad is not None and (newest is None or row.last_bad > newest)
         ]
-        if len({seat for seat, _, _ in ended}) < BOTH or sum(row.run for _, _, row in ended) < LEAST:
+        if len({seat for seat, _, _ in ended}) < BOTH or sum(row.bad_run for _, _, row in ended) < MIN_HOPS:
             return rows
         found = []
         for seat, site, row in ended:
             made = Row()
-            made.sent, made.foul = row.run, row.foul
-            made.silent, made.failed = (0, row.run) if row.failed > row.silent else (row.run, 0)
+            made.sent, made.last_bad = row.bad_run, row.last_bad
+            made.silent, made.failed = (0, row.bad_run) if row.failed > row.silent else (row.bad_run, 0)
             found.append((seat, site, made))
         return found
 
-    def blind(self, fresh, wholes):
-        """Seats whose own view is at odds with what others see of the same servers: one that finds most bad
-        of what others find well, or that is slow to all of what others get quick answers from. They count for
-        nothing."""
-        odd, common = {}, {}
+    def outliers(self, fresh, totals):
+        """Return the seats that contradict what others see of the same servers: most of the servers that are
+        well for others are bad or slow for them. Their evidence is ignored."""
+        contradicted, shared = {}, {}
         for server, rows in fresh.items():
-            whole = wholes[server]
+            total = totals[server]
             for seat, _, row in rows:
-                sent, bad = whole.sent - row.sent, whole.silent + whole.failed - row.silent - row.failed
-                if sent < LEAST or not row.sent or bad >= BAD * sent:
+                sent, bad = total.sent - row.sent, total.silent + total.failed - row.silent - row.failed
+                if sent < MIN_HOPS or not row.sent or bad >= BAD_SHARE * sent:
                     continue
-                common[seat] = common.get(seat, 0) + 1
+                shared[seat] = shared.get(seat, 0) + 1
                 late = False
                 if any(row.times):
                     others = Row()
-                    others.times = [mine - less for mine, less in zip(whole.times, row.times)]
-                    late = sum(others.times) >= 1 and others.middle is not None and row.middle > others.middle
-                odd[seat] = odd.get(seat, 0) + (worst(row) or late)
-        return {seat for seat, count in odd.items() if common[seat] > 1 and 2 * count > common[seat]}
+                    others.times = [mine - less for mine, less in zip(total.times, row.times)]
+                    late = sum(others.times) >= 1 and others.median is not None and row.median > others.median
+                contradicted[seat] = contradicted.get(seat, 0) + (mostly_failing(row) or late)
+        return {seat for seat, count in contradicted.items() if shared[seat] > 1 and 2 * count > shared[seat]}
 
     def verdicts(self, now):
-        """All verdicts now, by (server, site for which alone it holds or None)."""
+        """Evaluate all evidence. Return the verdicts by (server, the only site concerned or None)."""
         fresh = self.fresh(now)
-        blind = self.blind(fresh, {server: together(rows) for server, rows in fresh.items()})
+        outliers = self.outliers(fresh, {server: merged(rows) for server, rows in fresh.items()})
         seen = {
             server: kept
             for server, rows in fresh.items()
-            if (kept := [row for row in rows if row[0] not in blind])
+            if (kept := [row for row in rows if row[0] not in outliers])
         }
-        wholes = {server: together(rows) for server, rows in seen.items()}
-        usual = Usual(wholes.values())
+        totals = {server: merged(rows) for server, rows in seen.items()}
+        baseline = Baseline(totals.values())
         all_sites = {site for rows in seen.values() for _, site, _ in rows}
         found = [
             verdict
             for server, rows in seen.items()
-            for verdict in self.judged(server, rows, wholes[server], usual, len(all_sites))
+            for verdict in self.judge_server(server, rows, totals[server], baseline, len(all_sites))
         ]
-        self.remember(now, found)
+        self.record_changes(now, found)
         return {(verdict.server, verdict.site): verdict for verdict in found if verdict.newest is not None}
 
     @staticmethod
-    def judged(server, rows, whole, usual, all_sites):
-        """The verdicts on one server: on itself if enough agree, else on the way of a site to it."""
+    def judge_server(server, rows, total, baseline, all_sites):
+        """Return the verdicts on one server: on itself if enough agree, else on single sites' paths to it."""
         sites = {site for _, site, _ in rows}
-        every, rows = rows, Sight.lately(rows)
-        whole = whole if rows is every else together(rows)
-        kind, factor = usual.held_of(whole)
-        agreeing = [row for row in rows if usual.agrees(row[2], kind, whole)]
+        every, rows = rows, Sight.recent_failures(rows)
+        total = total if rows is every else merged(rows)
+        kind, factor = baseline.classify(total)
+        agreeing = [row for row in rows if baseline.agrees(row[2], kind, total)]
         seats, where = {seat for seat, _, _ in agreeing}, {site for _, site, _ in agreeing}
-        most = 2 * len(agreeing) >= len(rows)
+        agreed = 2 * len(agreeing) >= len(rows)
         if kind == WELL:
-            made = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and most else []
+            made = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and agreed else []
         elif (
             kind is not None
-            and most
+            and agreed
             and len(seats) >= BOTH
             and len(where) >= min(BOTH, all_sites)
             and not {site for _, site, _ in rows} - where
@@ -256,64 +261,68 @@
         else:
             made = []
         for site in sites:
-            here = Sight.lately([row for row in every if row[1] == site])
-            whole = together(here)
-            kind, factor = usual.held_of(whole)
-            agreeing = [row for row in here if usual.agrees(row[2], kind, whole)]
+            here = Sight.recent_failures([row for row in every if row[1] == site])
+            total = merged(here)
+            kind, factor = baseline.classify(total)
+            agreeing = [row for row in here if baseline.agrees(row[2], kind, total)]
             if kind not in (None, WELL) and len(agreeing) >= BOTH and 2 * len(agreeing) >= len(here):
                 made.append(Verdict(server, kind, factor, agreeing, site))
         return made
 
-    def remember(self, now, found):
-        """Servers that fail and recover by turns: what would always be one turn late weighs half."""
+    def record_changes(self, now, found):
+        """Halve the weight of verdicts on flapping servers, as they would always lag behind."""
         kinds = {verdict.server: verdict.kind for verdict in found if verdict.site is None}
         for server, kind in kinds.items():
-            if self.last.get(server, kind) != kind:
-                self.turns.setdefault(server, []).append(now)
-            self.last[server] = kind
-        for server in list(self.turns):
-            self.turns[server] = [when for when in self.turns[server] if now < when + 4 * self.span]
-            if not self.turns[server]:
-                del self.turns[server]
-        if len(self.last) > 2 * SERVERS:
-            self.last = kinds
+            if self.last_kind.get(server, kind) != kind:
+                self.changes.setdefault(server, []).append(now)
+            self.last_kind[server] = kind
+        for server in list(self.changes):
+            self.changes[server] = [when for when in self.changes[server] if now < when + 4 * self.span]
+            if not self.changes[server]:
+                del self.changes[server]
+        if len(self.last_kind) > 2 * SERVERS:
+            self.last_kind = kinds
         for verdict in found:
-            if len(self.turns.get(verdict.server, ())) >= TURNS:
+            if len(self.changes.get(verdict.server, ())) >= FLAP_CHANGES:
                 verdict.weight = 0.5
 
 
-class Usual:
-    """How the middle server does: what is bad is bad beside that. Guards against condemning servers for a
-    load that all of them bear."""
+class Baseline:
+    """How the median server performs, for comparison: servers must not be condemned for a load that affects
+    all of them."""
 
     __slots__ = ('middle', 'bad')
 
-    def __init__(self, wholes):
-        middles = sorted(middle for whole in wholes if (middle := whole.middle) is not None)
-        self.middle = middles[len(middles) // 2] if middles else None
+    def __init__(self, totals):
+        medians = sorted(median for total in totals if (median := total.median) is not None)
+        self.median = medians[len(medians) // 2] if medians else None
         shares = {
-            kind: sorted(count(whole) / whole.sent for whole in wholes if whole.sent)
+            kind: sorted(count(total) / total.sent for total in totals if total.sent)
             for kind, count in COUNTS
         }
         self.bad = {kind: share[len(share) // 2] if share else 0.0 for kind, share in shares.items()}
 
-    def held_of(self, row, least=LEAST):
-        """(kind, how many times slower) of what was seen, or (None, 1.0) if that is too little."""
+    def classify(self, row, least=MIN_HOPS):
+        """Return (kind, how many times slower) of a row, or (None, 1.0) if it has too few hops."""
         if row.sent < least:
             return None, 1.0
         for kind, count in COUNTS:
-            if count(row) >= BAD * row.sent:
-                return (kind, 1.0) if 2 * self.bad[kind] < BAD else (None, 1.0)
-        if row.middle is not None and self.middle is not None and 2.0 ** (row.middle - self.middle) >= SLOWER:
-            return SLOW, 2.0 ** (row.middle - self.middle)
+            if count(row) >= BAD_SHARE * row.sent:
+                return (kind, 1.0) if 2 * self.bad[kind] < BAD_SHARE else (None, 1.0)
+        if (
+            row.median is not None
+            and self.median is not None
+            and 2.0 ** (row.median - self.median) >= SLOW_FACTOR
+        ):
+            return SLOW, 2.0 ** (row.median - self.median)
         return WELL, 1.0
 
-    def agrees(self, row, kind, whole):
-        """Whether one forwarder saw the same; a slow server, about as slow."""
+    def agrees(self, row, kind, total):
+        """Return whether one forwarder's row shows the same; for a slow server, a similar answer time."""
         return (
-            self.held_of(row, 1)[0] == kind
-            and (kind == WELL or row.foul is not None)
-            and (kind != SLOW or row.middle >= whole.middle - 1)
+            self.classify(row, 1)[0] == kind
+            and (kind == WELL or row.last_bad is not None)
+            and (kind != SLOW or row.median >= total.median - 1)
         )
 
 
@@ -324,14 +333,14 @@
 )
 
 
-def together(rows):
-    """All rows as one."""
-    whole = Row()
+def merged(rows):
+    """Return the sum of all rows."""
+    total = Row()
     for _, _, row in rows:
-        whole.add(row)
-    return whole
+        total.add(row)
+    return total
 
 
-def worst(row):
-    """Whether most hops went unanswered or failed."""
-    return row.sent > 0 and (row.silent + row.failed) >= BAD * row.sent
+def mostly_failing(row):
+    """Return whether most hops were silent or failed."""
+    return row.sent > 0 and (row.silent + row.failed) >= BAD_SHARE * row.sent
