--- a/lilacdyke/plan/site_cli.py
+++ b/lilacdyke/plan/site_cli.py
@@ -1,7 +1,6 @@
-"""`lilacdyke site plan`: what the loss of a site would mean, as a table, as JSON, or as a plot.
+"""`lilacdyke site plan`: print the effects of losing sites as a table, as JSON, or as a plot.
 
-Owns what is printed and the exit codes: 0 all as expected, 1 an expectation fails (with --check), 2 wrong
-words.
+Exit codes: 0 on success, 1 if an expectation is not met (with --check), 2 for invalid arguments.
 """
 
 import sys
@@ -15,29 +14,29 @@
 
 @click.group()
 def site():
-    """The loss of a whole site, worked out before the day."""
+    """Capacity planning for the loss of a whole site."""
 
 
 def percent(value):
     return 'over all' if value == float('inf') else '%.0f%%' % (100 * value)
 
 
-def lines(told):
-    """One outcome, as lines."""
-    yield 'lost: %s' % (', '.join(told.lost) or 'nothing')
+def format_outcome(result):
+    """Yield the lines of one outcome."""
+    yield 'lost: %s' % (', '.join(result.lost) or 'nothing')
     yield '  keys that move: %s; %s' % (
-        percent(told.moved),
+        percent(result.moved),
         '; '.join(
-            '%s has %s of all, %s full' % (name, percent(share), percent(told.full[name]))
-            for name, share in told.keys.items()
+            '%s has %s of all, %s full' % (name, percent(share), percent(result.full[name]))
+            for name, share in result.keys.items()
         )
         or 'nothing is left',
     )
     yield '  origin: %s full at first, %s once moved keys are kept' % (
-        percent(told.origin_first),
-        percent(told.origin_later),
+        percent(result.origin_first),
+        percent(result.origin_later),
     )
-    for row in sorted(told.classes, key=lambda row: row.place):
+    for row in sorted(result.classes, key=lambda row: row.place):
         yield '  %d. %-24s asked %8.1f, refused %8.1f a second (%s), worth lost %8.1f a second' % (
             row.place,
             row.name,
@@ -47,9 +46,9 @@
             row.worth,
         )
     yield '  %s; worth lost %.1f a second; the return takes %s' % (
-        'all is borne' if told.borne else 'not all is borne',
-        told.worth_lost,
-        'for ever: the origin has no room' if told.return_s == float('inf') else '%.0f s' % told.return_s,
+        'all is borne' if result.borne else 'not all is borne',
+        result.worth_lost,
+        'for ever: the origin has no room' if result.return_s == float('inf') else '%.0f s' % result.return_s,
     )
 
 
@@ -58,13 +57,19 @@
 @click.option(
     '--lost',
     multiple=True,
-    help='A site that is lost; more than one may be. By default all of one, and all of two.',
+    help='A lost site; may be repeated. Default: each site, and each pair of sites.',
 )
 @click.option('--json', 'as_json', is_flag=True)
-@click.option('--check', 'checked', is_flag=True, help='Exit 1 if an expectation of the file fails.')
-@click.option('--plot', type=click.Path(dir_okay=False), help='A PNG of how full sites and the origin are.')
+@click.option(
+    '--check', 'checked', is_flag=True, help='Exit with 1 if an expectation of the file is not met.'
+)
+@click.option(
+    '--plot',
+    type=click.Path(dir_okay=False),
+    help='PNG file for a plot of the utilization of sites and origin.',
+)
 def plan(path, lost, as_json, checked, plot):
-    """Where load goes, what is refused first, and how long the return takes."""
+    """Print where load moves, what is refused first, and how long the recovery takes."""
     loss = fleet_file(path, 'loss').loss
     unknown = set(lost) - {row.name for row in loss.site}
     if unknown:
@@ -72,7 +77,7 @@
     found = (
         [sites.outcome(loss, tuple(lost))]
         if lost
-        else [sites.outcome(loss, some) for some in sites.losses(loss)]
+        else [sites.outcome(loss, some) for some in sites.loss_cases(loss)]
     )
     if as_json:
         click.echo(
@@ -80,38 +85,40 @@
                 [
                     {
                         key: None if value == float('inf') else value
-                        for key, value in msgspec.to_builtins(told).items()
+                        for key, value in msgspec.to_builtins(result).items()
                     }
-                    for told in found
+                    for result in found
                 ]
             ).decode()
         )
     else:
-        for told in found:
-            click.echo('\n'.join(lines(told)))
+        for result in found:
+            click.echo('\n'.join(format_outcome(result)))
         click.echo(
-            'any one site may be lost with nothing refused: %s' % ('yes' if sites.spare(loss) else 'no')
+            'any one site may be lost with nothing refused: %s'
+            % ('yes' if sites.survives_any_single_loss(loss) else 'no')
         )
     if plot:
-        draw(found, plot)
-    failing = sites.failing(loss) if checked else []
-    for expected, so in failing:
-        click.echo('not so: %s (it is %s)' % (expected, so), err=as_json)
+        plot_outcomes(found, plot)
+    failing = sites.failed_expectations(loss) if checked else []
+    for expected, actual in failing:
+        click.echo('not so: %s (it is %s)' % (expected, actual), err=as_json)
     sys.exit(1 if failing else 0)
 
 
-def draw(found, path):
-    """How full each site and the origin are, loss by loss."""
+def plot_outcomes(found, path):
+    """Plot the utilization of each site and the origin for each loss."""
     import matplotlib
 
     matplotlib.use('Agg')
     from matplotlib import pyplot
 
-    names = sorted({name for told in found for name in told.full}) + ['origin']
+    names = sorted({name for result in found for name in result.full}) + ['origin']
     figure, axes = pyplot.subplots(figsize=(2 + 1.2 * len(found), 4))
     for index, name in enumerate(names):
         values = [
-            min(told.origin_first if name == 'origin' else told.full.get(name, 0.0), 2.0) for told in found
+            min(result.origin_first if name == 'origin' else result.full.get(name, 0.0), 2.0)
+            for result in found
         ]
         axes.bar(
             [place + index * 0.8 / len(names) for place in range(len(found))],
@@ -121,7 +128,7 @@
         )
     axes.set_xticks(
         [place + 0.4 for place in range(len(found))],
-        ['+'.join(told.lost) or 'usual' for told in found],
+        ['+'.join(result.lost) or 'usual' for result in found],
         rotation=30,
         ha='right',
     )
--- a/tests/plan/test_sites.py
+++ b/tests/plan/test_sites.py
@@ -1,4 +1,4 @@
-"""The loss of a site, worked out: the arithmetic, expectations, and what a fleet in simulated time then does."""
+"""Capacity planning for the loss of a site: the model, expectations, and a simulated fleet."""
 
 import json
 import tempfile
@@ -16,7 +16,7 @@
 
 
 def loss(origin=400.0, where=None, rate=300.0, **more):
-    """Three sites of 200 each; a class that is worth much for its work, and one that is worth little."""
+    """Return three sites with a capacity of 200 each, and two classes, of high and low worth per work."""
     return sites.check(
         Loss(
             site=[sites.Site(name=name, servers=4, bears=50.0) for name in 'abc'],
@@ -34,15 +34,15 @@
     return {row.name: round(row.refused, 6) for row in told.classes}
 
 
-class Worked(unittest.TestCase):
-    def test_the_usual_day_refuses_nothing(self):
+class ModelTests(unittest.TestCase):
+    def test_normal_operation_refuses_nothing(self):
         told = outcome(loss())
         self.assertEqual(
             (told.borne, told.moved, told.return_s, set(told.full.values())), (True, 0.0, 0.0, {400 / 600})
         )
         self.assertAlmostEqual(told.origin_first, (20 + 150) / 400)
 
-    def test_a_lost_site_s_keys_go_to_all_that_are_left_by_what_they_bear(self):
+    def test_keys_of_a_lost_site_move_to_the_others_by_capacity(self):
         made = loss()
         made.site[2].servers = 8
         told = outcome(made, ('a',))
@@ -54,7 +54,7 @@
         self.assertAlmostEqual(told.origin_first, (100 * (1 - 0.8 * 2 / 3) + 300 * (1 - 0.5 * 2 / 3)) / 400)
         self.assertAlmostEqual(told.origin_later, 170 / 400)
 
-    def test_what_is_worth_least_for_its_work_is_refused_first_and_floors_last(self):
+    def test_lowest_worth_per_work_is_refused_first_and_floors_last(self):
         told = outcome(loss(rate=500.0, origin=10_000.0), ('a',))
         self.assertEqual(
             (refused(told), told.borne, told.worth_lost), ({'cheap': 200.0, 'dear': 0.0}, False, 200.0)
@@ -66,28 +66,28 @@
         self.assertEqual(refused(told)['cheap'], 10.0)
         self.assertTrue(0 < refused(told)['dear'] <= 50.0)
         told = outcome(loss(origin=1.0), ('a', 'b'))
-        self.assertGreater(refused(told)['dear'], 50.0)  # nothing else is left
+        self.assertGreater(refused(told)['dear'], 50.0)  # nothing else is left to refuse
 
-    def test_nothing_is_said_to_be_borne_that_is_not(self):
+    def test_served_load_never_exceeds_capacity(self):
         for rate in (10.0, 300.0, 900.0):
             for origin in (1.0, 100.0, 1_000.0):
                 for where in (None, 'a'):
                     made = loss(origin, where, rate)
-                    for lost in sites.losses(made):
+                    for lost in sites.loss_cases(made):
                         told = outcome(made, lost)
                         served = {row.name: row.asked - row.refused for row in told.classes}
                         bears = 600 - 200 * len(lost)
                         self.assertLessEqual(sum(served.values()), bears + 1e-6)
                         room = 0.0 if where in lost else origin
-                        self.assertLessEqual(sites.at_origin(made, served, told.moved), room + 1e-6)
+                        self.assertLessEqual(sites.origin_load(made, served, told.moved), room + 1e-6)
                         self.assertTrue(all(0 <= row.refused <= row.asked for row in told.classes))
 
-    def test_the_return_waits_for_servers_to_warm_up_and_for_the_origin_s_room(self):
+    def test_recovery_takes_warm_up_or_fetching_whichever_is_longer(self):
         self.assertEqual(outcome(loss(), ('a',)).return_s, 20.0)
         self.assertAlmostEqual(outcome(loss(origin=180.0), ('a',)).return_s, 4_000 / 3 / 10)
         self.assertEqual(outcome(loss(origin=170.0), ('a',)).return_s, float('inf'))
 
-    def test_expectations_that_are_not_so_are_told(self):
+    def test_unmet_expectations_are_reported(self):
         made = loss(
             rate=500.0,
             expect=[
@@ -96,10 +96,11 @@
             ],
         )
         self.assertEqual(
-            [expected.split(': ')[1].split()[0] for expected, _ in sites.failing(made)], ['cheap', 'origin']
+            [expected.split(': ')[1].split()[0] for expected, _ in sites.failed_expectations(made)],
+            ['cheap', 'origin'],
         )
 
-    def test_names_that_are_nobody_s_are_refused(self):
+    def test_unknown_names_are_rejected(self):
         for more in (
             {'expect': [Expect(lost=['d'])]},
             {'expect': [Expect(lost=['a'], refused={'free': 0.0})]},
@@ -136,15 +137,15 @@
 """
 
 
-class Told(unittest.TestCase):
-    def run_it(self, text, *words):
+class CommandTests(unittest.TestCase):
+    def run_plan(self, text, *words):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
             file.write(text)
             file.flush()
             return CliRunner().invoke(site, ['plan', '--file', file.name, *words])
 
-    def test_a_table_its_json_and_a_check(self):
-        done = self.run_it(FILE)
+    def test_table_json_and_check(self):
+        done = self.run_plan(FILE)
         self.assertEqual(done.exit_code, 0)
         for word in (
             'lost: a',
@@ -153,24 +154,24 @@
             'nothing refused: no',
         ):
             self.assertIn(word, done.output)
-        (told,) = json.loads(self.run_it(FILE, '--json', '--lost', 'a').output)
+        (told,) = json.loads(self.run_plan(FILE, '--json', '--lost', 'a').output)
         self.assertEqual((told['lost'], told['borne'], told['classes'][0]['refused']), (['a'], False, 100.0))
-        self.assertEqual(self.run_it(FILE, '--check').exit_code, 1)
+        self.assertEqual(self.run_plan(FILE, '--check').exit_code, 1)
 
-    def test_wrong_words_are_one_line_and_exit_2(self):
+    def test_invalid_input_prints_one_line_and_exits_with_2(self):
         for text, words in (
             (FILE, ['--lost', 'x']),
             (FILE[: FILE.index('[loss')], []),
             (FILE.replace('bears = 400.0', 'bears = 0'), []),
             (FILE.replace('servers', 'serve'), []),
         ):
-            done = self.run_it(text, *words)
+            done = self.run_plan(text, *words)
             self.assertEqual((done.exit_code, len(done.output.splitlines())), (2, 1), done.output)
 
 
-class Played(unittest.TestCase):
-    def test_shares_and_the_rise_at_the_origin_are_as_worked_out(self):
-        """A fleet in simulated time loses the caches of one of three sites: shares of hops by site within a tenth of the plan."""
+class SimulationTests(unittest.TestCase):
+    def test_key_shares_match_the_model(self):
+        """A simulated fleet loses one of three sites; hops by site are within a tenth of the model's."""
         given = scenarios.check(
             Scenario(
                 name='lost',
