--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -5,9 +5,9 @@
     lease = Lease(reactor, deadlines, clock, fleet, 'name', chance, got, lost)
     lease.acquire(); lease.held(); lease.number; lease.release()
 
-got(number) is called when the lease is acquired. lost(number) is called before another process can acquire it,
-provided that this process is running at that time. A process may be suspended between checking and acting, so
-a resource must reject a number lower than one that it has seen (a fencing token).
+got(number) is called when the lease is acquired. lost(number) is called before another process can acquire
+it, provided that this process is running at that time. A process may be suspended between check and action,
+so a resource must reject a number lower than one that it has seen (a fencing token).
 """
 
 import os
--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -20,7 +20,7 @@
 MAX_MESSAGES = 4  # in flight in a searched world
 
 
-class LeaseViolation(Exception):
+class LeaseViolationError(Exception):
     """Two seekers hold the lease at once, or lease numbers do not rise."""
 
 
@@ -101,7 +101,7 @@
     def got(self, number):
         self.leases_granted += 1
         if self.last_numbers and number <= self.last_numbers[-1]:
-            raise LeaseViolation('at %d: number %s after %s' % (self.now, number, self.last_numbers[-1]))
+            raise LeaseViolationError('at %d: number %s after %s' % (self.now, number, self.last_numbers[-1]))
         self.last_numbers = [number]
 
     def deliver(self, index, duplicate=False):
@@ -138,12 +138,12 @@
     # --- invariants -------------------------------------------------------------------------------------
 
     def check(self):
-        """Raise LeaseViolation if two seekers hold the lease."""
+        """Raise LeaseViolationError if two seekers hold the lease."""
         holding = [
             number for number, seeker in enumerate(self.seekers) if seeker.held(self.seeker_clock(number))
         ]
         if len(holding) > 1:
-            raise LeaseViolation('at %d: %s hold' % (self.now, holding))
+            raise LeaseViolationError('at %d: %s hold' % (self.now, holding))
 
 
 def successors(world):
--- a/tests/plan/test_leases.py
+++ b/tests/plan/test_leases.py
@@ -15,7 +15,7 @@
     startup_silence,
 )
 from lilacdyke.plan.ledger import shorter
-from lilacdyke.plan.vote_check import LeaseViolation
+from lilacdyke.plan.vote_check import LeaseViolationError
 
 LONG = 1_000
 
@@ -330,7 +330,7 @@
         for seed in range(200):
             try:
                 vote_check.walk(seed, 5_000, **kinds)
-            except LeaseViolation:
+            except LeaseViolationError:
                 return seed + 1
         return None
 
