--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -122,13 +122,13 @@
         consecutive bad hops. Each report is complete, so that a lost, duplicated or late one has no effect
         on the next."""
         self.rotate(now)
-        told = {}
+        result = {}
         for server in list(dict.fromkeys([*self.rows, *self.previous]))[:SERVERS]:
             row = Row()
             for rows in (self.rows, self.previous):
                 if server in rows:
                     row.add(rows[server])
-            told[server] = [
+            result[server] = [
                 *(getattr(row, name) for name in FIELDS),
                 list(row.times),
                 *(
@@ -137,8 +137,8 @@
                 ),
                 self.bad_runs.get(server, 0),
             ]
-        self.bad_runs = {server: count for server, count in self.bad_runs.items() if server in told}
-        return told
+        self.bad_runs = {server: count for server, count in self.bad_runs.items() if server in result}
+        return result
 
 
 class ReceivedVerdict:
@@ -153,6 +153,7 @@
 
     @property
     def negative(self):
+        """Whether the verdict restrains the server."""
         return self.kind != WELL
 
     def certainty_key(self):
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -101,17 +101,17 @@
                 del rows[server]  # no evidence
                 continue
             self.cap_hops(row)
-        had = self.witnesses.get(seat)
-        if had is None:
+        witness = self.witnesses.get(seat)
+        if witness is None:
             if len(self.witnesses) >= MAX_SEATS:
                 return
-            had = self.witnesses[seat] = Witness()
+            witness = self.witnesses[seat] = Witness()
         for server, row in rows.items():
-            known = had.rows.get(server)
+            known = witness.rows.get(server)
             # Within one life the later report counts; between two lives the newer evidence, since a report of
             # an ended life may arrive late.
             if known is None or (seq > known[1] if life == known[0] else row.newest >= known[2].newest):
-                had.site, had.life, had.rows[server] = site, life, (life, seq, row)
+                witness.site, witness.life, witness.rows[server] = site, life, (life, seq, row)
 
     @staticmethod
     def cap_hops(row):
@@ -184,20 +184,25 @@
         """Return only the bad hops if they are enough for a verdict and no forwarder has had an answer since,
         as earlier successes no longer count then; otherwise all rows."""
         newest = max((row.last_answer for _, _, row in rows if row.last_answer is not None), default=None)
-        ended = [
+        failing = [
             (seat, site, row)
             for seat, site, row in rows
             if row.bad_run and row.last_bad is not None and (newest is None or row.last_bad > newest)
         ]
-        if len({seat for seat, _, _ in ended}) < BOTH or sum(row.bad_run for _, _, row in ended) < MIN_HOPS:
+        if (
+            len({seat for seat, _, _ in failing}) < BOTH
+            or sum(row.bad_run for _, _, row in failing) < MIN_HOPS
+        ):
             return rows
-        found = []
-        for seat, site, row in ended:
-            made = Row()
-            made.sent, made.last_bad = row.bad_run, row.last_bad
-            made.silent, made.failed = (0, row.bad_run) if row.failed > row.silent else (row.bad_run, 0)
-            found.append((seat, site, made))
-        return found
+        result = []
+        for seat, site, row in failing:
+            failures = Row()
+            failures.sent, failures.last_bad = row.bad_run, row.last_bad
+            failures.silent, failures.failed = (
+                (0, row.bad_run) if row.failed > row.silent else (row.bad_run, 0)
+            )
+            result.append((seat, site, failures))
+        return result
 
     def outliers(self, fresh, totals):
         """Return the seats that contradict what others see of the same servers: most of the servers that are
@@ -242,32 +247,32 @@
     def judge_server(server, rows, total, baseline, all_sites):
         """Return the verdicts on one server: on itself if enough agree, else on single sites' paths to it."""
         sites = {site for _, site, _ in rows}
-        every, rows = rows, Sight.recent_failures(rows)
-        total = total if rows is every else merged(rows)
+        all_rows, rows = rows, Sight.recent_failures(rows)
+        total = total if rows is all_rows else merged(rows)
         kind, factor = baseline.classify(total)
         agreeing = [row for row in rows if baseline.agrees(row[2], kind, total)]
-        seats, where = {seat for seat, _, _ in agreeing}, {site for _, site, _ in agreeing}
+        seats, agreeing_sites = {seat for seat, _, _ in agreeing}, {site for _, site, _ in agreeing}
         agreed = 2 * len(agreeing) >= len(rows)
         if kind == WELL:
-            made = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and agreed else []
+            found = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and agreed else []
         elif (
             kind is not None
             and agreed
             and len(seats) >= BOTH
-            and len(where) >= min(BOTH, all_sites)
-            and not {site for _, site, _ in rows} - where
+            and len(agreeing_sites) >= min(BOTH, all_sites)
+            and not {site for _, site, _ in rows} - agreeing_sites
         ):
             return [Verdict(server, kind, factor, agreeing, None)]
         else:
-            made = []
+            found = []
         for site in sites:
-            here = Sight.recent_failures([row for row in every if row[1] == site])
-            total = merged(here)
+            site_rows = Sight.recent_failures([row for row in all_rows if row[1] == site])
+            total = merged(site_rows)
             kind, factor = baseline.classify(total)
-            agreeing = [row for row in here if baseline.agrees(row[2], kind, total)]
-            if kind not in (None, WELL) and len(agreeing) >= BOTH and 2 * len(agreeing) >= len(here):
-                made.append(Verdict(server, kind, factor, agreeing, site))
-        return made
+            agreeing = [row for row in site_rows if baseline.agrees(row[2], kind, total)]
+            if kind not in (None, WELL) and len(agreeing) >= BOTH and 2 * len(agreeing) >= len(site_rows):
+                found.append(Verdict(server, kind, factor, agreeing, site))
+        return found
 
     def record_changes(self, now, found):
         """Halve the weight of verdicts on flapping servers, as they would always lag behind."""
@@ -291,7 +296,7 @@
     """How the median server performs, for comparison: servers must not be condemned for a load that affects
     all of them."""
 
-    __slots__ = ('middle', 'bad')
+    __slots__ = ('median', 'bad')
 
     def __init__(self, totals):
         medians = sorted(median for total in totals if (median := total.median) is not None)
