--- a/lilacdyke/changes/cli.py
+++ b/lilacdyke/changes/cli.py
@@ -10,10 +10,10 @@
 
 from ..decode import address
 from ..values import BadLine
-from . import settings as files
+from . import settings as settings_file
 from .messages import (
     LENGTH,
-    MOST_BYTES,
+    MAX_FRAME_BYTES,
     BadFrameError,
     Item,
     PutAnswer,
@@ -25,23 +25,23 @@
     unpack,
 )
 
-PATIENCE_S = 3.0  # for an answer
+ANSWER_TIMEOUT_S = 3.0  # for an answer
 KINDS = ('config', 'purge')
 
 file_option = click.option('--file', 'path', type=click.Path(), required=True, help='The changes file.')
 
 
-def settings_of(path):
+def load_settings(path):
     """The file's settings; what is wrong with it ends the command with one line."""
     try:
-        settings = files.read(path)
-        return files.enabled(settings, settings.installation)
+        settings = settings_file.read(path)
+        return settings_file.enabled(settings, settings.installation)
     except BadLine as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
 
-def process_of(settings, path, name, role=None):
+def find_process(settings, path, name, role=None):
     """A process by its name; by default the first of a role."""
     try:
         if name is not None:
@@ -55,20 +55,22 @@
 def read_frame(connection):
     """The body of the next frame."""
     data = b''
-    while len(data) < LENGTH.size or len(data) < LENGTH.size + min(MOST_BYTES, LENGTH.unpack_from(data)[0]):
-        more = connection.recv(65_536)
-        if not more:
+    while len(data) < LENGTH.size or len(data) < LENGTH.size + min(
+        MAX_FRAME_BYTES, LENGTH.unpack_from(data)[0]
+    ):
+        chunk = connection.recv(65_536)
+        if not chunk:
             raise BadFrameError('the connection ended')
-        data += more
+        data += chunk
     (size,) = LENGTH.unpack_from(data)
     return data[LENGTH.size : LENGTH.size + size]
 
 
-def ask(process, request, kind):
+def send_request(process, request, kind):
     """A process's answer to a request; what keeps it from that ends the command with one line."""
     try:
-        with socket.create_connection(address(process.address), PATIENCE_S) as connection:
-            connection.settimeout(PATIENCE_S)
+        with socket.create_connection(address(process.address), ANSWER_TIMEOUT_S) as connection:
+            connection.settimeout(ANSWER_TIMEOUT_S)
             connection.sendall(pack(request))
             return unpack(read_frame(connection), kind)
     except (OSError, BadFrameError) as err:
@@ -76,7 +78,7 @@
         sys.exit(1)
 
 
-def said(answer):
+def print_answer(answer):
     """Tell where a change stands, or why it was refused."""
     if answer.position is None:
         click.echo('lilacdyke: refused: %s' % answer.refused, err=True)
@@ -99,8 +101,8 @@
     from . import process
 
     logs.begin(log_level)
-    settings = settings_of(path)
-    process_of(settings, path, name)
+    settings = load_settings(path)
+    find_process(settings, path, name)
     try:
         sys.exit(process.run(settings, name))
     except BadLine as err:
@@ -115,7 +117,7 @@
 @click.argument('items', nargs=-1, required=True, metavar='KEY=VALUE... or KEY...')
 def put(path, name, kind, items):
     """Put a change: keys with values for config, which all take effect together, keys for purge."""
-    settings = settings_of(path)
+    settings = load_settings(path)
     pairs = [item.partition('=') for item in items]
     if any(bool(equals) != (kind == 'config') for _, equals, _ in pairs):
         click.echo(
@@ -123,7 +125,7 @@
         )
         sys.exit(2)
     request = PutRequest(kind, [Item(key, value) for key, _, value in pairs])
-    said(ask(process_of(settings, path, name, 'writer'), request, PutAnswer))
+    print_answer(send_request(find_process(settings, path, name, 'writer'), request, PutAnswer))
 
 
 @change.command('take-back')
@@ -132,8 +134,10 @@
 @click.argument('sequence', type=click.IntRange(1))
 def take_back(path, name, sequence):
     """Put what a change of the configuration replaced, as a new change."""
-    settings = settings_of(path)
-    said(ask(process_of(settings, path, name, 'writer'), TakeBackRequest(sequence), PutAnswer))
+    settings = load_settings(path)
+    print_answer(
+        send_request(find_process(settings, path, name, 'writer'), TakeBackRequest(sequence), PutAnswer)
+    )
 
 
 @change.command('list')
@@ -141,8 +145,8 @@
 @click.option('--name', help='Whom to ask; the first writer by default.')
 def list_(path, name):
     """The configuration in force at a process."""
-    settings = settings_of(path)
-    status = ask(process_of(settings, path, name, 'writer'), StatusRequest(), Status)
+    settings = load_settings(path)
+    status = send_request(find_process(settings, path, name, 'writer'), StatusRequest(), Status)
     for key, value in sorted(status.configuration.items()):
         if value:
             click.echo('%s=%s' % (key, value))
@@ -153,23 +157,23 @@
 @click.option('--name', help='Whom to ask; all processes of the file by default.')
 def status(path, name):
     """How far processes are, and who below them is behind."""
-    settings = settings_of(path)
-    asked = [process_of(settings, path, name)] if name else settings.process
-    for process in asked:
-        told = ask(process, StatusRequest(), Status)
-        for origin, position in sorted(told.positions.items()):
-            complete, age = told.complete[origin], told.ages.get(origin)
+    settings = load_settings(path)
+    processes = [find_process(settings, path, name)] if name else settings.process
+    for process in processes:
+        reply = send_request(process, StatusRequest(), Status)
+        for origin, position in sorted(reply.positions.items()):
+            complete, age = reply.complete[origin], reply.ages.get(origin)
             click.echo(
                 '%s: %s at %d.%d, %s old, complete below to %d.%d, %d below, behind: %s'
                 % (
-                    told.name,
+                    reply.name,
                     origin,
                     position.epoch,
                     position.sequence,
                     'of unknown age' if age is None else '%d ms' % (age // 10),
                     complete.epoch,
                     complete.sequence,
-                    told.below,
-                    ', '.join(told.behind) or 'nobody',
+                    reply.below,
+                    ', '.join(reply.behind) or 'nobody',
                 )
             )
--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -20,62 +20,62 @@
     unpack,
 )
 
-BUFFERED = 65_536  # bytes with the transport from which nothing more is sent
+SEND_BUFFER_BYTES = 65_536  # bytes with the transport from which nothing more is sent
 
 
 class Link(Protocol):
     """One end of a link. host: see host.py."""
 
     def __init__(self, host):
-        self.host, self.frames, self.ended = host, frame_reader(), False
+        self.host, self.frames, self.closed = host, frame_reader(), False
         self.peer = None  # the neighbour's name, once it is known
-        self.heard = host.clock()  # when something last came
+        self.last_received = host.clock()  # when something last came
 
     def connectionMade(self):
         no_delay(self.transport)
-        self.transport.bufferSize = BUFFERED
+        self.transport.bufferSize = SEND_BUFFER_BYTES
         self.transport.registerProducer(self, True)
 
     def dataReceived(self, data):
-        self.heard = self.host.clock()
+        self.last_received = self.host.clock()
         self.host.counts['bytes_in'] += len(data)
         try:
             for body in self.frames.feed(data):
-                if not self.ended:
-                    self.took(unpack(body))
+                if not self.closed:
+                    self.message_received(unpack(body))
         except BadFrameError as err:
             self.host.counts['bad_frames'] += 1
             peer = self.transport.getPeer()
             warn('link ended', peer=self.peer or '%s:%d' % (peer.host, peer.port), reason=err)
-            self.end()
+            self.close()
         except Exception:
             LOG.exception('fault')
-            self.end()
+            self.close()
 
-    def took(self, message):
+    def message_received(self, message):
         """A message has come."""
         if isinstance(message, Sync) and self.peer is not None:
-            self.host.told(self, message)
+            self.host.receive_sync(self, message)
         else:
             raise BadFrameError('a message that is not expected here: %s' % type(message).__name__)
 
-    def say(self, message):
+    def send(self, message):
         """Send a message."""
-        if not self.ended:
+        if not self.closed:
             data = pack(message)
             self.host.counts['bytes_out'] += len(data)
             self.host.counts['messages_out'] += 1
             self.transport.write(data)
 
-    def end(self):
+    def close(self):
         """Nothing more is said or heard."""
-        if not self.ended:
-            self.ended = True
+        if not self.closed:
+            self.closed = True
             if self.transport:
                 self.transport.abortConnection()
 
     def connectionLost(self, reason=None):
-        self.ended = True
+        self.closed = True
         self.host.link_lost(self)
 
     # --- as the transport's producer ----------------------------------------------------------------------
@@ -90,7 +90,7 @@
         """The connection has ended: connectionLost tells."""
 
 
-class LinkAbove(Link, Outgoing):
+class ParentLink(Link, Outgoing):
     """The end that dialled."""
 
     def __init__(self, host, peer):
@@ -99,32 +99,32 @@
 
     def connectionMade(self):
         super().connectionMade()
-        self.say(Hello(self.host.name, self.host.installation))
+        self.send(Hello(self.host.name, self.host.installation))
 
 
-class LinkBelow(Link):
+class ChildLink(Link):
     """The end that was dialled: a neighbour's, or a connection of staff's."""
 
     def connectionMade(self):
         super().connectionMade()
         self.host.accepted(self)
 
-    def took(self, message):
+    def message_received(self, message):
         if isinstance(message, Hello) and self.peer is None:
-            self.greeted(message)
+            self.hello_received(message)
         elif isinstance(message, (StatusRequest, PutRequest, TakeBackRequest)) and self.peer is None:
-            self.say(self.host.asked(message))
+            self.send(self.host.handle_request(message))
         else:
-            super().took(message)
+            super().message_received(message)
 
-    def greeted(self, hello):
+    def hello_received(self, hello):
         """Who is below."""
         if hello.installation != self.host.installation:
             raise BadFrameError(
                 'installation: %s here, %s there' % (self.host.installation, hello.installation)
             )
         self.peer = hello.name
-        self.host.linked_below(self)
+        self.host.child_linked(self)
 
 
 class Listener(Factory):
@@ -136,4 +136,4 @@
         self.host = host
 
     def buildProtocol(self, addr):
-        return LinkBelow(self.host)
+        return ChildLink(self.host)
--- a/lilacdyke/changes/log.py
+++ b/lilacdyke/changes/log.py
@@ -11,15 +11,15 @@
 
 CONFIGURATION, PURGE = 'config', 'purge'
 KINDS = (CONFIGURATION, PURGE)
-TAIL_CHANGES = 32_768  # ten minutes of 55 a second
-SPAN_CHANGES = 1_024  # of one message
-SPAN_BYTES = 256 << 10  # of keys and values in one message, unless a single change has more
+DEFAULT_TAIL_CHANGES = 32_768  # ten minutes of 55 a second
+MAX_SPAN_CHANGES = 1_024  # of one message
+MAX_SPAN_BYTES = 256 << 10  # of keys and values in one message, unless a single change has more
 
 
 class ChangeLog:
     """One origin's changes. tail: how many of the latest are kept to pass on."""
 
-    def __init__(self, tail=TAIL_CHANGES):
+    def __init__(self, tail=DEFAULT_TAIL_CHANGES):
         self.position = Position()
         self.configuration = {}  # by key: the value in force
         self.purged_before = 0  # of a snapshot: purges up to then are not known one by one
@@ -30,18 +30,18 @@
 
     # --- taking in --------------------------------------------------------------------------------------
 
-    def take_span(self, span):
+    def apply_span(self, span):
         """Take in what is new of a span; the changes that were. A gap, or another epoch, gives nothing."""
         if span.epoch != self.position.epoch or span.after > self.position.sequence:
             return []
-        fresh = [change for change in span.changes if change.sequence > self.position.sequence]
-        taken = []
-        for change in fresh:
+        new_changes = [change for change in span.changes if change.sequence > self.position.sequence]
+        applied = []
+        for change in new_changes:
             if change.sequence != self.position.sequence + 1:
                 break
             self.append(change)
-            taken.append(change)
-        return taken
+            applied.append(change)
+        return applied
 
     def append(self, change):
         """The next change."""
@@ -55,7 +55,7 @@
         elif change.kind not in KINDS:
             self.skipped += 1
 
-    def take_snapshot(self, snapshot):
+    def apply_snapshot(self, snapshot):
         """Take in a snapshot that is further on. Whether it was."""
         if snapshot.position <= self.position:
             return False
@@ -65,10 +65,10 @@
         self.newest = max(self.newest, snapshot.purged_before)
         self.tail.clear()
         self.tail_after = snapshot.position.sequence
-        self.take_history(snapshot)
+        self.load_history(snapshot)
         return True
 
-    def take_history(self, snapshot):
+    def load_history(self, snapshot):
         """The latest changes that a snapshot already has in it, to pass on one by one."""
         history = snapshot.history
         if history is None or history.epoch != snapshot.position.epoch:
@@ -79,26 +79,26 @@
             self.tail.extend(changes)
             self.tail_after = snapshot.position.sequence - len(changes)
 
-    def begin(self, epoch):
+    def begin_epoch(self, epoch):
         """A writer's time begins: what follows is of this epoch. Whether it is a later one."""
-        return self.take_snapshot(Snapshot(Position(epoch), self.configuration, self.newest))
+        return self.apply_snapshot(Snapshot(Position(epoch), self.configuration, self.newest))
 
     # --- passing on -------------------------------------------------------------------------------------
 
-    def span_after(self, position, most=SPAN_CHANGES):
+    def span_after(self, position, max_changes=MAX_SPAN_CHANGES):
         """What follows a position, so many changes at the most; None if the tail does not reach back to
         it."""
-        if position.epoch != self.position.epoch or not self.reaches(position.sequence):
+        if position.epoch != self.position.epoch or not self.covers(position.sequence):
             return None
         first, size, changes = position.sequence - self.tail_after, 0, []
-        for change in islice(self.tail, first, first + most):
+        for change in islice(self.tail, first, first + max_changes):
             size += sum(len(item.key) + len(item.value) for item in change.items)
-            if changes and size > SPAN_BYTES:
+            if changes and size > MAX_SPAN_BYTES:
                 break
             changes.append(change)
         return Span(position.epoch, position.sequence, changes)
 
-    def reaches(self, sequence):
+    def covers(self, sequence):
         """Whether the tail has all that follows a sequence."""
         return self.tail_after <= sequence <= self.position.sequence
 
@@ -112,8 +112,8 @@
 
     def history(self):
         """The latest changes, as many as one message bears."""
-        after = max(self.tail_after, self.position.sequence - SPAN_CHANGES)
+        after = max(self.tail_after, self.position.sequence - MAX_SPAN_CHANGES)
         size = sum(len(item.key) + len(item.value) for change in self.tail for item in change.items)
-        if size > SPAN_BYTES:
+        if size > MAX_SPAN_BYTES:
             return None
         return self.span_after(Position(self.position.epoch, after))
--- a/lilacdyke/changes/messages.py
+++ b/lilacdyke/changes/messages.py
@@ -13,9 +13,9 @@
 from ..framing import LENGTH, FrameReader
 
 MAJOR, MINOR = 1, 0
-MOST_BYTES = 1 << 20  # of one frame
-MOST_ORIGINS = 64  # logs that one message tells of
-MOST_NAMES = 32  # replicas named as behind
+MAX_FRAME_BYTES = 1 << 20  # of one frame
+MAX_ORIGINS = 64  # logs that one message tells of
+MAX_BEHIND_NAMES = 32  # replicas named as behind
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Text = Annotated[str, Meta(max_length=65_536)]
@@ -26,7 +26,7 @@
     """Bytes that are no frame of this protocol: the link ends."""
 
 
-class OtherMajorError(BadFrameError):
+class UnsupportedVersionError(BadFrameError):
     """The peer speaks a major version that this one does not."""
 
 
@@ -85,7 +85,7 @@
     spans: dict[Name, Span] = {}
     snapshots: dict[Name, Snapshot] = {}
     complete: dict[Name, Position] = {}  # what the teller and all below it have at the least
-    behind: Annotated[list[Name], Meta(max_length=MOST_NAMES)] = []  # who of them is not that far
+    behind: Annotated[list[Name], Meta(max_length=MAX_BEHIND_NAMES)] = []  # who of them is not that far
     below: Count = 0  # how many replicas are below
 
 
@@ -146,7 +146,7 @@
 def pack(message):
     """A message's frame."""
     body = msgspec.msgpack.encode((MAJOR, MINOR, message))
-    if len(body) > MOST_BYTES:
+    if len(body) > MAX_FRAME_BYTES:
         raise BadFrameError('a message of %d bytes' % len(body))
     return LENGTH.pack(len(body)) + body
 
@@ -156,7 +156,7 @@
     try:
         frame = msgspec.msgpack.decode(body, type=Frame)
         if frame.major != MAJOR:
-            raise OtherMajorError(
+            raise UnsupportedVersionError(
                 'version %d.%d, and this is %d.%d' % (frame.major, frame.minor, MAJOR, MINOR)
             )
         return msgspec.msgpack.decode(frame.message, type=kind)
@@ -166,4 +166,4 @@
 
 def frame_reader():
     """A reader of this protocol's frames."""
-    return FrameReader(MOST_BYTES, BadFrameError)
+    return FrameReader(MAX_FRAME_BYTES, BadFrameError)
--- a/lilacdyke/changes/node.py
+++ b/lilacdyke/changes/node.py
@@ -13,9 +13,9 @@
 from .log import CONFIGURATION, PURGE
 from .replica import Replica
 
-LOOK_EVERY = SECOND
-FIGURES_EVERY = 10 * SECOND
-PURGES_KEPT = 4_096
+AGE_CHECK_INTERVAL = SECOND
+STATS_INTERVAL = 10 * SECOND
+MAX_PURGES = 4_096
 
 
 class Record:
@@ -33,9 +33,9 @@
             self.purged_before = max(self.purged_before, snapshot.purged_before)
             self.counts['snapshots'] += 1
         for change in changes:
-            self.take(origin, change)
+            self.apply(origin, change)
 
-    def take(self, origin, change):
+    def apply(self, origin, change):
         """One change."""
         if change.kind == CONFIGURATION:
             values = self.configuration.setdefault(origin, {})
@@ -44,7 +44,7 @@
             for item in change.items:
                 self.purges[item.key] = change.at
                 self.purges.move_to_end(item.key)
-            while len(self.purges) > PURGES_KEPT:
+            while len(self.purges) > MAX_PURGES:
                 self.purges.popitem(last=False)
         self.counts[change.kind if change.kind in self.counts else 'unknown'] += 1
 
@@ -52,28 +52,28 @@
 class NodeChanges:
     """A node's replica, which asks the relays of the file, its own first one by its rank."""
 
-    def __init__(self, reactor, elapsed, chance, name, rank, settings, record=None):
+    def __init__(self, reactor, elapsed, random, name, rank, settings, record=None):
         relays = [(process.name, address(process.address)) for process in settings.relays]
-        turn = rank % max(1, len(relays))
+        first = rank % max(1, len(relays))
         self.record = record or Record()
         self.replica = Replica(name, tail=1)  # a node passes nothing on
         self.host = Host(
             reactor,
             elapsed,
-            chance,
+            random,
             self.replica,
             settings.installation,
-            relays[turn:] + relays[:turn],
+            relays[first:] + relays[:first],
             self.record,
         )
-        self.bound = int(settings.stale_after_s * SECOND)
+        self.max_age = int(settings.stale_after_s * SECOND)
         self.stale = None  # whether it was beyond the bound at the last look
 
     def begin(self):
         """Ask from now on."""
-        self.host.begin()
-        self.look(0)
-        self.figures(0)
+        self.host.start()
+        self.check_age(0)
+        self.log_counts(0)
 
     def age(self):
         """What is older than that is not lacking, in ticks, over all logs; None: not known."""
@@ -81,29 +81,29 @@
         ages = [self.replica.age(now, origin) for origin in self.replica.logs]
         return None if not ages or None in ages else max(ages)
 
-    def look(self, _):
+    def check_age(self, _):
         """Whether it is beyond the bound."""
         age = self.age()
-        stale = age is None or age > self.bound
+        stale = age is None or age > self.max_age
         if stale != self.stale:
             self.stale = stale
             (warn if stale else say)(
                 'changes stale' if stale else 'changes fresh', age_ms=None if age is None else age // 10
             )
-        self.host.deadlines.at(self.host.clock() + LOOK_EVERY, self.look, 0)
+        self.host.deadlines.at(self.host.clock() + AGE_CHECK_INTERVAL, self.check_age, 0)
 
-    def figures(self, _):
+    def log_counts(self, _):
         """A line of counts."""
         age = self.age()
         say(
             'changes',
             age_ms=None if age is None else age // 10,
-            above=self.host.up.peer if self.host.up else None,
+            above=self.host.parent_link.peer if self.host.parent_link else None,
             positions={name: tuple(self._position(log)) for name, log in self.replica.logs.items()},
             **self.record.counts,
             **self.host.counts,
         )
-        self.host.deadlines.at(self.host.clock() + FIGURES_EVERY, self.figures, 0)
+        self.host.deadlines.at(self.host.clock() + STATS_INTERVAL, self.log_counts, 0)
 
     @staticmethod
     def _position(log):
--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -21,57 +21,57 @@
 from .store import DiskError, Store
 from .writer import NotKeptError, Writer
 
-FIGURES_EVERY = 10 * SECOND
-START_TRIES, START_PAUSE_S = 20, 0.25
+STATS_INTERVAL = 10 * SECOND
+START_ATTEMPTS, START_RETRY_DELAY_S = 20, 0.25
 
 
-def patiently(call):
+def retry_disk(call):
     """What a call gives that writes or reads the file. Guards against a start that fails because the disk
     does for a moment. Raises BadLine."""
-    for tries_left in reversed(range(START_TRIES)):
+    for attempts_left in reversed(range(START_ATTEMPTS)):
         try:
             return call()
         except (DiskError, NotKeptError) as err:
-            if not tries_left:
+            if not attempts_left:
                 raise
             warn('disk failed at the start', reason=err)
-            time.sleep(START_PAUSE_S)
+            time.sleep(START_RETRY_DELAY_S)
 
 
-def writer_of(settings, process, replica):
+def make_writer(settings, process, replica):
     """The writer of a process of the file. Raises BadLine."""
-    store = patiently(lambda: Store(process.folder))
+    store = retry_disk(lambda: Store(process.folder))
     writer = Writer(
-        replica, settings.keys, lambda line: patiently(lambda: store.keep(line)), store.lines
+        replica, settings.keys, lambda line: retry_disk(lambda: store.keep(line)), store.lines
     )  # it writes down its epoch
     writer.keep = store.keep
     return writer
 
 
-def host_of(settings, process, reactor, system=System):
+def make_host(settings, process, reactor, system=System):
     """The host of one process of the file. Raises BadLine where a writer's file cannot be read."""
-    writes = process.role == 'writer'
-    replica = Replica(process.name, process.name if writes else None)
-    above = [(name, address(settings.named(name).address)) for name in process.above]
-    chance = Random(os.urandom(8)).random
+    is_writer = process.role == 'writer'
+    replica = Replica(process.name, process.name if is_writer else None)
+    parents = [(name, address(settings.named(name).address)) for name in process.parents]
+    random = Random(os.urandom(8)).random
     # A relay's neighbours below that are relays too are not held to a node's rate.
     relays = frozenset(each.name for each in settings.process)
     host = Host(
         reactor,
         system.elapsed,
-        chance,
+        random,
         replica,
         settings.installation,
-        above,
+        parents,
         node_rate=lambda name: None if name in relays else settings.node_rate,
     )
-    if writes:
-        host.writer = writer_of(settings, process, replica)
-        host.put_at = lambda: int(System.wall() * 1_000)
+    if is_writer:
+        host.writer = make_writer(settings, process, replica)
+        host.wall_ms = lambda: int(System.wall() * 1_000)
     return host
 
 
-def figures(host, system=System):
+def log_counts(host, system=System):
     """A line of counts, again and again."""
     replica = host.replica
     status = host.status()
@@ -85,7 +85,7 @@
         **replica.counts,
         **host.counts,
     )
-    host.deadlines.at(host.clock() + FIGURES_EVERY, lambda _: figures(host, system), 0)
+    host.deadlines.at(host.clock() + STATS_INTERVAL, lambda _: log_counts(host, system), 0)
 
 
 def run(settings, name):
@@ -97,7 +97,7 @@
     reactor = Reactor()
     installReactor(reactor)
     process = settings.named(name)
-    host = host_of(settings, process, reactor)
+    host = make_host(settings, process, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
     try:
@@ -105,8 +105,8 @@
     except CannotListenError as err:
         warn('cannot listen', reason=err)
         return 1
-    host.begin()
-    figures(host)
+    host.start()
+    log_counts(host)
     say('serves', name=name, role=process.role, address=process.address)
     gc.collect()
     gc.freeze()
--- a/lilacdyke/changes/replica.py
+++ b/lilacdyke/changes/replica.py
@@ -16,12 +16,12 @@
 
 from ..plan.ledger import longer
 from ..values import SECOND
-from .log import SPAN_CHANGES, ChangeLog
-from .messages import MOST_NAMES, MOST_ORIGINS, Position, Sync
+from .log import MAX_SPAN_CHANGES, ChangeLog
+from .messages import MAX_BEHIND_NAMES, MAX_ORIGINS, Position, Sync
 
-BATCH_EVERY = SECOND // 4  # between two messages to a neighbour while there are changes
-HEARTBEAT_EVERY = SECOND  # while there are none
-FORGET_AFTER = 60 * SECOND  # a neighbour below that has gone counts as behind for so long
+BATCH_INTERVAL = SECOND // 4  # between two messages to a neighbour while there are changes
+HEARTBEAT_INTERVAL = SECOND  # while there are none
+NEIGHBOUR_RETENTION = 60 * SECOND  # a neighbour below that has gone counts as behind for so long
 
 
 class Neighbour:
@@ -29,32 +29,32 @@
 
     __slots__ = (
         'name',
-        'below',
+        'is_child',
         'positions',
         'sent',
         'sent_at',
-        'heard',
-        'next',
+        'last_stamp',
+        'next_send',
         'complete',
         'behind',
-        'count',
+        'descendants',
         'linked',
         'blocked',
-        'gone',
+        'unlinked_at',
         'rate',
     )
 
-    def __init__(self, name, below, rate):
-        self.name, self.below = name, below
+    def __init__(self, name, is_child, rate):
+        self.name, self.is_child = name, is_child
         self.positions = {}  # by origin, as it said
         self.sent, self.sent_at = (
             {},
             0,
         )  # by origin, how far it will be once it has what was sent; since our stamp
-        self.heard = None  # its newest stamp
-        self.next = 0  # when it is told something again
-        self.complete, self.behind, self.count = {}, [], 0  # of it and all below it
-        self.linked, self.gone = False, 0
+        self.last_stamp = None  # its newest stamp
+        self.next_send = 0  # when it is told something again
+        self.complete, self.behind, self.descendants = {}, [], 0  # of it and all below it
+        self.linked, self.unlinked_at = False, 0
         self.blocked = False  # whether the system holds something that was sent and has not left
         self.rate = rate  # changes a second that it is sent at the most; None: as many as there are
 
@@ -63,15 +63,15 @@
     """One replica. origin: of the log that this one writes, None for most; holds(now): whether its writer's
     lease is held, so that nobody writes that log but this one."""
 
-    def __init__(self, name, origin=None, holds=lambda now: True, tail=None):
-        self.name, self.origin, self.holds = name, origin, holds
+    def __init__(self, name, origin=None, holds_lease=lambda now: True, tail=None):
+        self.name, self.origin, self.holds_lease = name, origin, holds_lease
         self.logs, self.tail = {}, tail
-        self.fresh = {}  # by origin: since when nothing is known to be lacking, by this clock
+        self.fresh_since = {}  # by origin: since when nothing is known to be lacking, by this clock
         self.neighbours = {}
         # (when, neighbour's name): who is told something then, unless sooner
-        self.due, self.forget_at = [], 0
+        self.send_schedule, self.next_cleanup = [], 0
         self.counts = Counter()
-        self.taken = []  # (origin, changes, snapshot or None) that the host has not handled yet
+        self.unhandled = []  # (origin, changes, snapshot or None) that the host has not handled yet
         if origin is not None:
             self.log(origin)
 
@@ -83,95 +83,99 @@
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def linked(self, now, name, below, rate=None):
+    def linked(self, now, name, is_child, rate=None):
         """A link to a neighbour is there."""
         neighbour = self.neighbours.get(name)
         if neighbour is None:
-            neighbour = self.neighbours[name] = Neighbour(name, below, rate)
-        neighbour.linked, neighbour.blocked, neighbour.heard = True, False, None
+            neighbour = self.neighbours[name] = Neighbour(name, is_child, rate)
+        neighbour.linked, neighbour.blocked, neighbour.last_stamp = True, False, None
         neighbour.positions, neighbour.sent = {}, {}
-        self.tell_at(neighbour, now)
+        self.schedule_send(neighbour, now)
 
     def unlinked(self, now, name):
         """It has ended."""
         neighbour = self.neighbours[name]
-        neighbour.linked, neighbour.gone = False, now
+        neighbour.linked, neighbour.unlinked_at = False, now
 
-    def blocked(self, name, whether):
+    def blocked(self, name, is_blocked):
         """What was sent to a neighbour lies with the system still, or has left. Guards against one that does
         not read."""
         neighbour = self.neighbours.get(name)
         if neighbour is not None:
-            neighbour.blocked = whether
-            self.tell_at(neighbour, neighbour.next)
+            neighbour.blocked = is_blocked
+            self.schedule_send(neighbour, neighbour.next_send)
 
-    def told(self, now, name, sync):
+    def receive(self, now, name, sync):
         """A neighbour's message."""
         neighbour = self.neighbours[name]
-        if neighbour.heard is not None and sync.stamp < neighbour.heard:
+        if neighbour.last_stamp is not None and sync.stamp < neighbour.last_stamp:
             self.counts['late'] += (
                 1  # an older one says nothing that is still true of it, but its changes count
             )
         else:
-            self.note(neighbour, sync)
+            self.update_neighbour(neighbour, sync)
         for origin, snapshot in sync.snapshots.items():
-            if origin != self.origin and self.known(origin) and self.log(origin).take_snapshot(snapshot):
+            if (
+                origin != self.origin
+                and self.accepts_origin(origin)
+                and self.log(origin).apply_snapshot(snapshot)
+            ):
                 self.counts['snapshots'] += 1
-                self.taken.append((origin, [], snapshot))
+                self.unhandled.append((origin, [], snapshot))
         for origin, span in sync.spans.items():
-            if origin != self.origin and self.known(origin):
-                self.take_span(origin, span)
-        self.hear_freshness(sync)
+            if origin != self.origin and self.accepts_origin(origin):
+                self.apply_span(origin, span)
+        self.update_freshness(sync)
         if sync.spans or sync.snapshots:
-            self.tell_by(neighbour, now + BATCH_EVERY)  # what was taken is acknowledged soon
+            self.schedule_send_by(neighbour, now + BATCH_INTERVAL)  # what was taken is acknowledged soon
 
-    def known(self, origin):
+    def accepts_origin(self, origin):
         """Whether there is a log for it, or room for one more."""
-        return origin in self.logs or len(self.logs) < MOST_ORIGINS
+        return origin in self.logs or len(self.logs) < MAX_ORIGINS
 
-    def note(self, neighbour, sync):
+    def update_neighbour(self, neighbour, sync):
         """Where a neighbour is."""
-        neighbour.heard = sync.stamp
+        neighbour.last_stamp = sync.stamp
         neighbour.positions = sync.positions
         if sync.echo is not None and sync.echo >= neighbour.sent_at:
             neighbour.sent = {}  # it has heard all that was sent: what it lacks still was lost
-        neighbour.complete, neighbour.behind, neighbour.count = sync.complete, sync.behind, sync.below
+        neighbour.complete, neighbour.behind, neighbour.descendants = sync.complete, sync.behind, sync.below
 
-    def take_span(self, origin, span):
+    def apply_span(self, origin, span):
         """Changes of one origin."""
-        taken = self.log(origin).take_span(span)
-        self.counts['doubled'] += len(span.changes) - len(taken)
-        if taken:
-            self.counts['taken'] += len(taken)
-            self.taken.append((origin, taken, None))
+        applied = self.log(origin).apply_span(span)
+        self.counts['doubled'] += len(span.changes) - len(applied)
+        if applied:
+            self.counts['taken'] += len(applied)
+            self.unhandled.append((origin, applied, None))
 
-    def hear_freshness(self, sync):
+    def update_freshness(self, sync):
         """How old a neighbour's logs were, as far as ours have all that it has."""
         if sync.echo is None:
             return
         for origin, age in sync.ages.items():
             theirs = sync.positions.get(origin)
-            if origin == self.origin or theirs is None or not self.has_all(origin, theirs):
+            if origin == self.origin or theirs is None or not self.has_reached(origin, theirs):
                 continue
             since = sync.echo - longer(age)
-            self.fresh[origin] = max(self.fresh.get(origin, since), since)
+            self.fresh_since[origin] = max(self.fresh_since.get(origin, since), since)
 
-    def has_all(self, origin, position):
+    def has_reached(self, origin, position):
         """Whether our log is as far as that."""
         return self.log(origin).position >= position
 
     def put(self, change):
         """The next change of our own log."""
         self.log(self.origin).append(change)
-        self.taken.append((self.origin, [change], None))
+        self.unhandled.append((self.origin, [change], None))
 
     # --- what follows -----------------------------------------------------------------------------------
 
     def age(self, now, origin):
         """Our log of an origin lacks nothing that is older; None: not known."""
         if origin == self.origin:
-            return 0 if self.holds(now) else None
-        since = self.fresh.get(origin)
+            return 0 if self.holds_lease(now) else None
+        since = self.fresh_since.get(origin)
         return None if since is None else max(0, now - since)
 
     def complete(self, origin):
@@ -183,91 +187,91 @@
 
     def children(self):
         """Neighbours below, those that have gone lately among them."""
-        return [neighbour for neighbour in self.neighbours.values() if neighbour.below]
+        return [neighbour for neighbour in self.neighbours.values() if neighbour.is_child]
 
     def behind(self):
         """Who below has not all that this replica has, by name."""
         found = []
         for neighbour in self.children():
             found += neighbour.behind
-            mine = any(
+            is_behind = any(
                 neighbour.positions.get(origin, Position()) < log.position
                 for origin, log in self.logs.items()
             )
-            if not neighbour.linked or mine:
+            if not neighbour.linked or is_behind:
                 found.append(neighbour.name)
-        return found[:MOST_NAMES]
+        return found[:MAX_BEHIND_NAMES]
 
-    def below(self):
+    def count_descendants(self):
         """How many replicas are below."""
-        return sum(1 + neighbour.count for neighbour in self.children())
+        return sum(1 + neighbour.descendants for neighbour in self.children())
 
-    def tell_at(self, neighbour, when):
+    def schedule_send(self, neighbour, when):
         """A neighbour is told something then."""
-        neighbour.next = when
-        heappush(self.due, (when, neighbour.name))
+        neighbour.next_send = when
+        heappush(self.send_schedule, (when, neighbour.name))
 
-    def tell_by(self, neighbour, when):
+    def schedule_send_by(self, neighbour, when):
         """The same, unless that is so sooner."""
-        if when < neighbour.next:
-            self.tell_at(neighbour, when)
+        if when < neighbour.next_send:
+            self.schedule_send(neighbour, when)
 
-    def first_due(self):
+    def next_due(self):
         """Whom something is told next, or None. What was put off, or waits for a link, is passed over."""
-        while self.due:
-            when, name = self.due[0]
+        while self.send_schedule:
+            when, name = self.send_schedule[0]
             neighbour = self.neighbours.get(name)
             if (
                 neighbour is not None
                 and neighbour.linked
                 and not neighbour.blocked
-                and neighbour.next == when
+                and neighbour.next_send == when
             ):
                 return neighbour
-            heappop(self.due)
+            heappop(self.send_schedule)
         return None
 
     def decide(self, now):
         """The next thing to do: ('send', neighbour, message), or None."""
-        self.forget(now)
-        neighbour = self.first_due()
-        if neighbour is None or now < neighbour.next:
+        self.drop_stale_neighbours(now)
+        neighbour = self.next_due()
+        if neighbour is None or now < neighbour.next_send:
             return None
-        heappop(self.due)
-        return 'send', neighbour.name, self.message(now, neighbour)
+        heappop(self.send_schedule)
+        return 'send', neighbour.name, self.build_sync(now, neighbour)
 
-    def next_look(self):
+    def next_wake(self):
         """When there may be something to do, or None."""
-        neighbour = self.first_due()
-        return None if neighbour is None else neighbour.next
+        neighbour = self.next_due()
+        return None if neighbour is None else neighbour.next_send
 
-    def forget(self, now):
+    def drop_stale_neighbours(self, now):
         """Neighbours below that have been gone for long."""
-        if now < self.forget_at:
+        if now < self.next_cleanup:
             return
-        self.forget_at = now + HEARTBEAT_EVERY
+        self.next_cleanup = now + HEARTBEAT_INTERVAL
         for name, neighbour in list(self.neighbours.items()):
-            if not neighbour.linked and now >= neighbour.gone + FORGET_AFTER:
+            if not neighbour.linked and now >= neighbour.unlinked_at + NEIGHBOUR_RETENTION:
                 del self.neighbours[name]
 
-    def message(self, now, neighbour):
+    def build_sync(self, now, neighbour):
         """What a neighbour is told now."""
         spans, snapshots = {}, {}
-        if neighbour.heard is not None:
-            self.gather(neighbour, spans, snapshots)
+        if neighbour.last_stamp is not None:
+            self.collect_missing(neighbour, spans, snapshots)
         if spans or snapshots:
             neighbour.sent_at = now
-        self.tell_at(neighbour, now + (BATCH_EVERY if spans or snapshots else HEARTBEAT_EVERY))
+        self.schedule_send(neighbour, now + (BATCH_INTERVAL if spans or snapshots else HEARTBEAT_INTERVAL))
         ages = {origin: self.age(now, origin) for origin in self.logs}
         return Sync(
             name=self.name,
             stamp=now,
-            echo=neighbour.heard,
+            echo=neighbour.last_stamp,
             positions={origin: log.position for origin, log in self.logs.items()},
             ages={origin: age for origin, age in ages.items() if age is not None},
             spans=spans,
             snapshots=snapshots,
-            **({} if neighbour.below else self.report()),
+            **({} if neighbour.is_child else self.report()),
         )
 
     def report(self):
@@ -275,26 +279,28 @@
         return {
             'complete': {origin: self.complete(origin) for origin in self.logs},
             'behind': self.behind(),
-            'below': self.below(),
+            'below': self.count_descendants(),
         }
 
-    def gather(self, neighbour, spans, snapshots):
+    def collect_missing(self, neighbour, spans, snapshots):
         """What a neighbour lacks."""
-        left = SPAN_CHANGES if neighbour.rate is None else max(1, neighbour.rate * BATCH_EVERY // SECOND)
+        budget = (
+            MAX_SPAN_CHANGES if neighbour.rate is None else max(1, neighbour.rate * BATCH_INTERVAL // SECOND)
+        )
         for origin, log in self.logs.items():
             theirs = max(neighbour.positions.get(origin, Position()), neighbour.sent.get(origin, Position()))
-            if theirs >= log.position or not left:
+            if theirs >= log.position or not budget:
                 continue
-            span = log.span_after(theirs, left)
+            span = log.span_after(theirs, budget)
             if span is None:
                 snapshots[origin] = log.snapshot(with_history=neighbour.rate is None)
                 neighbour.sent[origin] = log.position
             else:
                 spans[origin] = span
-                left -= len(span.changes)
+                budget -= len(span.changes)
                 neighbour.sent[origin] = Position(span.epoch, span.changes[-1].sequence)
 
-    def changed(self, now):
+    def schedule_batch(self, now):
         """There is something new: neighbours that have rested are told at the next batch."""
         for neighbour in self.neighbours.values():
-            self.tell_by(neighbour, now + BATCH_EVERY)
+            self.schedule_send_by(neighbour, now + BATCH_INTERVAL)
--- a/lilacdyke/changes/search.py
+++ b/lilacdyke/changes/search.py
@@ -21,10 +21,10 @@
 RATES = (Fraction(20, 21), Fraction(1), Fraction(21, 20))
 FULL_TREE = (('w', 'r0'), ('w', 'r1'), ('r0', 'n0'), ('r0', 'n1'), ('r1', 'n2'))
 SMALL_TREE = (('w', 'r0'), ('r0', 'n0'))
-MOST_IN_FLIGHT = 12
+MAX_IN_FLIGHT = 12
 
 
-class BrokenPromiseError(Exception):
+class InvariantError(Exception):
     """What was promised and does not hold."""
 
 
@@ -34,14 +34,14 @@
     def __init__(self, tree, rates):
         self.tree, self.rates, self.now = tree, dict(rates), 1_000
         self.names = sorted({name for pair in tree for name in pair})
-        self.flying = []  # (sender, receiver, bytes)
+        self.in_flight = []  # (sender, receiver, bytes)
         self.lines = []  # of the writer's file
-        self.truth = {}  # the configuration as it was put
+        self.expected = {}  # the configuration as it was put
         self.states = {Position(): {}}  # by position: the configuration there
         self.epoch = 0  # of the writer that holds the lease, this one or another
-        self.heads = []  # (true time, position) of each change and epoch
-        self.ever = {}  # by name: the furthest that it ever was
-        self.replicas, self.writer, self.leased = {}, None, True
+        self.history = []  # (true time, position) of each change and epoch
+        self.furthest = {}  # by name: the furthest that it ever was
+        self.replicas, self.writer, self.lease_held = {}, None, True
         for name in self.names:
             self.start(name)
         for upper, lower in tree:
@@ -59,18 +59,18 @@
 
     def start(self, name):
         """A process starts, with an empty memory but for the writer's file."""
-        writes = name == ORIGIN
+        is_writer = name == ORIGIN
         # The lease is a flag of this world's; a replica keeps no reference to it, so that worlds can be
         # copied.
-        self.replicas[name] = replica = Replica(name, ORIGIN if writes else None, Holds(self), TAIL)
-        if writes:
+        self.replicas[name] = replica = Replica(name, ORIGIN if is_writer else None, LeaseHeld(self), TAIL)
+        if is_writer:
             self.epoch += 1
             self.writer = Writer(replica, KEYS, self.lines.append, list(self.lines), self.epoch)
-            self.note_head(replica.logs[ORIGIN].position)
+            self.record_head(replica.logs[ORIGIN].position)
 
     def restart(self, name):
         """It is killed and starts again; its links break and come up again."""
-        self.flying = [each for each in self.flying if name not in each[:2]]
+        self.in_flight = [each for each in self.in_flight if name not in each[:2]]
         for upper, lower in self.tree:
             if name in (upper, lower):
                 self.unlink(upper, lower)
@@ -86,103 +86,103 @@
 
     def unlink(self, upper, lower):
         """A link ends: what was on it is lost."""
-        self.flying = [each for each in self.flying if set(each[:2]) != {upper, lower}]
+        self.in_flight = [each for each in self.in_flight if set(each[:2]) != {upper, lower}]
         self.replicas[upper].unlinked(self.clock(upper), lower)
         self.replicas[lower].unlinked(self.clock(lower), upper)
 
     def put(self, value):
         """The writer puts a change of two keys, if it holds its lease."""
-        if self.leased:
-            self.truth = {'a': value, 'b': value}
-            change = self.writer.put('config', list(self.truth.items()), self.now)
-            self.note_head(Position(self.epoch, change.sequence))
-            self.replicas[ORIGIN].changed(self.clock(ORIGIN))
+        if self.lease_held:
+            self.expected = {'a': value, 'b': value}
+            change = self.writer.put('config', list(self.expected.items()), self.now)
+            self.record_head(Position(self.epoch, change.sequence))
+            self.replicas[ORIGIN].schedule_batch(self.clock(ORIGIN))
 
-    def note_head(self, position):
+    def record_head(self, position):
         """What is true from now on."""
-        self.states[position] = dict(self.truth)
-        self.heads.append((self.now, position))
+        self.states[position] = dict(self.expected)
+        self.history.append((self.now, position))
 
-    def turn_lease(self):
+    def toggle_lease(self):
         """Another process, which nobody here reaches, becomes the writer; or this one again, in an epoch of
         its own."""
-        self.leased = not self.leased
-        if self.leased:
+        self.lease_held = not self.lease_held
+        if self.lease_held:
             self.restart(ORIGIN)
         else:
             self.epoch += 1
-            self.note_head(Position(self.epoch))
+            self.record_head(Position(self.epoch))
 
-    def speak(self, name):
+    def send_pending(self, name):
         """A process says what it has to say."""
         replica, now = self.replicas[name], self.clock(name)
         while (decision := replica.decide(now)) is not None:
             _, to, message = decision
-            self.flying.append((name, to, pack(message)[4:]))
-        del self.flying[:-MOST_IN_FLIGHT]
+            self.in_flight.append((name, to, pack(message)[4:]))
+        del self.in_flight[:-MAX_IN_FLIGHT]
 
-    def deliver(self, index, keep=False):
+    def deliver(self, index, duplicate=False):
         """A message on its way arrives; keep: and will once more."""
-        sender, receiver, body = self.flying[index] if keep else self.flying.pop(index)
+        sender, receiver, body = self.in_flight[index] if duplicate else self.in_flight.pop(index)
         replica = self.replicas[receiver]
         before = {origin: log.position for origin, log in replica.logs.items()}
-        replica.told(self.clock(receiver), sender, unpack(body, Sync))
+        replica.receive(self.clock(receiver), sender, unpack(body, Sync))
         for origin, position in before.items():
             if replica.logs[origin].position < position:
-                raise BrokenPromiseError('%s went back from %s' % (receiver, position))
+                raise InvariantError('%s went back from %s' % (receiver, position))
 
     # --- promises ---------------------------------------------------------------------------------------
 
-    def judge(self):
+    def check_invariants(self):
         """Look at all promises."""
         for name, replica in self.replicas.items():
             log = replica.logs.get(ORIGIN)
             if log is None:
                 continue
-            self.judge_state(name, replica, log)
-            self.judge_freshness(name, replica, log)
-            self.ever[name] = max(self.ever.get(name, Position()), log.position)
-        self.judge_complete()
+            self.check_state(name, replica, log)
+            self.check_freshness(name, replica, log)
+            self.furthest[name] = max(self.furthest.get(name, Position()), log.position)
+        self.check_complete()
 
-    def judge_state(self, name, replica, log):
+    def check_state(self, name, replica, log):
         """What a replica has is what the writer had there, and its host was told of every change."""
         if log.position not in self.states:
-            raise BrokenPromiseError('%s is at %s, where the writer never was' % (name, log.position))
+            raise InvariantError('%s is at %s, where the writer never was' % (name, log.position))
         if log.configuration != self.states[log.position]:
-            raise BrokenPromiseError('%s has %s at %s' % (name, log.configuration, log.position))
+            raise InvariantError('%s has %s at %s' % (name, log.configuration, log.position))
         if name != ORIGIN:
-            self.judge_told(name, replica)
-        replica.taken = replica.taken[-64:]
+            self.check_handled(name, replica)
+        replica.unhandled = replica.unhandled[-64:]
 
-    def judge_told(self, name, replica):
+    def check_handled(self, name, replica):
         """What its host was told is without a gap, and nothing came twice."""
         last = None
-        for _, changes, snapshot in replica.taken:
+        for _, changes, snapshot in replica.unhandled:
             if snapshot is not None:
                 last = snapshot.position.sequence
             for change in changes:
                 if last is not None and change.sequence != last + 1:
-                    raise BrokenPromiseError('%s was told of %d after %d' % (name, change.sequence, last))
+                    raise InvariantError('%s was told of %d after %d' % (name, change.sequence, last))
                 last = change.sequence
         if last is not None and last != replica.logs[ORIGIN].position.sequence:
-            raise BrokenPromiseError(
+            raise InvariantError(
                 '%s was told up to %d and is at %s' % (name, last, replica.logs[ORIGIN].position)
             )
 
-    def judge_freshness(self, name, replica, log):
+    def check_freshness(self, name, replica, log):
         """A replica lacks nothing that is older than it says."""
         now = self.clock(name)
         age = replica.age(now, ORIGIN)
         if age is None:
             return
         since = self.true_time(name, now - age)
-        owed = [position for when, position in self.heads if when < since - 1]
-        if owed and log.position < owed[-1]:
-            raise BrokenPromiseError(
-                '%s says %d ticks, and is at %s of %s' % (name, age, log.position, owed[-1])
+        required = [position for when, position in self.history if when < since - 1]
+        if required and log.position < required[-1]:
+            raise InvariantError(
+                '%s says %d ticks, and is at %s of %s' % (name, age, log.position, required[-1])
             )
 
-    def judge_complete(self):
+    def check_complete(self):
         """Nobody below never had what is called complete."""
         for upper, lower in self.tree:
             replica = self.replicas[upper]
@@ -190,23 +190,23 @@
             if neighbour is None or ORIGIN not in replica.logs:
                 continue
             complete = replica.complete(ORIGIN)
-            if complete > self.ever.get(lower, Position()):
-                raise BrokenPromiseError('%s calls %s complete, %s never had it' % (upper, complete, lower))
+            if complete > self.furthest.get(lower, Position()):
+                raise InvariantError('%s calls %s complete, %s never had it' % (upper, complete, lower))
 
 
-class Holds:
+class LeaseHeld:
     """Whether the writer's lease is held."""
 
     def __init__(self, world):
         self.world = world
 
     def __call__(self, now):
-        return self.world.leased
+        return self.world.lease_held
 
 
-def rates_of(tree, chance):
+def draw_rates(tree, rng):
     """A clock's rate for each process."""
-    return {name: chance.choice(RATES) for name in sorted({name for pair in tree for name in pair})}
+    return {name: rng.choice(RATES) for name in sorted({name for pair in tree for name in pair})}
 
 
 # Steps by chance: how often each comes.
@@ -223,41 +223,41 @@
 }
 
 
-def step(world, chance, kind):
+def step(world, rng, kind):
     """One step of a kind."""
     if kind == 'advance':
-        world.now += chance.choice((1, 50, 900, 2_600, 11_000))
+        world.now += rng.choice((1, 50, 900, 2_600, 11_000))
     elif kind == 'put':
-        world.put('v%d' % chance.randrange(1 << 20))
+        world.put('v%d' % rng.randrange(1 << 20))
     elif kind == 'speak':
-        world.speak(chance.choice(world.names))
-    elif kind in ('deliver', 'double', 'lose') and world.flying:
-        index = chance.randrange(len(world.flying))
+        world.send_pending(rng.choice(world.names))
+    elif kind in ('deliver', 'double', 'lose') and world.in_flight:
+        index = rng.randrange(len(world.in_flight))
         if kind == 'lose':
-            world.flying.pop(index)
+            world.in_flight.pop(index)
         else:
             world.deliver(index, kind == 'double')
     elif kind == 'restart':
-        world.restart(chance.choice(world.names))
+        world.restart(rng.choice(world.names))
     elif kind == 'relink':
-        pair = chance.choice(world.tree)
+        pair = rng.choice(world.tree)
         world.unlink(*pair)
         world.link(*pair)
     elif kind == 'lease':
-        world.turn_lease()
+        world.toggle_lease()
 
 
-def by_chance(seed, steps=400, tree=FULL_TREE):
+def search_random(seed, steps=400, tree=FULL_TREE):
     """One large world; raises BrokenPromiseError. How many messages arrived."""
-    chance = Random('changes/%d' % seed)
-    world, arrived = World(tree, rates_of(tree, chance)), 0
+    rng = Random('changes/%d' % seed)
+    world, delivered = World(tree, draw_rates(tree, rng)), 0
     kinds, weights = list(STEPS), list(STEPS.values())
     for _ in range(steps):
-        kind = chance.choices(kinds, weights)[0]
-        step(world, chance, kind)
-        arrived += kind == 'deliver'
-        world.judge()
-    return arrived
+        kind = rng.choices(kinds, weights)[0]
+        step(world, rng, kind)
+        delivered += kind == 'deliver'
+        world.check_invariants()
+    return delivered
 
 
 def successors(world):
@@ -265,32 +265,32 @@
     found = [lambda copy: setattr(copy, 'now', copy.now + 2_600)]
     if len(world.lines) < 4:
         found.append(lambda copy: copy.put('v%d' % len(copy.lines)))
-    found += [lambda copy, name=name: copy.speak(name) for name in world.names]
-    for index in range(len(world.flying)):
+    found += [lambda copy, name=name: copy.send_pending(name) for name in world.names]
+    for index in range(len(world.in_flight)):
         found.append(lambda copy, index=index: copy.deliver(index))
         found.append(lambda copy, index=index: copy.deliver(index, True))
-        found.append(lambda copy, index=index: copy.flying.pop(index))
+        found.append(lambda copy, index=index: copy.in_flight.pop(index))
     found.append(lambda copy: copy.restart('n0'))
     return found
 
 
-def breadth_first(most=4_000, tree=SMALL_TREE):
+def search_breadth_first(max_worlds=4_000, tree=SMALL_TREE):
     """All worlds of the small tree, the nearest first, up to so many; how many were looked at."""
     first = World(tree, {'n0': RATES[2], 'r0': RATES[0]})
-    first.judge()
-    seen, edge = {pickle.dumps(first)}, [first]
-    while edge and len(seen) < most:
+    first.check_invariants()
+    seen, frontier = {pickle.dumps(first)}, [first]
+    while frontier and len(seen) < max_worlds:
         following = []
-        for world in edge:
-            for act in successors(world):
+        for world in frontier:
+            for transition in successors(world):
                 copy = pickle.loads(pickle.dumps(world))
-                act(copy)
-                copy.judge()
-                kept = pickle.dumps(copy)
-                if kept not in seen:
-                    seen.add(kept)
+                transition(copy)
+                copy.check_invariants()
+                state = pickle.dumps(copy)
+                if state not in seen:
+                    seen.add(state)
                     following.append(copy)
-            if len(seen) >= most:
+            if len(seen) >= max_worlds:
                 break
-        edge = following
+        frontier = following
     return len(seen)
--- a/lilacdyke/changes/settings.py
+++ b/lilacdyke/changes/settings.py
@@ -14,11 +14,11 @@
 from .writer import KeyType
 
 
-class Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A table of the file."""
 
 
-class Process(Part):
+class Process(Table):
     """One process that passes changes on. A writer has a folder for its file; a relay has processes above
     it."""
 
@@ -29,7 +29,7 @@
     folder: Annotated[str, Meta(min_length=1)] | None = None
 
 
-class Settings(Part):
+class Settings(Table):
     """The whole file."""
 
     enabled: bool
@@ -63,7 +63,7 @@
     if not any(role == 'writer' for role in roles.values()):
         raise BadLine('process: no writer')
     for process in settings.process:
-        check_way(process.name, settings)
+        check_no_cycle(process.name, settings)
     return settings
 
 
@@ -83,16 +83,16 @@
         raise BadLine('%sabove: no %s' % (where, unknown[0]))
 
 
-def check_way(name, settings):
+def check_no_cycle(name, settings):
     """Refuse a circle of processes above each other."""
-    seen, edge = set(), [name]
-    while edge:
-        for above in settings.named(edge.pop()).above:
+    seen, pending = set(), [name]
+    while pending:
+        for above in settings.named(pending.pop()).above:
             if above == name:
                 raise BadLine('process %s: above: it is above itself' % name)
             if above not in seen:
                 seen.add(above)
-                edge.append(above)
+                pending.append(above)
 
 
 def read(path):
--- a/lilacdyke/changes/store.py
+++ b/lilacdyke/changes/store.py
@@ -14,12 +14,12 @@
 
 from ..net.logs import warn
 from ..values import BadLine
-from .writer import Begun, Kept, Line, NotKeptError, Put
+from .writer import Begun, Compacted, Line, NotKeptError, Put
 
 LINES = 4_096  # from which a file is shortened at a start
 NAME = 'changes.jsonl'
 MODE = 0o644
-END = b'\n'
+LINE_END = b'\n'
 
 
 def read(folder):
@@ -27,26 +27,26 @@
     path = os.path.join(folder, NAME)
     try:
         with open(path, 'rb') as file:
-            return parsed(path, file.read())[0]
+            return parse(path, file.read())[0]
     except FileNotFoundError:
         return []
     except OSError as err:
         raise BadLine('%s: %s' % (path, err)) from None
 
 
-def parsed(path, text):
+def parse(path, text):
     """The whole lines of a file's bytes, and how many bytes these are. Raises BadLine."""
-    rows = text.split(END)
-    found = []
+    rows = text.split(LINE_END)
+    lines_found = []
     for number, row in enumerate(rows[:-1], 1):
         try:
-            found.append(msgspec.json.decode(row, type=Line))
+            lines_found.append(msgspec.json.decode(row, type=Line))
         except msgspec.MsgspecError as err:
             raise BadLine('%s: line %d: %s' % (path, number, err)) from None
-    return found, len(text) - len(rows[-1])
+    return lines_found, len(text) - len(rows[-1])
 
 
-def shortened(lines):
+def compacted(lines):
     """The same state in few lines, where there are many."""
     if len(lines) < LINES:
         return lines
@@ -54,23 +54,23 @@
     for line in lines:
         if isinstance(line, Begun):
             epoch = max(epoch, line.epoch)
-        elif isinstance(line, Kept):
+        elif isinstance(line, Compacted):
             epoch, configuration, newest = max(epoch, line.epoch), dict(line.configuration), line.newest
         elif isinstance(line, Put):
             newest = max(newest, line.change.at)
             if line.change.kind == 'config':
                 configuration.update({item.key: item.value for item in line.change.items})
-    return [Kept(epoch, configuration, newest)]
+    return [Compacted(epoch, configuration, newest)]
 
 
 def write_all(descriptor, data):
     """Write all of it, however little the system takes at a time. Raises OSError."""
-    rest = memoryview(data)
-    while rest:
-        taken = os.write(descriptor, rest)
-        if not taken:
+    remaining = memoryview(data)
+    while remaining:
+        written = os.write(descriptor, remaining)
+        if not written:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        rest = rest[taken:]
+        remaining = remaining[written:]
 
 
 def sync_folder(folder):
@@ -100,10 +100,10 @@
         try:
             self.open()
             with open(self.path, 'rb') as file:
-                self.lines, self.length = parsed(self.path, file.read())
+                self.lines, self.length = parse(self.path, file.read())
             self.clean = False  # whether the file ends at that length, on the disk as well
-            self.named = False  # whether its name has reached the disk
-            self.shorten()
+            self.name_synced = False  # whether its name has reached the disk
+            self.compact()
         except OSError as err:
             self.close()
             raise DiskError('%s: %s' % (self.path, err)) from None
@@ -115,19 +115,19 @@
         """Open the file, or make it."""
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, MODE)
 
-    def shorten(self):
+    def compact(self):
         """Put a shorter file of the same state in place of a long one. Should that fail, the long one goes
         on."""
-        short = shortened(self.lines)
-        if short is self.lines:
+        compacted_lines = compacted(self.lines)
+        if compacted_lines is self.lines:
             return
-        data = b''.join(msgspec.json.encode(line) + END for line in short)
+        data = b''.join(msgspec.json.encode(line) + LINE_END for line in compacted_lines)
         try:
             self.replace(data)
         except OSError as err:
             warn('file not shortened', path=self.path, reason=err)
             return
-        self.lines, self.length = short, len(data)
+        self.lines, self.length = compacted_lines, len(data)
 
     def replace(self, data):
         """Put a file of these bytes in the place of the present one, whole or not at all. Raises OSError."""
@@ -148,9 +148,9 @@
     def cut_back(self):
         """Take out what may stand beyond the last line that is kept, and see to the file's name. Raises
         OSError."""
-        if not self.named:
+        if not self.name_synced:
             sync_folder(self.folder)
-            self.named = True
+            self.name_synced = True
         if not self.clean:
             os.ftruncate(self.descriptor, self.length)
             os.fsync(self.descriptor)
@@ -159,18 +159,18 @@
     def keep(self, line):
         """Write a line down for good. Raises NotKeptError; the line is then not in the file, or, where that
         says so, it may be until the next is kept."""
-        data = msgspec.json.encode(line) + END
+        data = msgspec.json.encode(line) + LINE_END
         try:
             self.cut_back()
             self.clean = False
             write_all(self.descriptor, data)
             os.fsync(self.descriptor)
         except OSError as err:
-            raise self.not_kept(err) from None
+            raise self.refusal(err) from None
         self.length += len(data)
         self.clean = True
 
-    def not_kept(self, err):
+    def refusal(self, err):
         """The error for a line that was not kept, with the file cut back, if that can be done now."""
         try:
             self.cut_back()
--- a/lilacdyke/changes/writer.py
+++ b/lilacdyke/changes/writer.py
@@ -12,9 +12,11 @@
 from .log import CONFIGURATION, KINDS, PURGE
 from .messages import Change, Item, Position, Snapshot
 
-MOST_CONFIGURATION = 512 << 10  # bytes of all keys and values together, so that a snapshot is one message
-MOST_CHANGE = 64 << 10  # bytes of one change
-KEPT = 1_024  # changes that can be taken back
+MAX_CONFIGURATION_BYTES = (
+    512 << 10
+)  # bytes of all keys and values together, so that a snapshot is one message
+MAX_CHANGE_BYTES = 64 << 10  # bytes of one change
+MAX_REVERSIBLE = 1_024  # changes that can be taken back
 
 
 class RefusedError(BadLine):
@@ -37,7 +39,7 @@
     change: Change
 
 
-class Kept(msgspec.Struct, frozen=True, tag='kept'):
+class Compacted(msgspec.Struct, frozen=True, tag='kept'):
     """A line of the writer's file that stands for all before it."""
 
     epoch: int
@@ -45,11 +47,11 @@
     newest: int
 
 
-Line = Begun | Put | Kept
+Line = Begun | Put | Compacted
 KeyType = Literal['number', 'text', 'flag']
 
 
-def fits(value, kind):
+def is_valid(value, kind):
     """Whether a value is of a key's type."""
     if kind == 'number':
         try:
@@ -66,13 +68,13 @@
     def __init__(self, replica, keys, keep, lines=(), epoch=None):
         self.replica, self.keys, self.keep = replica, keys, keep
         self.log = replica.log(replica.origin)
-        self.before = {}  # by sequence: the values that a change of the configuration replaced
+        self.replaced = {}  # by sequence: the values that a change of the configuration replaced
         last = self.replay(lines)
         self.epoch = last + 1 if epoch is None else epoch
         if self.epoch <= last:
             raise RefusedError('epoch: %d is not above %d' % (self.epoch, last))
         keep(Begun(self.epoch))
-        self.log.begin(self.epoch)
+        self.log.begin_epoch(self.epoch)
 
     def replay(self, lines):
         """What lives before wrote; the last epoch."""
@@ -80,22 +82,24 @@
         for line in lines:
             if isinstance(line, Begun):
                 last = max(last, line.epoch)
-                self.log.begin(line.epoch)
-            elif isinstance(line, Kept):
+                self.log.begin_epoch(line.epoch)
+            elif isinstance(line, Compacted):
                 last = max(last, line.epoch)
-                self.log.take_snapshot(Snapshot(Position(line.epoch), line.configuration, line.newest))
+                self.log.apply_snapshot(Snapshot(Position(line.epoch), line.configuration, line.newest))
             else:
-                self.remember(line.change)
+                self.record_replaced(line.change)
                 self.log.append(line.change)
         return last
 
-    def remember(self, change):
+    def record_replaced(self, change):
         """Note what a change of the configuration, which is not in the log yet, replaces."""
         if change.kind == CONFIGURATION:
             values = self.log.configuration
-            self.before[change.sequence] = [Item(item.key, values.get(item.key, '')) for item in change.items]
-            while len(self.before) > KEPT:
-                del self.before[next(iter(self.before))]
+            self.replaced[change.sequence] = [
+                Item(item.key, values.get(item.key, '')) for item in change.items
+            ]
+            while len(self.replaced) > MAX_REVERSIBLE:
+                del self.replaced[next(iter(self.replaced))]
 
     def put(self, kind, items, at):
         """Put a change; it, or a RefusedError. at: Unix time in milliseconds."""
@@ -104,19 +108,21 @@
         # By a clock that was stepped back a change would count as older than those before it.
         change = Change(self.log.position.sequence + 1, kind, items, max(at, self.log.newest))
         self.keep(Put(change))
-        self.remember(change)
+        self.record_replaced(change)
         self.replica.put(change)
         return change
 
     def take_back(self, sequence, at):
         """Put what a change of the configuration replaced, as a new change, where no later one has set its
         keys."""
-        if sequence not in self.before:
+        if sequence not in self.replaced:
             raise RefusedError('sequence: %d is no change that can be taken back' % sequence)
-        items = self.before[sequence]
+        items = self.replaced[sequence]
         for item in items:
             later = [
-                other for other, kept in self.before.items() if other > sequence and item.key in keys_of(kept)
+                other
+                for other, items_of_other in self.replaced.items()
+                if other > sequence and item.key in keys_of(items_of_other)
             ]
             if later:
                 raise RefusedError('%s: change %d has set it since' % (item.key, later[-1]))
@@ -130,27 +136,27 @@
             raise RefusedError('%s: no keys' % kind)
         if len(keys_of(items)) < len(items):
             raise RefusedError('%s: a key twice' % kind)
-        if sum(len(item.key) + len(item.value) for item in items) > MOST_CHANGE:
-            raise RefusedError('%s: over %d bytes' % (items[0].key, MOST_CHANGE))
+        if sum(len(item.key) + len(item.value) for item in items) > MAX_CHANGE_BYTES:
+            raise RefusedError('%s: over %d bytes' % (items[0].key, MAX_CHANGE_BYTES))
         for item in items:
             if kind == PURGE and item.value:
                 raise RefusedError('%s: a purge has no value' % item.key)
             if kind == CONFIGURATION:
                 self.check_key(item)
-        self.check_room(kind, items)
+        self.check_size(kind, items)
 
     def check_key(self, item):
         """Refuse a key that there is not, or a value that is none of it. An empty one takes the key out."""
         if item.key not in self.keys:
             raise RefusedError('%s: no such key' % item.key)
-        if item.value and not fits(item.value, self.keys[item.key]):
+        if item.value and not is_valid(item.value, self.keys[item.key]):
             raise RefusedError('%s: no %s: %.60s' % (item.key, self.keys[item.key], item.value))
 
-    def check_room(self, kind, items):
+    def check_size(self, kind, items):
         """Refuse what would make the configuration too large for one message."""
-        after = {**self.log.configuration, **{item.key: item.value for item in items}}
-        size = sum(len(key) + len(value) for key, value in after.items())
-        if kind == CONFIGURATION and size > MOST_CONFIGURATION:
+        merged = {**self.log.configuration, **{item.key: item.value for item in items}}
+        size = sum(len(key) + len(value) for key, value in merged.items())
+        if kind == CONFIGURATION and size > MAX_CONFIGURATION_BYTES:
             raise RefusedError('%s: the configuration would have %d bytes' % (items[0].key, size))
 
 
--- a/lilacdyke/scale/hollow.py
+++ b/lilacdyke/scale/hollow.py
@@ -28,8 +28,8 @@
         super().__init__()
         self.latest, self.counted = latest, counted
 
-    def take(self, origin, change):
-        super().take(origin, change)
+    def apply(self, origin, change):
+        super().apply(origin, change)
         late = int(System.wall() * 1_000) - change.at
         key = '%s/%s/%d' % (change.kind, origin, change.sequence)
         self.latest[key] = max(self.latest.get(key, 0), late)
--- a/tests/changes/test_full_disk.py
+++ b/tests/changes/test_full_disk.py
@@ -17,7 +17,7 @@
 from lilacdyke.scale.fleet_run import free_ports
 from lilacdyke.trial.shim import Board
 
-PATIENCE_S = 20.0
+START_TIMEOUT_S = 20.0
 FILE = """
 enabled = true
 installation = "here"
@@ -54,7 +54,7 @@
             (sys.executable, '-m', 'lilacdyke.trial.shim', self.board.path, *command),
             stderr=subprocess.DEVNULL,
         )
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + START_TIMEOUT_S
         while self.ask(StatusRequest(), Status) is None:
             self.assertIsNone(self.running.poll(), 'the writer did not start')
             self.assertLess(time.monotonic(), end)
@@ -85,29 +85,29 @@
         lines = store.read(self.folder)
         return [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
 
-    def assert_keeps_its_word(self, *calls):
+    def assert_accepted_changes_survive(self, *calls):
         """Changes are put before, while and after calls fail, then the writer is killed and started anew."""
-        told = [value for value in (1, 2) if self.put(value)]
+        accepted = [value for value in (1, 2) if self.put(value)]
         self.board.put(calls=calls)
-        told += [value for value in (3, 4) if self.put(value)]
+        accepted += [value for value in (3, 4) if self.put(value)]
         self.board.put()
-        told += [value for value in (5, 6) if self.put(value)]
-        self.assertEqual(told[:2] + told[-2:], [1, 2, 5, 6])
+        accepted += [value for value in (5, 6) if self.put(value)]
+        self.assertEqual(accepted[:2] + accepted[-2:], [1, 2, 5, 6])
         self.kill()
         self.start()
-        self.assertEqual(self.kept(), told)
+        self.assertEqual(self.kept(), accepted)
         self.assertTrue(self.put(7))
 
     def test_a_write_that_falls_short(self):
-        self.assert_keeps_its_word(
+        self.assert_accepted_changes_survive(
             {'call': 'write', 'size': 5, 'count': 1}, {'call': 'write', 'errno': errno.ENOSPC, 'first': 2}
         )
 
     def test_a_sync_that_fails_after_the_whole_line_was_written(self):
-        self.assert_keeps_its_word({'call': 'fsync', 'errno': errno.EIO, 'count': 1})
+        self.assert_accepted_changes_survive({'call': 'fsync', 'errno': errno.EIO, 'count': 1})
 
     def test_a_disk_that_takes_nothing(self):
-        self.assert_keeps_its_word({'call': 'write', 'errno': errno.ENOSPC})
+        self.assert_accepted_changes_survive({'call': 'write', 'errno': errno.ENOSPC})
 
     def test_a_start_while_the_disk_fails_for_a_moment(self):
         self.assertTrue(self.put(1))
--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -11,16 +11,16 @@
     Change,
     Hello,
     Item,
-    OtherMajorError,
     Position,
     Snapshot,
     Span,
     StatusRequest,
     Sync,
+    UnsupportedVersionError,
     frame_reader,
 )
 from lilacdyke.changes.replica import Replica
-from lilacdyke.changes.writer import Begun, Kept, Put, RefusedError, Writer
+from lilacdyke.changes.writer import Begun, Compacted, Put, RefusedError, Writer
 from lilacdyke.values import BadLine
 
 KEYS = {'limit': 'number', 'banner': 'text', 'open': 'flag'}
@@ -32,7 +32,7 @@
 
 def log(count=0, tail=8):
     made = ChangeLog(tail)
-    made.begin(1)
+    made.begin_epoch(1)
     for sequence in range(1, count + 1):
         made.append(change(sequence, value=str(sequence), at=sequence))
     return made
@@ -49,7 +49,7 @@
             (Span(1, 3, [change(4), change(6)]), [4]),
         ]
         for span, taken in spans:
-            self.assertEqual([each.sequence for each in made.take_span(span)], taken)
+            self.assertEqual([each.sequence for each in made.apply_span(span)], taken)
         self.assertEqual(made.position, Position(1, 4))
 
     def test_a_tail_reaches_as_far_back_as_it_is_long(self):
@@ -68,9 +68,9 @@
 
     def test_a_snapshot_is_taken_where_it_is_further_on_and_says_what_was_purged(self):
         made = log(5)
-        self.assertFalse(made.take_snapshot(Snapshot(Position(1, 5), {}, 9)))
-        self.assertFalse(made.take_snapshot(Snapshot(Position(0, 99), {}, 9)))
-        self.assertTrue(made.take_snapshot(Snapshot(Position(2, 1), {'limit': '7'}, 9)))
+        self.assertFalse(made.apply_snapshot(Snapshot(Position(1, 5), {}, 9)))
+        self.assertFalse(made.apply_snapshot(Snapshot(Position(0, 99), {}, 9)))
+        self.assertTrue(made.apply_snapshot(Snapshot(Position(2, 1), {'limit': '7'}, 9)))
         self.assertEqual(
             (made.configuration, made.purged_before, made.snapshot().purged_before), ({'limit': '7'}, 9, 9)
         )
@@ -78,18 +78,18 @@
 
     def test_a_relay_that_takes_a_snapshot_can_pass_on_the_latest_changes_one_by_one(self):
         made, fresh = log(6, tail=4), ChangeLog(8)
-        self.assertTrue(fresh.take_snapshot(made.snapshot(with_history=True)))
+        self.assertTrue(fresh.apply_snapshot(made.snapshot(with_history=True)))
         self.assertEqual([each.sequence for each in fresh.span_after(Position(1, 2)).changes], [3, 4, 5, 6])
         self.assertIsNone(fresh.span_after(Position(1, 1)))
         other = ChangeLog(8)
         spoilt = Span(1, 3, [change(4), change(6)])
-        other.take_snapshot(Snapshot(Position(1, 6), {}, 0, spoilt))
+        other.apply_snapshot(Snapshot(Position(1, 6), {}, 0, spoilt))
         self.assertIsNone(other.span_after(Position(1, 3)))
         self.assertIsNone(made.snapshot().history)
 
     def test_a_kind_that_is_not_known_is_kept_in_order_and_counted(self):
         made = log(1)
-        made.take_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
+        made.apply_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
         self.assertEqual((made.position.sequence, made.skipped), (3, 1))
         self.assertEqual(
             [each.kind for each in made.span_after(Position(1, 1)).changes], ['of-later', 'config']
@@ -201,10 +201,10 @@
 
     def test_a_long_file_is_shortened_to_the_same_state(self):
         lines = [Begun(1), *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000))]
-        short = store.shortened(lines)
-        self.assertEqual(short, [Kept(1, {'limit': '5999'}, 5_999)])
+        compacted_lines = store.compacted(lines)
+        self.assertEqual(compacted_lines, [Compacted(1, {'limit': '5999'}, 5_999)])
         replica = Replica('w', 'w')
-        writer = Writer(replica, KEYS, lambda line: None, short)
+        writer = Writer(replica, KEYS, lambda line: None, compacted_lines)
         self.assertEqual((writer.epoch, replica.log('w').configuration), (2, {'limit': '5999'}))
 
 
@@ -233,7 +233,7 @@
 
     def test_a_newer_major_is_refused_and_fields_of_a_newer_minor_are_skipped(self):
         encode = messages.msgspec.msgpack.encode
-        with self.assertRaises(OtherMajorError):
+        with self.assertRaises(UnsupportedVersionError):
             messages.unpack(encode((2, 0, {'type': 'status'})))
         told = {'type': 'sync', 'name': 'x', 'stamp': 1, 'mood': 'new'}
         self.assertEqual(messages.unpack(encode((1, 9, told))), Sync('x', 1))
--- a/tests/changes/test_processes.py
+++ b/tests/changes/test_processes.py
@@ -29,7 +29,7 @@
 
 from ..crossings import Crossing
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 FILE = """
 enabled = true
 installation = "here"
@@ -81,7 +81,7 @@
         """Start a process of the file and wait until it answers."""
         command = (sys.executable, '-m', 'lilacdyke', 'change', 'run', '--file', self.path, '--name', name)
         self.running[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
-        self.until(lambda: self.status(name) is not None)
+        self.wait_until(lambda: self.status(name) is not None)
 
     def kill(self, name):
         self.running[name].kill()
@@ -106,10 +106,10 @@
         self.assertIsNotNone(answer.position, answer.refused)
         return answer.position
 
-    def until(self, true):
+    def wait_until(self, condition):
         """Wait until something is so."""
-        end = time.monotonic() + PATIENCE_S
-        while not true():
+        end = time.monotonic() + TIMEOUT_S
+        while not condition():
             self.assertLess(time.monotonic(), end)
             time.sleep(0.05)
 
@@ -118,7 +118,7 @@
         told = self.status('w0')
         return told is not None and told.complete['w0'] >= position and not told.behind
 
-    def nodes(self, count, seconds):
+    def start_nodes(self, count, seconds):
         """So many nodes' own parts, as one process; what they saw, once they have ended."""
         out = os.path.join(self.folder, 'seen-%d.json' % len(self.running))
         command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.path, '--out', out)
@@ -126,7 +126,7 @@
         process = self.running[out] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
 
         def seen():
-            process.wait(seconds + PATIENCE_S)
+            process.wait(seconds + TIMEOUT_S)
             with open(out, encoding='utf-8') as file:
                 return json.load(file)
 
@@ -138,25 +138,25 @@
         return told is not None and told.below == count + 2
 
     def test_changes_reach_all_nodes_and_are_known_to(self):
-        seen = self.nodes(20, 9)
-        self.until(lambda: self.below(20))
+        seen = self.start_nodes(20, 9)
+        self.wait_until(lambda: self.below(20))
         self.put('config', ('limit', '5'), ('banner', 'hi'))
         position = self.put('purge', ('k1',))
-        self.until(lambda: self.complete(position))
+        self.wait_until(lambda: self.complete(position))
         told = seen()
         self.assertEqual((told['positions'], set(told['counted'].values())), ([['w0', 1, 2]], {20}))
         self.assertLess(max(told['latest'].values()), 3_900)
         self.assertLess(max(told['ages_ms']), 5_000)
 
     def test_a_relay_is_killed_and_comes_back_with_an_empty_memory(self):
-        seen = self.nodes(20, 14)
-        self.until(lambda: self.below(20))
+        seen = self.start_nodes(20, 14)
+        self.wait_until(lambda: self.below(20))
         first = self.put('config', ('limit', '1'))
-        self.until(lambda: self.complete(first))
+        self.wait_until(lambda: self.complete(first))
         self.kill('r0')
         position = self.put('purge', ('while-away',))
         self.start('r0')
-        self.until(lambda: self.status('r0').positions.get('w0') == position)
+        self.wait_until(lambda: self.status('r0').positions.get('w0') == position)
         position = self.put('config', ('limit', '2'))
         told = seen()
         self.assertEqual(told['positions'], [['w0', position.epoch, position.sequence]])
@@ -165,19 +165,19 @@
         self.assertLess(max(told['latest'].values()), 6_000)
 
     def test_a_relay_is_stopped_and_the_writer_says_who_is_behind(self):
-        seen = self.nodes(10, 16)
-        self.until(lambda: self.below(10))
+        seen = self.start_nodes(10, 16)
+        self.wait_until(lambda: self.below(10))
         self.running['r0'].send_signal(signal.SIGSTOP)
         position = self.put('config', ('limit', '1'))
-        self.until(lambda: 'r0' in self.status('w0').behind)
+        self.wait_until(lambda: 'r0' in self.status('w0').behind)
         self.assertLess(self.status('w0').complete['w0'], position)
         self.running['r0'].send_signal(signal.SIGCONT)
-        self.until(lambda: self.status('r0').positions['w0'] == position)
+        self.wait_until(lambda: self.status('r0').positions['w0'] == position)
         self.assertEqual(seen()['positions'], [['w0', position.epoch, position.sequence]])
 
     def test_the_writer_is_killed_and_what_it_said_yes_to_stays(self):
-        seen = self.nodes(10, 14)
-        self.until(lambda: self.below(10))
+        seen = self.start_nodes(10, 14)
+        self.wait_until(lambda: self.below(10))
         for number in range(5):
             self.put('config', ('limit', str(number)))
         self.kill('w0')
@@ -185,13 +185,13 @@
         told = self.status('w0')
         self.assertEqual((told.configuration, told.positions['w0'].epoch), ({'limit': '4'}, 2))
         position = self.put('purge', ('after',))
-        self.until(lambda: self.status('r1').positions['w0'] == position)
+        self.wait_until(lambda: self.status('r1').positions['w0'] == position)
         self.assertEqual(seen()['positions'], [['w0', 2, 1]])
 
     def test_a_hundred_nodes_come_at_once(self):
         for number in range(200):
             self.put('config', ('limit', str(number)))
-        told = self.nodes(100, 7)()
+        told = self.start_nodes(100, 7)()
         self.assertEqual((told['positions'], told['snapshots']), ([['w0', 1, 200]], 100))
         self.assertLess(told['bytes_in'] / told['seconds'] / 100, 21_000)
 
@@ -209,7 +209,7 @@
         self.assertEqual(told('list'), (0, ''))
         self.assertEqual(told('put', '--name', 'r0', 'purge', 'k')[0], 1)
         self.assertEqual(told('put', '--name', 'r9', 'purge', 'k')[0], 2)
-        self.until(lambda: self.complete(self.status('w0').positions['w0']))
+        self.wait_until(lambda: self.complete(self.status('w0').positions['w0']))
         code, text = told('status', '--name', 'w0')
         self.assertEqual(code, 0)
         self.assertRegex(text, r'w0: w0 at 1\.2, 0 ms old, complete below to 1\.2, 2 below, behind: nobody')
@@ -250,9 +250,9 @@
             command = (sys.executable, '-m', 'lilacdyke', 'serve', '--config', page, '--changes', path)
             running = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
             try:
-                relay.settimeout(PATIENCE_S)
+                relay.settimeout(TIMEOUT_S)
                 link = relay.accept()[0]
-                link.settimeout(PATIENCE_S)
+                link.settimeout(TIMEOUT_S)
                 hello = unpack(cli.read_frame(link))
                 self.assertEqual((hello.name, hello.installation), ('n0', 'here'))
                 lines = iter(running.stderr.readline, '')
