--- a/lilacdyke/changes/__init__.py
+++ b/lilacdyke/changes/__init__.py
@@ -1,4 +1,4 @@
-"""Distribution of changes (configuration, purges) from their writers to all nodes.
+"""Distribution of configuration changes and purges from their writers to all nodes.
 
-Off unless a file turns it on; a node that has none imports nothing of it.
+Optional: a node without a changes file never imports this package.
 """
