--- a/lilacdyke/changes/cli.py
+++ b/lilacdyke/changes/cli.py
@@ -1,6 +1,7 @@
-"""The command `lilacdyke change`: run a writer or a relay, put, take back, list, status.
+"""The command `lilacdyke change`: run a writer or relay, put and take back changes, list, status.
 
-Owns staff's words and exit codes: 0 done, 1 refused or not reached, 2 wrong words or a bad file.
+Exit codes: 0 on success, 1 if the request was refused or the process is unreachable, 2 on a usage error or a
+bad changes file.
 """
 
 import socket
@@ -25,14 +26,14 @@
     unpack,
 )
 
-ANSWER_TIMEOUT_S = 3.0  # for an answer
+ANSWER_TIMEOUT_S = 3.0
 KINDS = ('config', 'purge')
 
 file_option = click.option('--file', 'path', type=click.Path(), required=True, help='The changes file.')
 
 
 def load_settings(path):
-    """The file's settings; what is wrong with it ends the command with one line."""
+    """Return the settings in this file, or exit with code 2 if it is invalid."""
     try:
         settings = settings_file.read(path)
         return settings_file.enabled(settings, settings.installation)
@@ -42,7 +43,7 @@
 
 
 def find_process(settings, path, name, role=None):
-    """A process by its name; by default the first of a role."""
+    """Return the process with this name, or by default the first with this role."""
     try:
         if name is not None:
             return settings.named(name)
@@ -53,21 +54,21 @@
 
 
 def read_frame(connection):
-    """The body of the next frame."""
+    """Return the body of the next frame. Raise BadFrameError if the connection ends before it."""
     data = b''
     while len(data) < LENGTH.size or len(data) < LENGTH.size + min(
         MAX_FRAME_BYTES, LENGTH.unpack_from(data)[0]
     ):
         chunk = connection.recv(65_536)
         if not chunk:
-            raise BadFrameError('the connection ended')
+            raise BadFrameError('connection closed before the answer')
         data += chunk
     (size,) = LENGTH.unpack_from(data)
     return data[LENGTH.size : LENGTH.size + size]
 
 
 def send_request(process, request, kind):
-    """A process's answer to a request; what keeps it from that ends the command with one line."""
+    """Send a request to a process and return its answer, or exit with code 1 if there is none."""
     try:
         with socket.create_connection(address(process.address), ANSWER_TIMEOUT_S) as connection:
             connection.settimeout(ANSWER_TIMEOUT_S)
@@ -79,7 +80,7 @@
 
 
 def print_answer(answer):
-    """Tell where a change stands, or why it was refused."""
+    """Print the position of a change, or exit with code 1 if it was refused."""
     if answer.position is None:
         click.echo('lilacdyke: refused: %s' % answer.refused, err=True)
         sys.exit(1)
@@ -88,12 +89,12 @@
 
 @click.group()
 def change():
-    """Changes of configuration, and purges, for all nodes."""
+    """Distribute configuration changes and purges to all nodes."""
 
 
 @change.command()
 @file_option
-@click.option('--name', required=True, help='Which process of the file this is.')
+@click.option('--name', required=True, help='The process of the file to run.')
 @click.option('--log-level', default='info', type=click.Choice(['info', 'warning', 'error']))
 def run(path, name, log_level):
     """Run a writer or a relay until SIGTERM."""
@@ -116,12 +117,14 @@
 @click.argument('kind', type=click.Choice(KINDS))
 @click.argument('items', nargs=-1, required=True, metavar='KEY=VALUE... or KEY...')
 def put(path, name, kind, items):
-    """Put a change: keys with values for config, which all take effect together, keys for purge."""
+    """Put a change: KEY=VALUE pairs for config, which take effect together, or KEYs for purge."""
     settings = load_settings(path)
     pairs = [item.partition('=') for item in items]
     if any(bool(equals) != (kind == 'config') for _, equals, _ in pairs):
         click.echo(
-            'lilacdyke: %s: %s' % (kind, 'KEY=VALUE' if kind == 'config' else 'a KEY without value'), err=True
+            'lilacdyke: %s: %s'
+            % (kind, 'expected KEY=VALUE' if kind == 'config' else 'expected KEY without a value'),
+            err=True,
         )
         sys.exit(2)
     request = PutRequest(kind, [Item(key, value) for key, _, value in pairs])
@@ -133,7 +136,7 @@
 @click.option('--name', help='The writer; the first of the file by default.')
 @click.argument('sequence', type=click.IntRange(1))
 def take_back(path, name, sequence):
-    """Put what a change of the configuration replaced, as a new change."""
+    """Restore the values that a configuration change replaced, as a new change."""
     settings = load_settings(path)
     print_answer(
         send_request(find_process(settings, path, name, 'writer'), TakeBackRequest(sequence), PutAnswer)
@@ -142,9 +145,9 @@
 
 @change.command('list')
 @file_option
-@click.option('--name', help='Whom to ask; the first writer by default.')
+@click.option('--name', help='The process to ask; the first writer by default.')
 def list_(path, name):
-    """The configuration in force at a process."""
+    """Print the configuration in force at a process."""
     settings = load_settings(path)
     status = send_request(find_process(settings, path, name, 'writer'), StatusRequest(), Status)
     for key, value in sorted(status.configuration.items()):
@@ -154,9 +157,9 @@
 
 @change.command()
 @file_option
-@click.option('--name', help='Whom to ask; all processes of the file by default.')
+@click.option('--name', help='The process to ask; all processes of the file by default.')
 def status(path, name):
-    """How far processes are, and who below them is behind."""
+    """Print the position of each process and which processes below it lag behind."""
     settings = load_settings(path)
     processes = [find_process(settings, path, name)] if name else settings.process
     for process in processes:
