--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -1,7 +1,6 @@
-"""A replica with its links: dials those above, takes those below, and pulls the replica's decisions.
+"""Connects a replica to its neighbours: dials parents, accepts children, and carries out its decisions.
 
-Owns the links and the clock. Must never queue for a neighbour, nor hold more links than it was given room
-for.
+Owns the links and the clock. Never queues messages for a neighbour, and holds at most MAX_LINKS links.
 """
 
 from collections import Counter
@@ -14,17 +13,21 @@
 from .messages import PutAnswer, PutRequest, Status, StatusRequest, TakeBackRequest
 from .replica import HEARTBEAT_INTERVAL
 
-IDLE_TIMEOUT = 4 * HEARTBEAT_INTERVAL  # without a byte a link is given up
+IDLE_TIMEOUT = 4 * HEARTBEAT_INTERVAL
 DIAL_TIMEOUT = 2 * SECOND
-BACKOFF_MIN, BACKOFF_MAX = SECOND // 4, 4 * SECOND  # between dials, doubled each time and drawn
+BACKOFF_MIN, BACKOFF_MAX = SECOND // 4, 4 * SECOND
 MAX_LINKS = 4_096
 IDLE_CHECK_INTERVAL = SECOND // 2
-HELLO_TIMEOUT = 5 * SECOND  # a connection below that has not said who it is
+HELLO_TIMEOUT = 5 * SECOND
 
 
 class Host:
-    """One process's replica. above: (name, address) of those to dial, the first wanted first; handle(origin,
-    changes, snapshot): called with what was taken in."""
+    """Runs the replica of one process.
+
+    random: function that returns a uniform random number in [0, 1). parents: (name, address) of each process
+    to dial, in order of preference. on_changes(origin, changes, snapshot): called with what was applied.
+    node_rate(name): maximum changes per second sent to this child, or None for no limit.
+    """
 
     def __init__(
         self,
@@ -43,62 +46,59 @@
         self.clock_origin = elapsed() - 1
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.counts = Counter()
-        self.links, self.unidentified = (
-            {},
-            [],
-        )  # by neighbour; connections below that have not said who they are
-        # the link above; dials that failed; which of those above
+        # links by neighbour; accepted connections that have not sent Hello
+        self.links, self.unidentified = {}, []
+        # index of the next parent to dial
         self.parent_link, self.dial_failures, self.next_parent = None, 0, 0
         self.wake_at, self.settling, self.port, self.writer = None, False, None, None
-        self.wall_ms = None  # where there is a writer: the time of day, in milliseconds
+        self.wall_ms = None  # set beside writer: function that returns Unix time in milliseconds
 
     def clock(self):
-        """Ticks of this process's own clock."""
+        """Return the ticks of this process's own clock."""
         return int((self.elapsed() - self.clock_origin) * SECOND)
 
     def start(self):
-        """Dial, and look at links from now on."""
+        """Dial the first parent and start checking for idle links."""
         if self.parents:
             self.dial(0)
         self.end_idle_links(0)
 
     def listen(self, host, port):
-        """Take those below."""
+        """Accept connections of children and operators."""
         self.port = self.reactor.listenTCP(port, Listener(self), backlog=1024, interface=host)
 
-    # --- links above --------------------------------------------------------------------------------------
+    # --- parent -------------------------------------------------------------------------------------------
 
     def dial(self, _):
-        """Open a link to the next of those above."""
+        """Dial the next parent."""
         name, where = self.parents[self.next_parent % len(self.parents)]
         link = self.parent_link = ParentLink(self, name)
         connect(self.reactor, where, link).addCallbacks(self.parent_linked, lambda _: self.link_lost(link))
         self.deadlines.at(self.clock() + DIAL_TIMEOUT, self.dial_timed_out, link)
 
     def dial_timed_out(self, link):
-        """Guards against a machine that says nothing."""
+        """Cancel a dial to a machine that does not answer."""
         if self.parent_link is link and link.transport is None:
             link.up.cancel()
 
     def parent_linked(self, link):
-        """The link above is there."""
+        """Register the link to the parent."""
         self.links[link.peer] = link
         self.replica.linked(self.clock(), link.peer, False)
         say('linked', above=link.peer)
         self.settle()
 
     def schedule_redial(self):
-        """The link above has ended: the next of those above, after a wait that grows and is drawn. Guards
-        against a herd at a relay that comes back."""
+        """Schedule a dial to the next parent, with exponential backoff and jitter."""
         self.parent_link, self.next_parent = None, self.next_parent + 1
         wait = min(BACKOFF_MAX, BACKOFF_MIN << min(8, self.dial_failures))
         self.dial_failures += 1
         self.deadlines.at(self.clock() + int(wait * (0.5 + self.random())), self.dial, 0)
 
-    # --- links below --------------------------------------------------------------------------------------
+    # --- children -----------------------------------------------------------------------------------------
 
     def accepted(self, link):
-        """Somebody has connected."""
+        """Register a new connection, or close it if there are too many links."""
         if len(self.links) + len(self.unidentified) >= MAX_LINKS:
             self.counts['crowded_out'] += 1
             link.close()
@@ -106,7 +106,7 @@
             self.unidentified.append(link)
 
     def child_linked(self, link):
-        """It has said who it is; an older link of the same name is a process that is gone."""
+        """Register the link to a child, and close an older link of the same name."""
         self.unidentified.remove(link)
         older = self.links.get(link.peer)
         if older is not None:
@@ -117,7 +117,7 @@
         self.settle()
 
     def link_lost(self, link):
-        """A link has ended, or did not come up."""
+        """Unregister a link that has closed or failed to connect."""
         if link in self.unidentified:
             self.unidentified.remove(link)
         if link.peer is not None and self.links.get(link.peer) is link:
@@ -127,7 +127,7 @@
             self.schedule_redial()
 
     def end_idle_links(self, _):
-        """End links that have said nothing for long."""
+        """Close links that have been idle for too long."""
         now = self.clock()
         for link in list(self.links.values()):
             if now >= link.heard + IDLE_TIMEOUT:
@@ -138,7 +138,7 @@
         self.deadlines.at(now + IDLE_CHECK_INTERVAL, self.end_idle_links, 0)
 
     def blocked(self, link, is_blocked):
-        """What was sent on a link lies with the system, or has left."""
+        """Note whether data sent on a link still waits in the send buffer."""
         if link.peer is not None and self.links.get(link.peer) is link:
             self.replica.blocked(link.peer, is_blocked)
             self.settle()
@@ -146,7 +146,7 @@
     # --- messages -----------------------------------------------------------------------------------------
 
     def receive_sync(self, link, sync):
-        """A neighbour's message."""
+        """Apply a message of a neighbour. One on a link that has been replaced is ignored."""
         if self.links.get(link.peer) is not link:
             return
         if link is self.parent_link:
@@ -157,7 +157,7 @@
         self.settle()
 
     def handle_request(self, request):
-        """What staff are told."""
+        """Return the answer to an operator's request."""
         if isinstance(request, StatusRequest):
             return self.status()
         if self.writer is None:
@@ -169,7 +169,7 @@
         return PutAnswer(self.replica.log(self.replica.origin).position if change else None)
 
     def apply_request(self, request):
-        """Put a change, or take one back; the change."""
+        """Put a change, or take one back, and return the new change. Raise BadLine if it is refused."""
         if not self.replica.holds_lease(self.clock()):
             raise BadLine('%s does not hold the lease' % self.name)
         if isinstance(request, PutRequest):
@@ -183,7 +183,7 @@
         return change
 
     def status(self):
-        """How far this replica is, and all below it."""
+        """Return the status of this replica and its descendants."""
         replica, now = self.replica, self.clock()
         ages = {origin: replica.age(now, origin) for origin in replica.logs}
         return Status(
@@ -198,10 +198,10 @@
             },
         )
 
-    # --- what follows ---------------------------------------------------------------------------------------
+    # --- decisions ------------------------------------------------------------------------------------------
 
     def settle(self):
-        """Hand on what was taken in, and carry out the replica's decisions until there are none."""
+        """Pass on what was applied, then carry out the replica's decisions until there are none."""
         if self.settling:
             return
         self.settling = True
@@ -217,7 +217,7 @@
             self.settling = False
 
     def schedule_wake(self):
-        """Let the replica look again when it has something to do."""
+        """Schedule the next call of settle()."""
         when = self.replica.next_wake()
         if when is not None and (self.wake_at is None or when < self.wake_at):
             self.wake_at = when
