--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -1,7 +1,7 @@
-"""Links between replicas, and staff's connections, as Twisted protocols.
+"""Links between replicas, and operators' connections, as Twisted protocols.
 
-Owns the bytes: frames in, frames out. A link that reads nothing is not written to; bytes out of form end that
-link and nothing else. Must never decide: that is replica.py's.
+Reads and writes frames. A link whose peer does not read is not written to, and a malformed frame closes only
+its own link. Decisions are made in replica.py.
 """
 
 from twisted.internet.protocol import Factory, Protocol
@@ -20,16 +20,16 @@
     unpack,
 )
 
-SEND_BUFFER_BYTES = 65_536  # bytes with the transport from which nothing more is sent
+SEND_BUFFER_BYTES = 65_536  # of the transport; nothing is sent while it is full
 
 
 class Link(Protocol):
-    """One end of a link. host: see host.py."""
+    """One end of a link. host: a Host."""
 
     def __init__(self, host):
         self.host, self.frames, self.closed = host, frame_reader(), False
-        self.peer = None  # the neighbour's name, once it is known
-        self.last_received = host.clock()  # when something last came
+        self.peer = None  # the neighbour's name, or None before its Hello
+        self.last_received = host.clock()
 
     def connectionMade(self):
         no_delay(self.transport)
@@ -53,14 +53,14 @@
             self.close()
 
     def message_received(self, message):
-        """A message has come."""
+        """Handle a message. Raise BadFrameError if it is not expected on this link."""
         if isinstance(message, Sync) and self.peer is not None:
             self.host.receive_sync(self, message)
         else:
-            raise BadFrameError('a message that is not expected here: %s' % type(message).__name__)
+            raise BadFrameError('unexpected message: %s' % type(message).__name__)
 
     def send(self, message):
-        """Send a message."""
+        """Send a message, unless the link is closed."""
         if not self.closed:
             data = pack(message)
             self.host.counts['bytes_out'] += len(data)
@@ -68,7 +68,7 @@
             self.transport.write(data)
 
     def close(self):
-        """Nothing more is said or heard."""
+        """Abort the connection."""
         if not self.closed:
             self.closed = True
             if self.transport:
@@ -78,7 +78,7 @@
         self.closed = True
         self.host.link_lost(self)
 
-    # --- as the transport's producer ----------------------------------------------------------------------
+    # --- producer of the transport ------------------------------------------------------------------------
 
     def pauseProducing(self):
         self.host.blocked(self, True)
@@ -87,11 +87,11 @@
         self.host.blocked(self, False)
 
     def stopProducing(self):
-        """The connection has ended: connectionLost tells."""
+        """Do nothing: connectionLost() follows."""
 
 
 class ParentLink(Link, Outgoing):
-    """The end that dialled."""
+    """The dialling end of a link, to a parent."""
 
     def __init__(self, host, peer):
         super().__init__(host)
@@ -103,7 +103,7 @@
 
 
 class ChildLink(Link):
-    """The end that was dialled: a neighbour's, or a connection of staff's."""
+    """The accepting end of a link to a child, or of an operator's connection."""
 
     def connectionMade(self):
         super().connectionMade()
@@ -118,7 +118,7 @@
             super().message_received(message)
 
     def hello_received(self, hello):
-        """Who is below."""
+        """Register the child. Raise BadFrameError if it belongs to another installation."""
         if hello.installation != self.host.installation:
             raise BadFrameError(
                 'installation: %s here, %s there' % (self.host.installation, hello.installation)
@@ -128,7 +128,7 @@
 
 
 class Listener(Factory):
-    """The listening side of a host."""
+    """Creates a link for each connection that a host accepts."""
 
     noisy = False
 
