--- a/lilacdyke/changes/log.py
+++ b/lilacdyke/changes/log.py
@@ -1,7 +1,7 @@
-"""One log of changes as a replica has it: what it comes to, and a bounded tail to pass on. Without I/O.
+"""A replica's copy of one change log: its accumulated state, and a bounded tail to pass on. Without I/O.
 
-A position never goes back, no change is taken in twice, and none is left out but by a snapshot, which says
-so. A new epoch begins with a snapshot: changes that only the writer before had sent out may not be in it.
+A position never moves back, no change is applied twice, and none is skipped except by a snapshot. A new epoch
+begins with a snapshot, which may lack changes that only the previous writer had sent.
 """
 
 from collections import deque
@@ -11,27 +11,27 @@
 
 CONFIGURATION, PURGE = 'config', 'purge'
 KINDS = (CONFIGURATION, PURGE)
-DEFAULT_TAIL_CHANGES = 32_768  # ten minutes of 55 a second
-MAX_SPAN_CHANGES = 1_024  # of one message
-MAX_SPAN_BYTES = 256 << 10  # of keys and values in one message, unless a single change has more
+DEFAULT_TAIL_CHANGES = 32_768  # ten minutes at 55 changes per second
+MAX_SPAN_CHANGES = 1_024  # in one message
+MAX_SPAN_BYTES = 256 << 10  # keys and values in one message, unless a single change has more
 
 
 class ChangeLog:
-    """One origin's changes. tail: how many of the latest are kept to pass on."""
+    """The changes of one origin. tail: how many of the latest changes are kept to pass on."""
 
     def __init__(self, tail=DEFAULT_TAIL_CHANGES):
         self.position = Position()
-        self.configuration = {}  # by key: the value in force
-        self.purged_before = 0  # of a snapshot: purges up to then are not known one by one
-        self.newest = 0  # when the latest change was made, Unix time in milliseconds
-        self.skipped = 0  # changes of a kind that this version does not know
-        self.tail = deque(maxlen=tail)  # the latest changes of this epoch, the oldest first
-        self.tail_after = 0  # the sequence before the first of them
+        self.configuration = {}  # by key: the value in force, which may be empty
+        self.purged_before = 0  # Unix time in milliseconds; a snapshot left out the purges up to then
+        self.newest = 0  # Unix time of the latest change in milliseconds
+        self.skipped = 0  # changes of unknown kinds
+        self.tail = deque(maxlen=tail)  # the latest changes of this epoch, oldest first
+        self.tail_after = 0  # sequence before the first change of the tail
 
-    # --- taking in --------------------------------------------------------------------------------------
+    # --- applying ---------------------------------------------------------------------------------------
 
     def apply_span(self, span):
-        """Take in what is new of a span; the changes that were. A gap, or another epoch, gives nothing."""
+        """Apply the new changes of a span, up to a gap, and return them. Ignore a span of another epoch."""
         if span.epoch != self.position.epoch or span.after > self.position.sequence:
             return []
         new_changes = [change for change in span.changes if change.sequence > self.position.sequence]
@@ -44,7 +44,7 @@
         return applied
 
     def append(self, change):
-        """The next change."""
+        """Append the next change."""
         self.position = Position(self.position.epoch, change.sequence)
         self.newest = max(self.newest, change.at)
         if len(self.tail) == self.tail.maxlen:
@@ -56,7 +56,7 @@
             self.skipped += 1
 
     def apply_snapshot(self, snapshot):
-        """Take in a snapshot that is further on. Whether it was."""
+        """Apply a snapshot if it is ahead of this log. Return whether it was."""
         if snapshot.position <= self.position:
             return False
         self.position = snapshot.position
@@ -69,7 +69,7 @@
         return True
 
     def load_history(self, snapshot):
-        """The latest changes that a snapshot already has in it, to pass on one by one."""
+        """Fill the tail from a snapshot's history, unless the history has gaps."""
         history = snapshot.history
         if history is None or history.epoch != snapshot.position.epoch:
             return
@@ -80,14 +80,13 @@
             self.tail_after = snapshot.position.sequence - len(changes)
 
     def begin_epoch(self, epoch):
-        """A writer's time begins: what follows is of this epoch. Whether it is a later one."""
+        """Begin a writer's epoch. Return whether it is later than the present one."""
         return self.apply_snapshot(Snapshot(Position(epoch), self.configuration, self.newest))
 
     # --- passing on -------------------------------------------------------------------------------------
 
     def span_after(self, position, max_changes=MAX_SPAN_CHANGES):
-        """What follows a position, so many changes at the most; None if the tail does not reach back to
-        it."""
+        """Return the next changes after a position, or None if the tail does not reach back to it."""
         if position.epoch != self.position.epoch or not self.covers(position.sequence):
             return None
         first, size, changes = position.sequence - self.tail_after, 0, []
@@ -99,19 +98,18 @@
         return Span(position.epoch, position.sequence, changes)
 
     def covers(self, sequence):
-        """Whether the tail has all that follows a sequence."""
+        """Return whether the tail has every change after this sequence."""
         return self.tail_after <= sequence <= self.position.sequence
 
     def snapshot(self, with_history=False):
-        """All that it comes to; for a relay with the latest changes, so that it can pass them on one by
-        one."""
+        """Return the accumulated state; for a relay with the latest changes, so that it can pass them on."""
         history = self.history() if with_history else None
         return Snapshot(
             self.position, dict(self.configuration), max(self.newest, self.purged_before), history
         )
 
     def history(self):
-        """The latest changes, as many as one message bears."""
+        """Return the latest changes as a Span, or None if they exceed one message."""
         after = max(self.tail_after, self.position.sequence - MAX_SPAN_CHANGES)
         size = sum(len(item.key) + len(item.value) for change in self.tail for item in change.items)
         if size > MAX_SPAN_BYTES:
