--- a/lilacdyke/changes/messages.py
+++ b/lilacdyke/changes/messages.py
@@ -1,8 +1,8 @@
-"""What replicas of change logs tell each other, as typed messages, and their frames.
+"""Messages between replicas of change logs, and their frames.
 
-A frame is four bytes of length (big-endian, MOST_BYTES at most), then MessagePack of [major, minor, message].
-Fields that a newer minor version adds are skipped; a newer major version is refused. Times and spans are
-ticks (10,000 a second).
+A frame is a four-byte big-endian length (at most MAX_FRAME_BYTES), then MessagePack of
+[major, minor, message]. Fields that a newer minor version adds are skipped; another major version is refused.
+Times and durations are in ticks (10,000 per second).
 """
 
 from typing import Annotated
@@ -13,9 +13,9 @@
 from ..framing import LENGTH, FrameReader
 
 MAJOR, MINOR = 1, 0
-MAX_FRAME_BYTES = 1 << 20  # of one frame
-MAX_ORIGINS = 64  # logs that one message tells of
-MAX_BEHIND_NAMES = 32  # replicas named as behind
+MAX_FRAME_BYTES = 1 << 20
+MAX_ORIGINS = 64  # logs in one message
+MAX_BEHIND_NAMES = 32
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Text = Annotated[str, Meta(max_length=65_536)]
@@ -23,39 +23,38 @@
 
 
 class BadFrameError(Exception):
-    """Bytes that are no frame of this protocol: the link ends."""
+    """A frame or message is malformed or not expected; its link is closed."""
 
 
 class UnsupportedVersionError(BadFrameError):
-    """The peer speaks a major version that this one does not."""
+    """The peer uses an unsupported major version of the protocol."""
 
 
 class Position(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """How far a log has been taken in. An epoch is one writer's time; a later one outranks all of an earlier
-    one."""
+    """A position in a log. Each start of a writer begins an epoch; positions compare by epoch first."""
 
     epoch: Count = 0
     sequence: Count = 0
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """One key that a change sets. For a purge the value says nothing."""
+    """A key and the value that a change sets. A purge has no value."""
 
     key: Name
     value: Text = ''
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """One change: all of its items take effect together, or none."""
+    """A change, whose items take effect together."""
 
     sequence: Count
     kind: Name
     items: Annotated[list[Item], Meta(min_length=1, max_length=1_024)]
-    at: Count = 0  # Unix time in milliseconds, as its writer saw it
+    at: Count = 0  # Unix time in milliseconds by the writer's clock
 
 
 class Span(msgspec.Struct, frozen=True, array_like=True):
-    """Changes of one epoch, each the next after the one before; the first follows `after`."""
+    """Consecutive changes of one epoch, from the sequence after `after` on."""
 
     epoch: Count
     after: Count
@@ -63,45 +62,49 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that a log comes to at a position. Purges are not listed: whoever takes a snapshot has to treat all
-    that it had before `purged_before` (Unix time in milliseconds) as purged."""
+    """The accumulated state of a log at a position.
+
+    Purges are not listed: the receiver has to treat everything that it had before `purged_before` (Unix time
+    in milliseconds) as purged.
+    """
 
     position: Position
     configuration: dict[Name, Text]
     purged_before: Count
-    history: Span | None = None  # for a relay: the latest changes up to the position, to pass on one by one
+    history: Span | None = None  # for a relay: the latest changes up to the position
 
 
 class Sync(msgspec.Struct, frozen=True, tag='sync'):
-    """What one replica tells its neighbour."""
+    """The regular message of a replica to a neighbour: its state, and changes that the neighbour lacks."""
 
     name: Name
-    stamp: Count  # the teller's clock as it was sent
-    echo: Count | None = None  # the newest stamp that the teller has heard of its neighbour
+    stamp: Count  # the sender's clock when it sent this
+    echo: Count | None = None  # newest stamp that the sender has received from this neighbour
     positions: dict[Name, Position] = {}
-    ages: dict[
-        Name, Count
-    ] = {}  # by origin: the teller's log lacks nothing that is older; not there: not known
+    # By origin: the sender's log lacks nothing older than this. Absent if unknown.
+    ages: dict[Name, Count] = {}
     spans: dict[Name, Span] = {}
     snapshots: dict[Name, Snapshot] = {}
-    complete: dict[Name, Position] = {}  # what the teller and all below it have at the least
-    behind: Annotated[list[Name], Meta(max_length=MAX_BEHIND_NAMES)] = []  # who of them is not that far
-    below: Count = 0  # how many replicas are below
+    complete: dict[Name, Position] = {}  # lowest position of the sender and its descendants
+    behind: Annotated[
+        list[Name], Meta(max_length=MAX_BEHIND_NAMES)
+    ] = []  # names of descendants that lag behind
+    below: Count = 0  # number of descendants
 
 
 class Hello(msgspec.Struct, frozen=True, tag='hello'):
-    """The first message on a link, from who dialled it."""
+    """The first message on a link, sent by the dialling end."""
 
     name: Name
     installation: Name
 
 
 class StatusRequest(msgspec.Struct, frozen=True, tag='status'):
-    """Staff ask how far a replica is."""
+    """An operator's request for the status of a replica."""
 
 
 class Status(msgspec.Struct, frozen=True, tag='status-is'):
-    """How far a replica is, and all below it."""
+    """The status of a replica and its descendants."""
 
     name: Name
     positions: dict[Name, Position]
@@ -113,20 +116,20 @@
 
 
 class PutRequest(msgspec.Struct, frozen=True, tag='put'):
-    """Staff, or a program, put a change."""
+    """A request to put a change."""
 
     kind: Name
     items: Annotated[list[Item], Meta(min_length=1, max_length=1_024)]
 
 
 class TakeBackRequest(msgspec.Struct, frozen=True, tag='take-back'):
-    """Staff take a change back."""
+    """A request to take a configuration change back."""
 
     sequence: Count
 
 
 class PutAnswer(msgspec.Struct, frozen=True, tag='put-is'):
-    """Where the change stands; or why it was refused."""
+    """The position of a change that was put, or the reason why it was refused."""
 
     position: Position | None = None
     refused: Text = ''
@@ -136,7 +139,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """The version, and a message that is read only if the major version fits."""
+    """A version and a message, which is decoded only if the major version is supported."""
 
     major: Count
     minor: Count
@@ -144,7 +147,7 @@
 
 
 def pack(message):
-    """A message's frame."""
+    """Return the frame of a message. Raise BadFrameError if it is too long."""
     body = msgspec.msgpack.encode((MAJOR, MINOR, message))
     if len(body) > MAX_FRAME_BYTES:
         raise BadFrameError('a message of %d bytes' % len(body))
@@ -152,12 +155,12 @@
 
 
 def unpack(body, kind=Message):
-    """The message of a frame without its length."""
+    """Return the message in the body of a frame. Raise BadFrameError if it is malformed."""
     try:
         frame = msgspec.msgpack.decode(body, type=Frame)
         if frame.major != MAJOR:
             raise UnsupportedVersionError(
-                'version %d.%d, and this is %d.%d' % (frame.major, frame.minor, MAJOR, MINOR)
+                'unsupported version %d.%d, this is %d.%d' % (frame.major, frame.minor, MAJOR, MINOR)
             )
         return msgspec.msgpack.decode(frame.message, type=kind)
     except msgspec.MsgspecError as err:
@@ -165,5 +168,5 @@
 
 
 def frame_reader():
-    """A reader of this protocol's frames."""
+    """Return a reader of this protocol's frames."""
     return FrameReader(MAX_FRAME_BYTES, BadFrameError)
