--- a/lilacdyke/changes/node.py
+++ b/lilacdyke/changes/node.py
@@ -1,7 +1,7 @@
-"""A node's part: what changes it has, how fresh they are, and what it does with them.
+"""A node's replica of the change logs, and the record of what it received.
 
-Owns the one link to a relay, and the record of what came. The configuration in force and the purges are
-handed to one handler; beyond the stated age the node says so in its log and goes on by what it has.
+A node has one link, to a relay. When its logs become staler than the limit it logs that, and keeps using the
+configuration that it has.
 """
 
 from collections import OrderedDict
@@ -19,15 +19,14 @@
 
 
 class Record:
-    """What came: the configuration in force, and the latest purges with their times (Unix, in
-    milliseconds)."""
+    """The configuration in force, and the latest purges with their times (Unix time in milliseconds)."""
 
     def __init__(self):
         self.configuration, self.purges, self.purged_before = {}, OrderedDict(), 0
         self.counts = {CONFIGURATION: 0, PURGE: 0, 'unknown': 0, 'snapshots': 0}
 
     def __call__(self, origin, changes, snapshot):
-        """Changes of one origin, in order, or a snapshot in their place."""
+        """Apply changes of one origin in order, or a snapshot that replaces them."""
         if snapshot is not None:
             self.configuration[origin] = dict(snapshot.configuration)
             self.purged_before = max(self.purged_before, snapshot.purged_before)
@@ -36,7 +35,7 @@
             self.apply(origin, change)
 
     def apply(self, origin, change):
-        """One change."""
+        """Apply one change."""
         if change.kind == CONFIGURATION:
             values = self.configuration.setdefault(origin, {})
             values.update({item.key: item.value for item in change.items})
@@ -50,13 +49,13 @@
 
 
 class NodeChanges:
-    """A node's replica, which asks the relays of the file, its own first one by its rank."""
+    """A node's replica. Its rank selects the relay of the changes file that it dials first."""
 
     def __init__(self, reactor, elapsed, random, name, rank, settings, record=None):
         relays = [(process.name, address(process.address)) for process in settings.relays]
         first = rank % max(1, len(relays))
         self.record = record or Record()
-        self.replica = Replica(name, tail=1)  # a node passes nothing on
+        self.replica = Replica(name, tail=1)  # a node has no children
         self.host = Host(
             reactor,
             elapsed,
@@ -67,22 +66,22 @@
             self.record,
         )
         self.max_age = int(settings.stale_after_s * SECOND)
-        self.stale = None  # whether it was beyond the bound at the last look
+        self.stale = None  # result of the last check
 
     def begin(self):
-        """Ask from now on."""
+        """Dial a relay, and start checking the age and logging counts."""
         self.host.start()
         self.check_age(0)
         self.log_counts(0)
 
     def age(self):
-        """What is older than that is not lacking, in ticks, over all logs; None: not known."""
+        """Return the age in ticks beyond which no log lacks anything, or None if it is unknown."""
         now = self.host.clock()
         ages = [self.replica.age(now, origin) for origin in self.replica.logs]
         return None if not ages or None in ages else max(ages)
 
     def check_age(self, _):
-        """Whether it is beyond the bound."""
+        """Log when the logs become stale or fresh."""
         age = self.age()
         stale = age is None or age > self.max_age
         if stale != self.stale:
@@ -93,7 +92,7 @@
         self.host.deadlines.at(self.host.clock() + AGE_CHECK_INTERVAL, self.check_age, 0)
 
     def log_counts(self, _):
-        """A line of counts."""
+        """Log the counts."""
         age = self.age()
         say(
             'changes',
