--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -1,6 +1,6 @@
-"""A writer's or a relay's process: its address, its signals, its file.
+"""The process of a writer or relay: its listening address, signals and file.
 
-Owns the process. Must never end for what a peer sends.
+Nothing that a peer sends ends the process.
 """
 
 import gc
@@ -26,8 +26,10 @@
 
 
 def retry_disk(call):
-    """What a call gives that writes or reads the file. Guards against a start that fails because the disk
-    does for a moment. Raises BadLine."""
+    """Return the result of a call that reads or writes the file, retrying transient disk errors at a start.
+
+    Raise BadLine if it keeps failing.
+    """
     for attempts_left in reversed(range(START_ATTEMPTS)):
         try:
             return call()
@@ -39,22 +41,22 @@
 
 
 def make_writer(settings, process, replica):
-    """The writer of a process of the file. Raises BadLine."""
+    """Return the writer of this process. Raise BadLine if its file cannot be read or written."""
     store = retry_disk(lambda: Store(process.folder))
     writer = Writer(
         replica, settings.keys, lambda line: retry_disk(lambda: store.keep(line)), store.lines
-    )  # it writes down its epoch
+    )  # stores its epoch
     writer.keep = store.keep
     return writer
 
 
 def make_host(settings, process, reactor, system=System):
-    """The host of one process of the file. Raises BadLine where a writer's file cannot be read."""
+    """Return the host of this process. Raise BadLine if a writer's file cannot be read or written."""
     is_writer = process.role == 'writer'
     replica = Replica(process.name, process.name if is_writer else None)
     parents = [(name, address(settings.named(name).address)) for name in process.parents]
     random = Random(os.urandom(8)).random
-    # A relay's neighbours below that are relays too are not held to a node's rate.
+    # The rate limit of nodes does not apply to children that are relays.
     relays = frozenset(each.name for each in settings.process)
     host = Host(
         reactor,
@@ -72,7 +74,7 @@
 
 
 def log_counts(host, system=System):
-    """A line of counts, again and again."""
+    """Log the counts periodically."""
     replica = host.replica
     status = host.status()
     say(
@@ -89,7 +91,7 @@
 
 
 def run(settings, name):
-    """Run one process of the file until SIGTERM; the exit code. Raises BadLine."""
+    """Run the process with this name until SIGTERM and return its exit code. Raise BadLine if it fails."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
