--- a/lilacdyke/changes/replica.py
+++ b/lilacdyke/changes/replica.py
@@ -1,14 +1,14 @@
-"""A replica of all change logs, and what it tells its neighbours. Without I/O.
+"""A replica of all change logs, and the messages that it sends to its neighbours. Without I/O.
 
-Writers, relays and nodes are all replicas: a writer has a log of its own, a relay neighbours above and below,
-a node one neighbour above. Inputs only update what is known; the host pulls `decide(now)` until it gives
-None, and carries out what it says. Nothing is queued for a neighbour: what it lacks is read off the log as it
-is sent, so a slow one costs nothing and one that is too far behind is given a snapshot.
+Writers, relays and nodes are all replicas, in a tree: a writer has a log of its own and no parent, a relay
+has a parent and children, a node has a parent only. Inputs update the state; the host calls `decide(now)`
+until it returns None, and carries out each decision. Nothing is queued for a neighbour: what it lacks is
+read from the log at each send, so a slow neighbour takes no memory; one too far behind gets a snapshot.
 
-How fresh a log is, by this replica's own clock: a neighbour's message that echoes a stamp of ours was sent
-after that stamp, and says how old its own log was then. With all that the neighbour has, ours lacks nothing
-older than the stamp less that age, whatever the network held up. Clocks run within a twentieth of each other
-(`ledger.longer`).
+Freshness is measured on this replica's own clock. A neighbour's message that echoes one of our stamps was
+sent after that stamp, and states the age of the neighbour's log at that time. Once our log has everything
+that the neighbour's has, it lacks nothing older than the stamp minus that age, however long the network took.
+Clock rates may differ by a twentieth (`ledger.longer`).
 """
 
 from collections import Counter
@@ -19,13 +19,13 @@
 from .log import MAX_SPAN_CHANGES, ChangeLog
 from .messages import MAX_BEHIND_NAMES, MAX_ORIGINS, Position, Sync
 
-BATCH_INTERVAL = SECOND // 4  # between two messages to a neighbour while there are changes
-HEARTBEAT_INTERVAL = SECOND  # while there are none
-NEIGHBOUR_RETENTION = 60 * SECOND  # a neighbour below that has gone counts as behind for so long
+BATCH_INTERVAL = SECOND // 4  # between messages to a neighbour while there are changes
+HEARTBEAT_INTERVAL = SECOND  # between messages to a neighbour otherwise
+NEIGHBOUR_RETENTION = 60 * SECOND  # how long an unlinked child counts as behind
 
 
 class Neighbour:
-    """What is known of one neighbour. below: whether it reports here, what it and those below it have."""
+    """State of one neighbour. is_child: whether it reports the state of its descendants here."""
 
     __slots__ = (
         'name',
@@ -46,37 +46,38 @@
 
     def __init__(self, name, is_child, rate):
         self.name, self.is_child = name, is_child
-        self.positions = {}  # by origin, as it said
-        self.sent, self.sent_at = (
-            {},
-            0,
-        )  # by origin, how far it will be once it has what was sent; since our stamp
-        self.last_stamp = None  # its newest stamp
-        self.next_send = 0  # when it is told something again
-        self.complete, self.behind, self.descendants = {}, [], 0  # of it and all below it
+        self.positions = {}  # by origin, as last received
+        # by origin: its position once it has received everything sent; stamp of the last message with changes
+        self.sent, self.sent_at = {}, 0
+        self.last_stamp = None  # the newest received on this link
+        self.next_send = 0
+        self.complete, self.behind, self.descendants = {}, [], 0  # of its subtree
         self.linked, self.unlinked_at = False, 0
-        self.blocked = False  # whether the system holds something that was sent and has not left
-        self.rate = rate  # changes a second that it is sent at the most; None: as many as there are
+        self.blocked = False  # whether the send buffer is full
+        self.rate = rate  # maximum changes per second sent to it; None: no limit
 
 
 class Replica:
-    """One replica. origin: of the log that this one writes, None for most; holds(now): whether its writer's
-    lease is held, so that nobody writes that log but this one."""
+    """A replica of all logs.
+
+    origin: the log that this replica writes, or None. holds_lease(now): whether it holds the writer's lease,
+    which excludes other writers of that log. tail: how many changes of each log are kept to pass on.
+    """
 
     def __init__(self, name, origin=None, holds_lease=lambda now: True, tail=None):
         self.name, self.origin, self.holds_lease = name, origin, holds_lease
         self.logs, self.tail = {}, tail
-        self.fresh_since = {}  # by origin: since when nothing is known to be lacking, by this clock
+        self.fresh_since = {}  # by origin: time on this clock before which the log is known to be complete
         self.neighbours = {}
-        # (when, neighbour's name): who is told something then, unless sooner
+        # heap of (time, neighbour's name); entries that differ from next_send are obsolete
         self.send_schedule, self.next_cleanup = [], 0
         self.counts = Counter()
-        self.unhandled = []  # (origin, changes, snapshot or None) that the host has not handled yet
+        self.unhandled = []  # (origin, changes, snapshot or None) that the host has not passed on yet
         if origin is not None:
             self.log(origin)
 
     def log(self, origin):
-        """The log of an origin, made where there is none yet."""
+        """Return the log of an origin, created if there is none."""
         if origin not in self.logs:
             self.logs[origin] = ChangeLog() if self.tail is None else ChangeLog(self.tail)
         return self.logs[origin]
@@ -84,7 +85,7 @@
     # --- inputs -----------------------------------------------------------------------------------------
 
     def linked(self, now, name, is_child, rate=None):
-        """A link to a neighbour is there."""
+        """Note that a neighbour is linked, and send to it at once."""
         neighbour = self.neighbours.get(name)
         if neighbour is None:
             neighbour = self.neighbours[name] = Neighbour(name, is_child, rate)
@@ -93,25 +94,22 @@
         self.schedule_send(neighbour, now)
 
     def unlinked(self, now, name):
-        """It has ended."""
+        """Note that a neighbour's link has closed."""
         neighbour = self.neighbours[name]
         neighbour.linked, neighbour.unlinked_at = False, now
 
     def blocked(self, name, is_blocked):
-        """What was sent to a neighbour lies with the system still, or has left. Guards against one that does
-        not read."""
+        """Note whether a neighbour's send buffer is full. Nothing is sent while it is."""
         neighbour = self.neighbours.get(name)
         if neighbour is not None:
             neighbour.blocked = is_blocked
             self.schedule_send(neighbour, neighbour.next_send)
 
     def receive(self, now, name, sync):
-        """A neighbour's message."""
+        """Handle a neighbour's message."""
         neighbour = self.neighbours[name]
         if neighbour.last_stamp is not None and sync.stamp < neighbour.last_stamp:
-            self.counts['late'] += (
-                1  # an older one says nothing that is still true of it, but its changes count
-            )
+            self.counts['late'] += 1  # its state is outdated; its changes still apply
         else:
             self.update_neighbour(neighbour, sync)
         for origin, snapshot in sync.snapshots.items():
@@ -127,22 +125,22 @@
                 self.apply_span(origin, span)
         self.update_freshness(sync)
         if sync.spans or sync.snapshots:
-            self.schedule_send_by(neighbour, now + BATCH_INTERVAL)  # what was taken is acknowledged soon
+            self.schedule_send_by(neighbour, now + BATCH_INTERVAL)  # acknowledges them
 
     def accepts_origin(self, origin):
-        """Whether there is a log for it, or room for one more."""
+        """Return whether this origin has a log, or there is room for one more."""
         return origin in self.logs or len(self.logs) < MAX_ORIGINS
 
     def update_neighbour(self, neighbour, sync):
-        """Where a neighbour is."""
+        """Update the state of a neighbour from its message."""
         neighbour.last_stamp = sync.stamp
         neighbour.positions = sync.positions
         if sync.echo is not None and sync.echo >= neighbour.sent_at:
-            neighbour.sent = {}  # it has heard all that was sent: what it lacks still was lost
+            neighbour.sent = {}  # what it still lacks was lost
         neighbour.complete, neighbour.behind, neighbour.descendants = sync.complete, sync.behind, sync.below
 
     def apply_span(self, origin, span):
-        """Changes of one origin."""
+        """Apply changes of one origin."""
         applied = self.log(origin).apply_span(span)
         self.counts['doubled'] += len(span.changes) - len(applied)
         if applied:
@@ -150,7 +148,7 @@
             self.unhandled.append((origin, applied, None))
 
     def update_freshness(self, sync):
-        """How old a neighbour's logs were, as far as ours have all that it has."""
+        """Update the freshness of each log that has reached the neighbour's position."""
         if sync.echo is None:
             return
         for origin, age in sync.ages.items():
@@ -161,36 +159,36 @@
             self.fresh_since[origin] = max(self.fresh_since.get(origin, since), since)
 
     def has_reached(self, origin, position):
-        """Whether our log is as far as that."""
+        """Return whether our log has reached this position."""
         return self.log(origin).position >= position
 
     def put(self, change):
-        """The next change of our own log."""
+        """Append the next change to our own log."""
         self.log(self.origin).append(change)
         self.unhandled.append((self.origin, [change], None))
 
-    # --- what follows -----------------------------------------------------------------------------------
+    # --- state and decisions ----------------------------------------------------------------------------
 
     def age(self, now, origin):
-        """Our log of an origin lacks nothing that is older; None: not known."""
+        """Return the age in ticks beyond which our log lacks nothing, or None if it is unknown."""
         if origin == self.origin:
             return 0 if self.holds_lease(now) else None
         since = self.fresh_since.get(origin)
         return None if since is None else max(0, now - since)
 
     def complete(self, origin):
-        """What this replica and all below it have at the least."""
+        """Return the lowest position of this replica and its descendants."""
         found = self.log(origin).position
         for neighbour in self.children():
             found = min(found, neighbour.complete.get(origin, Position()))
         return found
 
     def children(self):
-        """Neighbours below, those that have gone lately among them."""
+        """Return the children, including those unlinked lately."""
         return [neighbour for neighbour in self.neighbours.values() if neighbour.is_child]
 
     def behind(self):
-        """Who below has not all that this replica has, by name."""
+        """Return the names of descendants that lag behind this replica."""
         found = []
         for neighbour in self.children():
             found += neighbour.behind
@@ -203,21 +201,21 @@
         return found[:MAX_BEHIND_NAMES]
 
     def count_descendants(self):
-        """How many replicas are below."""
+        """Return the number of descendants."""
         return sum(1 + neighbour.descendants for neighbour in self.children())
 
     def schedule_send(self, neighbour, when):
-        """A neighbour is told something then."""
+        """Schedule the next message to a neighbour."""
         neighbour.next_send = when
         heappush(self.send_schedule, (when, neighbour.name))
 
     def schedule_send_by(self, neighbour, when):
-        """The same, unless that is so sooner."""
+        """Schedule the next message no later than this."""
         if when < neighbour.next_send:
             self.schedule_send(neighbour, when)
 
     def next_due(self):
-        """Whom something is told next, or None. What was put off, or waits for a link, is passed over."""
+        """Return the neighbour to send to next, or None. Drop entries that are obsolete or cannot be sent."""
         while self.send_schedule:
             when, name = self.send_schedule[0]
             neighbour = self.neighbours.get(name)
@@ -232,7 +230,7 @@
         return None
 
     def decide(self, now):
-        """The next thing to do: ('send', neighbour, message), or None."""
+        """Return the next decision: ('send', neighbour's name, message), or None."""
         self.drop_stale_neighbours(now)
         neighbour = self.next_due()
         if neighbour is None or now < neighbour.next_send:
@@ -241,12 +239,12 @@
         return 'send', neighbour.name, self.build_sync(now, neighbour)
 
     def next_wake(self):
-        """When there may be something to do, or None."""
+        """Return the time of the next decision, or None."""
         neighbour = self.next_due()
         return None if neighbour is None else neighbour.next_send
 
     def drop_stale_neighbours(self, now):
-        """Neighbours below that have been gone for long."""
+        """Forget neighbours that have been unlinked for long."""
         if now < self.next_cleanup:
             return
         self.next_cleanup = now + HEARTBEAT_INTERVAL
@@ -255,7 +253,7 @@
                 del self.neighbours[name]
 
     def build_sync(self, now, neighbour):
-        """What a neighbour is told now."""
+        """Build the message to a neighbour, and schedule the next one."""
         spans, snapshots = {}, {}
         if neighbour.last_stamp is not None:
             self.collect_missing(neighbour, spans, snapshots)
@@ -275,7 +273,7 @@
         )
 
     def report(self):
-        """What a neighbour above is told of this replica and all below it."""
+        """Return the fields of a message to the parent that describe this subtree."""
         return {
             'complete': {origin: self.complete(origin) for origin in self.logs},
             'behind': self.behind(),
@@ -283,7 +281,7 @@
         }
 
     def collect_missing(self, neighbour, spans, snapshots):
-        """What a neighbour lacks."""
+        """Collect what a neighbour lacks, within its rate limit."""
         budget = (
             MAX_SPAN_CHANGES if neighbour.rate is None else max(1, neighbour.rate * BATCH_INTERVAL // SECOND)
         )
@@ -301,6 +299,6 @@
                 neighbour.sent[origin] = Position(span.epoch, span.changes[-1].sequence)
 
     def schedule_batch(self, now):
-        """There is something new: neighbours that have rested are told at the next batch."""
+        """Schedule a message to each neighbour within a batch interval, because there are new changes."""
         for neighbour in self.neighbours.values():
             self.schedule_send_by(neighbour, now + BATCH_INTERVAL)
