--- a/lilacdyke/changes/search.py
+++ b/lilacdyke/changes/search.py
@@ -1,10 +1,10 @@
-"""Small worlds of replicas in which everything goes wrong, searched for a broken promise: breadth first and
-by chance.
+"""Model checker for replicas: searches small simulated worlds for violated invariants, breadth first and at
+random.
 
-A world has one writer, relays and nodes in a tree, clocks that run up to a twentieth apart, and a network
-that loses, doubles and reorders messages. After each step the promises are looked at: no replica goes back,
-skips a change, takes one in half, or takes itself for fresher than it is; and nobody calls a change complete
-that somebody below never had.
+A world has one writer, relays and nodes in a tree, clocks whose rates differ by up to a twentieth, and a
+network that loses, duplicates and reorders messages. Invariants checked after each step: no replica moves
+back, skips a change, applies one in part, or reports a log as fresher than it is; and none reports a position
+as complete that one of its children never reached.
 """
 
 import pickle
@@ -17,7 +17,7 @@
 
 ORIGIN = 'w'
 KEYS = {'a': 'text', 'b': 'text'}
-TAIL = 3  # so that snapshots come often
+TAIL = 3  # short, so that snapshots are frequent
 RATES = (Fraction(20, 21), Fraction(1), Fraction(21, 20))
 FULL_TREE = (('w', 'r0'), ('w', 'r1'), ('r0', 'n0'), ('r0', 'n1'), ('r1', 'n2'))
 SMALL_TREE = (('w', 'r0'), ('r0', 'n0'))
@@ -25,22 +25,22 @@
 
 
 class InvariantError(Exception):
-    """What was promised and does not hold."""
+    """An invariant does not hold."""
 
 
 class World:
-    """All processes, the network between them, and what truly happened."""
+    """All processes, the network between them, and the expected state."""
 
     def __init__(self, tree, rates):
         self.tree, self.rates, self.now = tree, dict(rates), 1_000
         self.names = sorted({name for pair in tree for name in pair})
         self.in_flight = []  # (sender, receiver, bytes)
-        self.lines = []  # of the writer's file
-        self.expected = {}  # the configuration as it was put
-        self.states = {Position(): {}}  # by position: the configuration there
-        self.epoch = 0  # of the writer that holds the lease, this one or another
+        self.lines = []  # lines of the writer's file
+        self.expected = {}  # the configuration that was put
+        self.states = {Position(): {}}  # by position: the expected configuration
+        self.epoch = 0  # of the holder of the lease, which may be another process
         self.history = []  # (true time, position) of each change and epoch
-        self.furthest = {}  # by name: the furthest that it ever was
+        self.furthest = {}  # by name: the highest position that it ever had
         self.replicas, self.writer, self.lease_held = {}, None, True
         for name in self.names:
             self.start(name)
@@ -48,20 +48,19 @@
             self.link(upper, lower)
 
     def clock(self, name):
-        """A process's time."""
+        """Return the time on a process's clock."""
         return int(self.now * self.rates.get(name, 1)) + 10 * self.names.index(name)
 
     def true_time(self, name, ticks):
-        """When a process's clock showed that, at the latest."""
+        """Return the latest true time at which a process's clock showed these ticks."""
         return Fraction(ticks + 1 - 10 * self.names.index(name)) / self.rates.get(name, 1)
 
     # --- steps ------------------------------------------------------------------------------------------
 
     def start(self, name):
-        """A process starts, with an empty memory but for the writer's file."""
+        """Start a process with empty memory. The writer reads its file."""
         is_writer = name == ORIGIN
-        # The lease is a flag of this world's; a replica keeps no reference to it, so that worlds can be
-        # copied.
+        # LeaseHeld is a class, since worlds are copied by pickle.
         self.replicas[name] = replica = Replica(name, ORIGIN if is_writer else None, LeaseHeld(self), TAIL)
         if is_writer:
             self.epoch += 1
@@ -69,7 +68,7 @@
             self.record_head(replica.logs[ORIGIN].position)
 
     def restart(self, name):
-        """It is killed and starts again; its links break and come up again."""
+        """Kill and start a process. Its links are lost and opened again."""
         self.in_flight = [each for each in self.in_flight if name not in each[:2]]
         for upper, lower in self.tree:
             if name in (upper, lower):
@@ -80,18 +79,18 @@
                 self.link(upper, lower)
 
     def link(self, upper, lower):
-        """A link comes up."""
+        """Open a link."""
         self.replicas[upper].linked(self.clock(upper), lower, True)
         self.replicas[lower].linked(self.clock(lower), upper, False)
 
     def unlink(self, upper, lower):
-        """A link ends: what was on it is lost."""
+        """Close a link and lose its messages."""
         self.in_flight = [each for each in self.in_flight if set(each[:2]) != {upper, lower}]
         self.replicas[upper].unlinked(self.clock(upper), lower)
         self.replicas[lower].unlinked(self.clock(lower), upper)
 
     def put(self, value):
-        """The writer puts a change of two keys, if it holds its lease."""
+        """Put a change of two keys if the writer holds its lease."""
         if self.lease_held:
             self.expected = {'a': value, 'b': value}
             change = self.writer.put('config', list(self.expected.items()), self.now)
@@ -99,13 +98,12 @@
             self.replicas[ORIGIN].schedule_batch(self.clock(ORIGIN))
 
     def record_head(self, position):
-        """What is true from now on."""
+        """Record the expected state at a new position."""
         self.states[position] = dict(self.expected)
         self.history.append((self.now, position))
 
     def toggle_lease(self):
-        """Another process, which nobody here reaches, becomes the writer; or this one again, in an epoch of
-        its own."""
+        """Give the lease to an unreachable process, or give it back to this writer in a new epoch."""
         self.lease_held = not self.lease_held
         if self.lease_held:
             self.restart(ORIGIN)
@@ -114,7 +112,7 @@
             self.record_head(Position(self.epoch))
 
     def send_pending(self, name):
-        """A process says what it has to say."""
+        """Send all messages that are due at a process."""
         replica, now = self.replicas[name], self.clock(name)
         while (decision := replica.decide(now)) is not None:
             _, to, message = decision
@@ -122,19 +120,19 @@
         del self.in_flight[:-MAX_IN_FLIGHT]
 
     def deliver(self, index, duplicate=False):
-        """A message on its way arrives; keep: and will once more."""
+        """Deliver a message. duplicate: keep it in flight as well."""
         sender, receiver, body = self.in_flight[index] if duplicate else self.in_flight.pop(index)
         replica = self.replicas[receiver]
         before = {origin: log.position for origin, log in replica.logs.items()}
         replica.receive(self.clock(receiver), sender, unpack(body, Sync))
         for origin, position in before.items():
             if replica.logs[origin].position < position:
-                raise InvariantError('%s went back from %s' % (receiver, position))
+                raise InvariantError('%s moved back from %s' % (receiver, position))
 
-    # --- promises ---------------------------------------------------------------------------------------
+    # --- invariants -------------------------------------------------------------------------------------
 
     def check_invariants(self):
-        """Look at all promises."""
+        """Check all invariants. Raise InvariantError if one does not hold."""
         for name, replica in self.replicas.items():
             log = replica.logs.get(ORIGIN)
             if log is None:
@@ -145,9 +143,9 @@
         self.check_complete()
 
     def check_state(self, name, replica, log):
-        """What a replica has is what the writer had there, and its host was told of every change."""
+        """Check a replica's state against the expected state, and that its host received every change."""
         if log.position not in self.states:
-            raise InvariantError('%s is at %s, where the writer never was' % (name, log.position))
+            raise InvariantError('%s is at %s, a position that the writer never had' % (name, log.position))
         if log.configuration != self.states[log.position]:
             raise InvariantError('%s has %s at %s' % (name, log.configuration, log.position))
         if name != ORIGIN:
@@ -155,22 +153,22 @@
         replica.unhandled = replica.unhandled[-64:]
 
     def check_handled(self, name, replica):
-        """What its host was told is without a gap, and nothing came twice."""
+        """Check that what a replica passes to its host has no gaps or duplicates."""
         last = None
         for _, changes, snapshot in replica.unhandled:
             if snapshot is not None:
                 last = snapshot.position.sequence
             for change in changes:
                 if last is not None and change.sequence != last + 1:
-                    raise InvariantError('%s was told of %d after %d' % (name, change.sequence, last))
+                    raise InvariantError('%s passed on change %d after %d' % (name, change.sequence, last))
                 last = change.sequence
         if last is not None and last != replica.logs[ORIGIN].position.sequence:
             raise InvariantError(
-                '%s was told up to %d and is at %s' % (name, last, replica.logs[ORIGIN].position)
+                '%s passed on changes up to %d and is at %s' % (name, last, replica.logs[ORIGIN].position)
             )
 
     def check_freshness(self, name, replica, log):
-        """A replica lacks nothing that is older than it says."""
+        """Check that a replica lacks nothing older than its reported age."""
         now = self.clock(name)
         age = replica.age(now, ORIGIN)
         if age is None:
@@ -179,11 +177,12 @@
         required = [position for when, position in self.history if when < since - 1]
         if required and log.position < required[-1]:
             raise InvariantError(
-                '%s says %d ticks, and is at %s of %s' % (name, age, log.position, required[-1])
+                '%s reports an age of %d ticks, but is at %s, before %s'
+                % (name, age, log.position, required[-1])
             )
 
     def check_complete(self):
-        """Nobody below never had what is called complete."""
+        """Check that each child once reached the position that its parent reports as complete."""
         for upper, lower in self.tree:
             replica = self.replicas[upper]
             neighbour = replica.neighbours.get(lower)
@@ -191,11 +190,13 @@
                 continue
             complete = replica.complete(ORIGIN)
             if complete > self.furthest.get(lower, Position()):
-                raise InvariantError('%s calls %s complete, %s never had it' % (upper, complete, lower))
+                raise InvariantError(
+                    '%s reports %s as complete, but %s never reached it' % (upper, complete, lower)
+                )
 
 
 class LeaseHeld:
-    """Whether the writer's lease is held."""
+    """Returns whether the writer holds its lease."""
 
     def __init__(self, world):
         self.world = world
@@ -205,11 +206,11 @@
 
 
 def draw_rates(tree, rng):
-    """A clock's rate for each process."""
+    """Return a random clock rate for each process."""
     return {name: rng.choice(RATES) for name in sorted({name for pair in tree for name in pair})}
 
 
-# Steps by chance: how often each comes.
+# Weights of random steps.
 STEPS = {
     'advance': 8,
     'put': 3,
@@ -224,7 +225,7 @@
 
 
 def step(world, rng, kind):
-    """One step of a kind."""
+    """Take a random step of this kind."""
     if kind == 'advance':
         world.now += rng.choice((1, 50, 900, 2_600, 11_000))
     elif kind == 'put':
@@ -248,7 +249,7 @@
 
 
 def search_random(seed, steps=400, tree=FULL_TREE):
-    """One large world; raises BrokenPromiseError. How many messages arrived."""
+    """Run random steps in one world. Return the number of deliveries; raise InvariantError on a violation."""
     rng = Random('changes/%d' % seed)
     world, delivered = World(tree, draw_rates(tree, rng)), 0
     kinds, weights = list(STEPS), list(STEPS.values())
@@ -261,7 +262,7 @@
 
 
 def successors(world):
-    """All worlds one step further, as functions of a copy."""
+    """Return every possible next step, as functions of a copy of this world."""
     found = [lambda copy: setattr(copy, 'now', copy.now + 2_600)]
     if len(world.lines) < 4:
         found.append(lambda copy: copy.put('v%d' % len(copy.lines)))
@@ -275,7 +276,7 @@
 
 
 def search_breadth_first(max_worlds=4_000, tree=SMALL_TREE):
-    """All worlds of the small tree, the nearest first, up to so many; how many were looked at."""
+    """Explore the states of a small tree breadth first, up to max_worlds. Return how many were found."""
     first = World(tree, {'n0': RATES[2], 'r0': RATES[0]})
     first.check_invariants()
     seen, frontier = {pickle.dumps(first)}, [first]
