--- a/lilacdyke/changes/settings.py
+++ b/lilacdyke/changes/settings.py
@@ -1,6 +1,6 @@
-"""The changes file: which processes pass changes on, and which keys the configuration has.
+"""The changes file: the processes that distribute changes, and the keys of the configuration.
 
-Owns the form of that file. Whatever is wrong with it is a BadLine that names the key.
+Every error in the file is a BadLine that names the key.
 """
 
 from typing import Annotated, Literal
@@ -15,12 +15,11 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A table of the file."""
+    """Base of the tables of the file."""
 
 
 class Process(Table):
-    """One process that passes changes on. A writer has a folder for its file; a relay has processes above
-    it."""
+    """A process that distributes changes. A writer has a folder for its file; a relay has parents (above)."""
 
     name: Name
     address: str
@@ -36,11 +35,11 @@
     installation: Name
     process: Annotated[list[Process], Meta(min_length=1, max_length=4_096)]
     keys: dict[Name, KeyType] = {}
-    node_rate: Annotated[int, Meta(ge=8, le=10_000)] = 200  # changes a second that a node is sent at the most
+    node_rate: Annotated[int, Meta(ge=8, le=10_000)] = 200  # maximum changes per second sent to a node
     stale_after_s: Annotated[float, Meta(gt=0, le=3_600)] = 10.0
 
     def named(self, name):
-        """The process of this name; a BadLine where there is none."""
+        """Return the process with this name. Raise BadLine if there is none."""
         for process in self.process:
             if process.name == name:
                 return process
@@ -48,12 +47,12 @@
 
     @property
     def relays(self):
-        """Processes that nodes ask."""
+        """The relays, which nodes dial."""
         return [process for process in self.process if process.role == 'relay']
 
 
 def check(settings):
-    """What types cannot tell."""
+    """Check what the types cannot express, and return the settings. Raise BadLine if they are invalid."""
     names = [process.name for process in settings.process]
     if len(set(names)) < len(names):
         raise BadLine('process: a name twice')
@@ -68,7 +67,7 @@
 
 
 def check_process(process, roles):
-    """What types cannot tell of one process."""
+    """Check one process. Raise BadLine if it is invalid."""
     where = 'process %s: ' % process.name
     try:
         address(process.address)
@@ -84,7 +83,7 @@
 
 
 def check_no_cycle(name, settings):
-    """Refuse a circle of processes above each other."""
+    """Raise BadLine if this process is among its own ancestors."""
     seen, pending = set(), [name]
     while pending:
         for above in settings.named(pending.pop()).above:
@@ -96,7 +95,7 @@
 
 
 def read(path):
-    """The settings in this file."""
+    """Return the settings in this file. Raise BadLine if it cannot be read or is invalid."""
     try:
         with open(path, 'rb') as file:
             settings = msgspec.toml.decode(file.read(), type=Settings)
@@ -106,7 +105,7 @@
 
 
 def enabled(settings, installation):
-    """Refuse what was not turned on, here and by name: nobody turns it on by accident."""
+    """Return the settings if they are enabled for this installation, else raise BadLine."""
     if not settings.enabled:
         raise BadLine('enabled: is false')
     if installation != settings.installation:
