--- a/lilacdyke/changes/store.py
+++ b/lilacdyke/changes/store.py
@@ -1,9 +1,8 @@
-"""A writer's file: a JSON object a line, each written through to the disk before what it says is sent out.
+"""A writer's file: one JSON object per line, each synced to disk before its change is sent.
 
-Owns the file's form and its shortening at a start. A last line that is cut off, as by a crash while it was
-written, was never sent out and is dropped; anything else out of form is an error. A line that cannot be kept
-is taken out of the file again before the next is written. Must never say of a line that it is kept before
-all of it is on the disk, nor let one that was refused stay.
+A truncated last line, as a crash leaves it, was never sent and is dropped; any other malformed line is an
+error. A line that could not be stored is truncated from the file before the next one is written. A long file
+is compacted at a start.
 """
 
 import errno
@@ -16,14 +15,14 @@
 from ..values import BadLine
 from .writer import Begun, Compacted, Line, NotKeptError, Put
 
-LINES = 4_096  # from which a file is shortened at a start
+LINES = 4_096  # a file of this many lines is compacted at a start
 NAME = 'changes.jsonl'
 MODE = 0o644
 LINE_END = b'\n'
 
 
 def read(folder):
-    """The lines of a folder's file; none where there is no file. Raises BadLine."""
+    """Return the lines of a folder's file, [] if there is no file. Raise BadLine if it cannot be read."""
     path = os.path.join(folder, NAME)
     try:
         with open(path, 'rb') as file:
@@ -35,7 +34,7 @@
 
 
 def parse(path, text):
-    """The whole lines of a file's bytes, and how many bytes these are. Raises BadLine."""
+    """Return the complete lines in a file's bytes and their length in bytes. Raise BadLine on a bad line."""
     rows = text.split(LINE_END)
     lines_found = []
     for number, row in enumerate(rows[:-1], 1):
@@ -47,7 +46,7 @@
 
 
 def compacted(lines):
-    """The same state in few lines, where there are many."""
+    """Return one line with the same state if there are many, else the same list."""
     if len(lines) < LINES:
         return lines
     epoch, configuration, newest = 0, {}, 0
@@ -64,7 +63,7 @@
 
 
 def write_all(descriptor, data):
-    """Write all of it, however little the system takes at a time. Raises OSError."""
+    """Write all of the data, in as many calls as it takes. Raise OSError if that fails."""
     remaining = memoryview(data)
     while remaining:
         written = os.write(descriptor, remaining)
@@ -74,7 +73,7 @@
 
 
 def sync_folder(folder):
-    """Have the names in a folder reach the disk. Raises OSError."""
+    """Sync the entries of a folder to disk. Raise OSError if that fails."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -83,15 +82,15 @@
 
 
 class DiskError(BadLine):
-    """The file cannot be opened or read now. Says why in one line."""
+    """The file cannot be opened or read, perhaps only for now. The message is one line."""
 
 
 class Store:
-    """The file, open for what follows. Raises DiskError where it cannot be opened or read, BadLine where it
-    is out of form.
+    """A writer's file, open for appending. Raises DiskError if it cannot be opened or read, BadLine if it is
+    malformed.
 
-    lines: what it held at the start. length: bytes of it that are kept; what may stand beyond is no line of
-    ours and is cut off before the next is written.
+    lines: the lines at the start. length: bytes of stored lines; anything beyond is truncated before the next
+    line is written.
     """
 
     def __init__(self, folder):
@@ -101,8 +100,8 @@
             self.open()
             with open(self.path, 'rb') as file:
                 self.lines, self.length = parse(self.path, file.read())
-            self.clean = False  # whether the file ends at that length, on the disk as well
-            self.name_synced = False  # whether its name has reached the disk
+            self.clean = False  # whether the file ends at that length, also on disk
+            self.name_synced = False  # whether its folder entry is on disk
             self.compact()
         except OSError as err:
             self.close()
@@ -112,12 +111,11 @@
             raise
 
     def open(self):
-        """Open the file, or make it."""
+        """Open the file, or create it."""
         self.descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, MODE)
 
     def compact(self):
-        """Put a shorter file of the same state in place of a long one. Should that fail, the long one goes
-        on."""
+        """Replace a long file by a short one with the same state. If that fails, keep the long one."""
         compacted_lines = compacted(self.lines)
         if compacted_lines is self.lines:
             return
@@ -130,7 +128,7 @@
         self.lines, self.length = compacted_lines, len(data)
 
     def replace(self, data):
-        """Put a file of these bytes in the place of the present one, whole or not at all. Raises OSError."""
+        """Replace the file atomically by one with these bytes. Raise OSError if that fails."""
         new = self.path + '.new'
         descriptor = os.open(new, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, MODE)
         try:
@@ -146,8 +144,7 @@
         self.descriptor = descriptor
 
     def cut_back(self):
-        """Take out what may stand beyond the last line that is kept, and see to the file's name. Raises
-        OSError."""
+        """Truncate the file to its stored lines, and sync its folder entry. Raise OSError if that fails."""
         if not self.name_synced:
             sync_folder(self.folder)
             self.name_synced = True
@@ -157,8 +154,10 @@
             self.clean = True
 
     def keep(self, line):
-        """Write a line down for good. Raises NotKeptError; the line is then not in the file, or, where that
-        says so, it may be until the next is kept."""
+        """Append a line and sync it to disk. Raise NotKeptError if that fails.
+
+        The line is then not in the file; or, if the error says so, it may be there until the next is stored.
+        """
         data = msgspec.json.encode(line) + LINE_END
         try:
             self.cut_back()
@@ -171,7 +170,7 @@
         self.clean = True
 
     def refusal(self, err):
-        """The error for a line that was not kept, with the file cut back, if that can be done now."""
+        """Truncate the file after a failed write, and return the error to raise."""
         try:
             self.cut_back()
         except OSError:
@@ -179,7 +178,7 @@
         return NotKeptError('not kept: %s' % err.strerror)
 
     def close(self):
-        """Nothing more is written."""
+        """Close the file."""
         if self.descriptor is not None:
             descriptor, self.descriptor = self.descriptor, None
             with suppress(OSError):
