--- a/lilacdyke/changes/writer.py
+++ b/lilacdyke/changes/writer.py
@@ -1,7 +1,7 @@
-"""The writer of one log: what may be put, under which number, and how a change is taken back. Without I/O.
+"""The writer of one log: validates, numbers and takes back changes. Without I/O.
 
-A change is written down for good before it is in the log, so that nobody has one that its writer does not
-know after a restart. Every start of a writer is an epoch of its own, above all that were written down.
+A change is stored before it enters the log, so that no replica has a change that its writer has lost after a
+restart. Every start of a writer begins a new epoch, above all stored ones.
 """
 
 from typing import Literal
@@ -12,23 +12,21 @@
 from .log import CONFIGURATION, KINDS, PURGE
 from .messages import Change, Item, Position, Snapshot
 
-MAX_CONFIGURATION_BYTES = (
-    512 << 10
-)  # bytes of all keys and values together, so that a snapshot is one message
-MAX_CHANGE_BYTES = 64 << 10  # bytes of one change
-MAX_REVERSIBLE = 1_024  # changes that can be taken back
+MAX_CONFIGURATION_BYTES = 512 << 10  # all keys and values, to fit a snapshot in a message
+MAX_CHANGE_BYTES = 64 << 10
+MAX_REVERSIBLE = 1_024  # number of changes that can be taken back
 
 
 class RefusedError(BadLine):
-    """A change that cannot be put. Says why in one line that names the key."""
+    """A change is refused. The message is one line that names the key."""
 
 
 class NotKeptError(RefusedError):
-    """A change that could not be written down."""
+    """A change could not be stored."""
 
 
 class Begun(msgspec.Struct, frozen=True, tag='epoch'):
-    """A line of the writer's file: an epoch begins."""
+    """A line of the writer's file: the start of an epoch."""
 
     epoch: int
 
@@ -40,7 +38,7 @@
 
 
 class Compacted(msgspec.Struct, frozen=True, tag='kept'):
-    """A line of the writer's file that stands for all before it."""
+    """A line of the writer's file: the state that replaces all earlier lines."""
 
     epoch: int
     configuration: dict[str, str]
@@ -52,7 +50,7 @@
 
 
 def is_valid(value, kind):
-    """Whether a value is of a key's type."""
+    """Return whether a value has this type (a KeyType)."""
     if kind == 'number':
         try:
             return float(value) == float(value)
@@ -62,13 +60,16 @@
 
 
 class Writer:
-    """The writer of a replica's own log. keys: the configuration's keys with their types; keep(line): write a
-    line down for good; lines: those that lives before this one wrote."""
+    """The writer of a replica's own log.
+
+    keys: the type of each configuration key. keep(line): stores a line durably. lines: those stored before
+    this start. epoch: the epoch to begin; by default the next.
+    """
 
     def __init__(self, replica, keys, keep, lines=(), epoch=None):
         self.replica, self.keys, self.keep = replica, keys, keep
         self.log = replica.log(replica.origin)
-        self.replaced = {}  # by sequence: the values that a change of the configuration replaced
+        self.replaced = {}  # by sequence: items with the values that a configuration change replaced
         last = self.replay(lines)
         self.epoch = last + 1 if epoch is None else epoch
         if self.epoch <= last:
@@ -77,7 +78,7 @@
         self.log.begin_epoch(self.epoch)
 
     def replay(self, lines):
-        """What lives before wrote; the last epoch."""
+        """Apply the stored lines to the log, and return the last epoch."""
         last = 0
         for line in lines:
             if isinstance(line, Begun):
@@ -92,7 +93,7 @@
         return last
 
     def record_replaced(self, change):
-        """Note what a change of the configuration, which is not in the log yet, replaces."""
+        """Record the values that a configuration change replaces, before it is appended to the log."""
         if change.kind == CONFIGURATION:
             values = self.log.configuration
             self.replaced[change.sequence] = [
@@ -102,10 +103,10 @@
                 del self.replaced[next(iter(self.replaced))]
 
     def put(self, kind, items, at):
-        """Put a change; it, or a RefusedError. at: Unix time in milliseconds."""
+        """Put a change and return it. Raise RefusedError if it is invalid. at: Unix time in milliseconds."""
         items = [Item(key, value) for key, value in items]
         self.check(kind, items)
-        # By a clock that was stepped back a change would count as older than those before it.
+        # The clock may have been stepped back: a change is never older than those before it.
         change = Change(self.log.position.sequence + 1, kind, items, max(at, self.log.newest))
         self.keep(Put(change))
         self.record_replaced(change)
@@ -113,8 +114,10 @@
         return change
 
     def take_back(self, sequence, at):
-        """Put what a change of the configuration replaced, as a new change, where no later one has set its
-        keys."""
+        """Restore the values that a configuration change replaced, as a new change.
+
+        Raise RefusedError if a later change has set one of its keys.
+        """
         if sequence not in self.replaced:
             raise RefusedError('sequence: %d is no change that can be taken back' % sequence)
         items = self.replaced[sequence]
@@ -129,7 +132,7 @@
         return self.put(CONFIGURATION, [(item.key, item.value) for item in items], at)
 
     def check(self, kind, items):
-        """Refuse what cannot be put."""
+        """Raise RefusedError if a change is invalid."""
         if kind not in KINDS:
             raise RefusedError('%s: no such kind' % kind)
         if not items:
@@ -146,14 +149,14 @@
         self.check_size(kind, items)
 
     def check_key(self, item):
-        """Refuse a key that there is not, or a value that is none of it. An empty one takes the key out."""
+        """Raise RefusedError if a key is unknown or its value invalid. An empty value unsets the key."""
         if item.key not in self.keys:
             raise RefusedError('%s: no such key' % item.key)
         if item.value and not is_valid(item.value, self.keys[item.key]):
             raise RefusedError('%s: no %s: %.60s' % (item.key, self.keys[item.key], item.value))
 
     def check_size(self, kind, items):
-        """Refuse what would make the configuration too large for one message."""
+        """Raise RefusedError if the configuration would become too large for one message."""
         merged = {**self.log.configuration, **{item.key: item.value for item in items}}
         size = sum(len(key) + len(value) for key, value in merged.items())
         if kind == CONFIGURATION and size > MAX_CONFIGURATION_BYTES:
@@ -161,5 +164,5 @@
 
 
 def keys_of(items):
-    """The keys that items set."""
+    """Return the keys that items set."""
     return {item.key for item in items}
