--- a/tests/changes/test_full_disk.py
+++ b/tests/changes/test_full_disk.py
@@ -1,5 +1,5 @@
-"""A writer whose disk fails for a while, as a process over the shim: what it said was kept is there, and what
-it said was refused is not, also after it was killed and started anew."""
+"""A writer process with injected disk errors: after a kill and restart, its file has every change that it
+accepted and none that it refused."""
 
 import errno
 import os
@@ -33,8 +33,6 @@
 
 
 class FullDisk(unittest.TestCase):
-    """One writer."""
-
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -75,18 +73,18 @@
             return None
 
     def put(self, value):
-        """Whether a change was told as kept."""
+        """Put a change, and return whether it was accepted."""
         answer = self.ask(PutRequest('config', [Item('limit', str(value))]), PutAnswer)
         self.assertIsNotNone(answer, 'no answer')
         return answer.position is not None
 
-    def kept(self):
-        """The values in the file, in order."""
+    def stored_values(self):
+        """Return the values in the file, in order."""
         lines = store.read(self.folder)
         return [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
 
     def assert_accepted_changes_survive(self, *calls):
-        """Changes are put before, while and after calls fail, then the writer is killed and started anew."""
+        """Put changes before, while and after calls fail, then kill and restart the writer."""
         accepted = [value for value in (1, 2) if self.put(value)]
         self.board.put(calls=calls)
         accepted += [value for value in (3, 4) if self.put(value)]
@@ -95,21 +93,21 @@
         self.assertEqual(accepted[:2] + accepted[-2:], [1, 2, 5, 6])
         self.kill()
         self.start()
-        self.assertEqual(self.kept(), accepted)
+        self.assertEqual(self.stored_values(), accepted)
         self.assertTrue(self.put(7))
 
-    def test_a_write_that_falls_short(self):
+    def test_accepted_changes_survive_partial_and_failed_writes(self):
         self.assert_accepted_changes_survive(
             {'call': 'write', 'size': 5, 'count': 1}, {'call': 'write', 'errno': errno.ENOSPC, 'first': 2}
         )
 
-    def test_a_sync_that_fails_after_the_whole_line_was_written(self):
+    def test_accepted_changes_survive_failed_sync_after_complete_write(self):
         self.assert_accepted_changes_survive({'call': 'fsync', 'errno': errno.EIO, 'count': 1})
 
-    def test_a_disk_that_takes_nothing(self):
+    def test_accepted_changes_survive_full_disk(self):
         self.assert_accepted_changes_survive({'call': 'write', 'errno': errno.ENOSPC})
 
-    def test_a_start_while_the_disk_fails_for_a_moment(self):
+    def test_writer_starts_despite_transient_disk_errors(self):
         self.assertTrue(self.put(1))
         for call, number in (('fsync', errno.EIO), ('write', errno.ENOSPC), ('open', errno.ENFILE)):
             with self.subTest(call=call):
@@ -118,7 +116,7 @@
                 self.start()
                 self.board.put()
         self.assertTrue(self.put(2))
-        self.assertEqual(self.kept(), [1, 2])
+        self.assertEqual(self.stored_values(), [1, 2])
 
 
 if __name__ == '__main__':
