--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -1,4 +1,4 @@
-"""Logs, writers and their files: what is taken in, what is refused, what a start finds."""
+"""Change logs, writers, their files, messages and settings."""
 
 import os
 import tempfile
@@ -39,7 +39,7 @@
 
 
 class Logs(unittest.TestCase):
-    def test_a_span_is_taken_in_once_and_without_a_gap(self):
+    def test_span_is_applied_once_and_without_gaps(self):
         made = log(2)
         spans = [
             (Span(1, 3, [change(4)]), []),
@@ -52,7 +52,7 @@
             self.assertEqual([each.sequence for each in made.apply_span(span)], taken)
         self.assertEqual(made.position, Position(1, 4))
 
-    def test_a_tail_reaches_as_far_back_as_it_is_long(self):
+    def test_span_after_position_is_none_beyond_the_tail(self):
         made = log(10, tail=4)
         self.assertIsNone(made.span_after(Position(1, 5)))
         self.assertEqual([each.sequence for each in made.span_after(Position(1, 6)).changes], [7, 8, 9, 10])
@@ -60,13 +60,13 @@
         self.assertIsNone(made.span_after(Position(0, 6)))
         self.assertIsNone(made.span_after(Position(1, 11)))
 
-    def test_a_span_has_no_more_bytes_than_a_message_bears(self):
+    def test_span_size_is_limited_to_one_message(self):
         made = log()
         for sequence in range(1, 9):
             made.append(change(sequence, value='x' * 60_000))
         self.assertEqual(len(made.span_after(Position(1, 0)).changes), 4)
 
-    def test_a_snapshot_is_taken_where_it_is_further_on_and_says_what_was_purged(self):
+    def test_snapshot_is_applied_only_if_ahead(self):
         made = log(5)
         self.assertFalse(made.apply_snapshot(Snapshot(Position(1, 5), {}, 9)))
         self.assertFalse(made.apply_snapshot(Snapshot(Position(0, 99), {}, 9)))
@@ -76,7 +76,7 @@
         )
         self.assertEqual(made.span_after(Position(2, 1)).changes, [])
 
-    def test_a_relay_that_takes_a_snapshot_can_pass_on_the_latest_changes_one_by_one(self):
+    def test_snapshot_history_fills_the_tail_unless_it_has_gaps(self):
         made, fresh = log(6, tail=4), ChangeLog(8)
         self.assertTrue(fresh.apply_snapshot(made.snapshot(with_history=True)))
         self.assertEqual([each.sequence for each in fresh.span_after(Position(1, 2)).changes], [3, 4, 5, 6])
@@ -87,7 +87,7 @@
         self.assertIsNone(other.span_after(Position(1, 3)))
         self.assertIsNone(made.snapshot().history)
 
-    def test_a_kind_that_is_not_known_is_kept_in_order_and_counted(self):
+    def test_change_of_unknown_kind_is_passed_on_and_counted(self):
         made = log(1)
         made.apply_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
         self.assertEqual((made.position.sequence, made.skipped), (3, 1))
@@ -102,7 +102,7 @@
         self.kept = list(lines)
         return Writer(self.replica, KEYS, self.kept.append, list(lines), epoch)
 
-    def test_what_cannot_be_put_is_refused_with_its_key(self):
+    def test_invalid_change_is_refused_with_its_key(self):
         cases = {
             ('config', (('limit', 'many'),)): 'limit',
             ('config', (('other', '1'),)): 'other',
@@ -119,7 +119,7 @@
                 writer.put(kind, items, 1)
         self.assertEqual((self.replica.log('w').position, len(self.kept)), (Position(1, 0), 1))
 
-    def test_the_configuration_stays_small_enough_for_one_message(self):
+    def test_configuration_size_is_limited_to_one_message(self):
         replica = Replica('w', 'w')
         keys = {'banner%d' % number: 'text' for number in range(20)}
         writer = Writer(replica, keys, lambda line: None)
@@ -127,18 +127,18 @@
             for key in keys:
                 writer.put('config', [(key, 'x' * 65_000)], 1)
 
-    def test_nothing_is_in_the_log_before_it_is_written_down(self):
+    def test_change_that_is_not_stored_is_not_in_the_log(self):
         writer = self.writer()
 
-        def full(line):
+        def fail(line):
             raise OSError('no space')
 
-        writer.keep = full
+        writer.keep = fail
         with self.assertRaises(OSError):
             writer.put('config', [('limit', '1')], 1)
         self.assertEqual(self.replica.log('w').position, Position(1, 0))
 
-    def test_a_change_is_taken_back_as_a_new_one(self):
+    def test_change_is_taken_back_by_a_new_change(self):
         writer = self.writer()
         for value in '12':
             writer.put('config', [('limit', value), ('banner', value)], 1)
@@ -150,7 +150,7 @@
             with self.assertRaisesRegex(RefusedError, told):
                 writer.take_back(sequence, 3)
 
-    def test_a_start_knows_all_that_was_written_down_in_an_epoch_of_its_own(self):
+    def test_restarted_writer_replays_its_lines_in_a_new_epoch(self):
         writer = self.writer()
         writer.put('config', [('limit', '1')], 1)
         writer.put('config', [('limit', '2')], 1)
@@ -160,7 +160,7 @@
         again.take_back(2, 3)
         self.assertEqual(self.replica.log('w').configuration, {'limit': '1'})
 
-    def test_an_epoch_that_is_not_above_those_written_down_is_refused(self):
+    def test_epoch_not_above_stored_epochs_is_refused(self):
         self.writer()
         with self.assertRaisesRegex(RefusedError, 'epoch'):
             self.writer([Begun(4)], 4)
@@ -178,7 +178,7 @@
             made.keep(line)
         made.close()
 
-    def test_what_is_kept_is_read_and_a_line_that_was_cut_off_is_dropped(self):
+    def test_stored_lines_are_read_and_truncated_last_line_is_dropped(self):
         self.kept(Begun(1), Put(change(1)))
         with open(self.path, 'ab') as file:
             file.write(b'{"type":"put","chan')
@@ -188,18 +188,18 @@
         self.kept(Put(change(2)))
         self.assertEqual(len(store.read(self.folder.name)), 3)
 
-    def test_a_line_out_of_form_is_named(self):
+    def test_malformed_line_is_reported_with_its_number(self):
         self.kept(Begun(1))
         with open(self.path, 'ab') as file:
             file.write(b'noise\n')
         with self.assertRaisesRegex(BadLine, 'line 2'):
             store.Store(self.folder.name)
 
-    def test_a_folder_that_is_not_there_is_one_line(self):
+    def test_missing_folder_is_reported_in_one_line(self):
         with self.assertRaisesRegex(BadLine, 'nowhere'):
             store.Store('/nowhere/at/all')
 
-    def test_a_long_file_is_shortened_to_the_same_state(self):
+    def test_long_file_is_compacted_to_the_same_state(self):
         lines = [Begun(1), *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000))]
         compacted_lines = store.compacted(lines)
         self.assertEqual(compacted_lines, [Compacted(1, {'limit': '5999'}, 5_999)])
@@ -209,14 +209,14 @@
 
 
 class Frames(unittest.TestCase):
-    def test_messages_however_cut(self):
+    def test_messages_are_decoded_byte_by_byte(self):
         sent = [Hello('n0', 'here'), Sync('n0', 5, spans={'w': Span(1, 0, [change(1)])}), StatusRequest()]
         data, reader, found = b''.join(map(messages.pack, sent)), frame_reader(), []
         for at in range(len(data)):
             found += [messages.unpack(body) for body in reader.feed(data[at : at + 1])]
         self.assertEqual(found, sent)
 
-    def test_bad_bytes_end_a_link_with_one_line(self):
+    def test_malformed_frame_raises_with_one_line(self):
         bodies = (
             b'noise',
             messages.msgspec.msgpack.encode((1, 0, {'type': 'sync'})),
@@ -231,7 +231,7 @@
         with self.assertRaises(BadFrameError):
             frame_reader().feed(b'\xff' * 8)
 
-    def test_a_newer_major_is_refused_and_fields_of_a_newer_minor_are_skipped(self):
+    def test_newer_major_version_is_refused_and_unknown_fields_are_skipped(self):
         encode = messages.msgspec.msgpack.encode
         with self.assertRaises(UnsupportedVersionError):
             messages.unpack(encode((2, 0, {'type': 'status'})))
@@ -263,11 +263,11 @@
             file.flush()
             return settings.read(file.name)
 
-    def test_a_file_is_read(self):
+    def test_valid_file_is_read(self):
         made = self.read(self.TEXT)
         self.assertEqual(([each.name for each in made.relays], made.keys), (['r0'], {'limit': 'number'}))
 
-    def test_what_is_wrong_is_one_line_that_names_the_key(self):
+    def test_invalid_file_is_reported_in_one_line_with_the_key(self):
         cases = {
             self.TEXT.replace('"number"', '"colour"'): 'keys',
             self.TEXT.replace('above = ["w0"]', 'above = ["w9"]'): 'no w9',
@@ -285,7 +285,7 @@
                 self.read(text)
             self.assertNotIn('\n', str(caught.exception))
 
-    def test_it_is_off_unless_enabled_for_this_installation(self):
+    def test_file_must_be_enabled_for_this_installation(self):
         made = self.read(self.TEXT)
         self.assertIs(settings.enabled(made, 'here'), made)
         for text, name in (
