--- a/tests/changes/test_processes.py
+++ b/tests/changes/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a writer, relays and nodes' parts; killed, stopped and started anew."""
+"""Writer, relay and node processes on loopback, which are killed, stopped and restarted."""
 
 import contextlib
 import json
@@ -56,7 +56,7 @@
 
 
 class Processes(unittest.TestCase):
-    """A writer and two relays. Each test ends what it started by its id."""
+    """A writer and two relays."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -78,7 +78,7 @@
             process.wait()
 
     def start(self, name):
-        """Start a process of the file and wait until it answers."""
+        """Start a process of the changes file and wait until it answers."""
         command = (sys.executable, '-m', 'lilacdyke', 'change', 'run', '--file', self.path, '--name', name)
         self.running[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
         self.wait_until(lambda: self.status(name) is not None)
@@ -88,7 +88,7 @@
         self.running[name].wait()
 
     def ask(self, name, request, kind):
-        """An answer, or None if nobody gives one."""
+        """Return the answer of a process, or None if it cannot be reached."""
         host, _, port = self.settings.named(name).address.rpartition(':')
         try:
             with socket.create_connection((host, int(port)), 1.0) as connection:
@@ -107,50 +107,50 @@
         return answer.position
 
     def wait_until(self, condition):
-        """Wait until something is so."""
+        """Wait until the condition holds."""
         end = time.monotonic() + TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), end)
             time.sleep(0.05)
 
     def complete(self, position):
-        """Whether the writer says that all below it have that."""
+        """Return whether the writer reports this position as complete."""
         told = self.status('w0')
         return told is not None and told.complete['w0'] >= position and not told.behind
 
     def start_nodes(self, count, seconds):
-        """So many nodes' own parts, as one process; what they saw, once they have ended."""
+        """Start hollow nodes in one process. Return a function that waits for their results."""
         out = os.path.join(self.folder, 'seen-%d.json' % len(self.running))
         command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.path, '--out', out)
         sizes = ('--count', str(count), '--seconds', str(seconds))
         process = self.running[out] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
 
-        def seen():
+        def results():
             process.wait(seconds + TIMEOUT_S)
             with open(out, encoding='utf-8') as file:
                 return json.load(file)
 
-        return seen
+        return results
 
-    def below(self, count):
-        """Whether so many nodes and both relays are below the writer."""
+    def joined(self, count):
+        """Return whether the writer reports this many nodes and both relays as descendants."""
         told = self.status('w0')
         return told is not None and told.below == count + 2
 
-    def test_changes_reach_all_nodes_and_are_known_to(self):
-        seen = self.start_nodes(20, 9)
-        self.wait_until(lambda: self.below(20))
+    def test_changes_reach_all_nodes_and_become_complete(self):
+        results = self.start_nodes(20, 9)
+        self.wait_until(lambda: self.joined(20))
         self.put('config', ('limit', '5'), ('banner', 'hi'))
         position = self.put('purge', ('k1',))
         self.wait_until(lambda: self.complete(position))
-        told = seen()
+        told = results()
         self.assertEqual((told['positions'], set(told['counted'].values())), ([['w0', 1, 2]], {20}))
         self.assertLess(max(told['latest'].values()), 3_900)
         self.assertLess(max(told['ages_ms']), 5_000)
 
-    def test_a_relay_is_killed_and_comes_back_with_an_empty_memory(self):
-        seen = self.start_nodes(20, 14)
-        self.wait_until(lambda: self.below(20))
+    def test_changes_reach_all_nodes_across_a_relay_restart(self):
+        results = self.start_nodes(20, 14)
+        self.wait_until(lambda: self.joined(20))
         first = self.put('config', ('limit', '1'))
         self.wait_until(lambda: self.complete(first))
         self.kill('r0')
@@ -158,26 +158,26 @@
         self.start('r0')
         self.wait_until(lambda: self.status('r0').positions.get('w0') == position)
         position = self.put('config', ('limit', '2'))
-        told = seen()
+        told = results()
         self.assertEqual(told['positions'], [['w0', position.epoch, position.sequence]])
-        # Nobody missed the one that came while the relay was away: its nodes asked the other.
+        # The nodes of the killed relay received this purge through the other relay.
         self.assertEqual(told['counted']['purge/w0/2'], 20)
         self.assertLess(max(told['latest'].values()), 6_000)
 
-    def test_a_relay_is_stopped_and_the_writer_says_who_is_behind(self):
-        seen = self.start_nodes(10, 16)
-        self.wait_until(lambda: self.below(10))
+    def test_stopped_relay_is_reported_as_behind(self):
+        results = self.start_nodes(10, 16)
+        self.wait_until(lambda: self.joined(10))
         self.running['r0'].send_signal(signal.SIGSTOP)
         position = self.put('config', ('limit', '1'))
         self.wait_until(lambda: 'r0' in self.status('w0').behind)
         self.assertLess(self.status('w0').complete['w0'], position)
         self.running['r0'].send_signal(signal.SIGCONT)
         self.wait_until(lambda: self.status('r0').positions['w0'] == position)
-        self.assertEqual(seen()['positions'], [['w0', position.epoch, position.sequence]])
+        self.assertEqual(results()['positions'], [['w0', position.epoch, position.sequence]])
 
-    def test_the_writer_is_killed_and_what_it_said_yes_to_stays(self):
-        seen = self.start_nodes(10, 14)
-        self.wait_until(lambda: self.below(10))
+    def test_accepted_changes_survive_a_writer_restart(self):
+        results = self.start_nodes(10, 14)
+        self.wait_until(lambda: self.joined(10))
         for number in range(5):
             self.put('config', ('limit', str(number)))
         self.kill('w0')
@@ -186,16 +186,16 @@
         self.assertEqual((told.configuration, told.positions['w0'].epoch), ({'limit': '4'}, 2))
         position = self.put('purge', ('after',))
         self.wait_until(lambda: self.status('r1').positions['w0'] == position)
-        self.assertEqual(seen()['positions'], [['w0', 2, 1]])
+        self.assertEqual(results()['positions'], [['w0', 2, 1]])
 
-    def test_a_hundred_nodes_come_at_once(self):
+    def test_one_hundred_nodes_join_at_once(self):
         for number in range(200):
             self.put('config', ('limit', str(number)))
         told = self.start_nodes(100, 7)()
         self.assertEqual((told['positions'], told['snapshots']), ([['w0', 1, 200]], 100))
         self.assertLess(told['bytes_in'] / told['seconds'] / 100, 21_000)
 
-    def test_staff_put_take_back_list_and_ask(self):
+    def test_change_commands(self):
         def told(*words):
             done = CliRunner().invoke(main, ['change', words[0], '--file', self.path, *words[1:]])
             return done.exit_code, done.output
@@ -216,26 +216,26 @@
         self.kill('r1')
         self.assertEqual(told('status', '--name', 'r1')[0], 1)
 
-    def test_bytes_out_of_form_end_their_link_and_nothing_else(self):
+    def test_malformed_bytes_close_only_their_link(self):
         host, _, port = self.settings.named('r0').address.rpartition(':')
-        strange = [socket.create_connection((host, int(port)), 1.0) for _ in range(3)]
-        strange[0].sendall(b'\xff' * 64)
-        strange[1].sendall(LENGTH.pack(5) + b'noise')
-        strange[2].sendall(pack(StatusRequest())[:6])  # and no more
-        for each in strange[:2]:
-            each.settimeout(5)
+        connections = [socket.create_connection((host, int(port)), 1.0) for _ in range(3)]
+        connections[0].sendall(b'\xff' * 64)
+        connections[1].sendall(LENGTH.pack(5) + b'noise')
+        connections[2].sendall(pack(StatusRequest())[:6])  # an incomplete frame
+        for connection in connections[:2]:
+            connection.settimeout(5)
             with contextlib.suppress(ConnectionResetError):
-                self.assertEqual(each.recv(1), b'')
+                self.assertEqual(connection.recv(1), b'')
         self.assertIsNotNone(self.status('r0'))
-        for each in strange:
-            each.close()
+        for connection in connections:
+            connection.close()
 
 
 class Node(Crossing):
-    """A node of the program with a changes file, whose relay is the test."""
+    """A node with a changes file. The test acts as its relay."""
 
-    def test_it_says_hello_serves_all_the_same_and_says_that_it_is_stale(self):
-        # Without --changes in this class's start: the file is given to a second process of the program.
+    def test_node_sends_hello_and_logs_stale_changes(self):
+        # The class's own process has no --changes, so this starts a second one.
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, 'changes.toml')
             relay = socket.create_server(('127.0.0.1', 0))
@@ -264,7 +264,7 @@
                 link.close()
                 relay.close()
 
-    def test_a_file_of_another_installation_is_refused(self):
+    def test_changes_file_of_another_installation_is_refused(self):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
             file.write(FILE % (1, '/tmp', 2, 3))
             file.flush()
