--- a/tests/changes/test_search.py
+++ b/tests/changes/test_search.py
@@ -1,4 +1,4 @@
-"""Worlds of replicas: every promise holds in those searched, and each broken form is found."""
+"""Model checking of replicas: the invariants hold, and every mutant violates one."""
 
 import unittest
 from unittest import mock
@@ -12,11 +12,11 @@
 from lilacdyke.changes.writer import Writer
 
 RANDOM_WORLDS, STATES = 40, 1_500
-MAX_SEEDS = 120  # worlds by chance that a broken form must be found within
+MAX_SEEDS = 120  # random worlds within which a mutant must be found
 
 
 def accepts_gaps(self, span):
-    """Takes in changes that do not follow."""
+    """Apply changes after a gap."""
     fresh = [change for change in span.changes if change.sequence > self.position.sequence]
     for change in fresh if span.epoch == self.position.epoch else []:
         self.append(change)
@@ -24,7 +24,7 @@
 
 
 def accepts_any_epoch(self, span):
-    """Takes an epoch's changes behind another's."""
+    """Apply changes of another epoch."""
     fresh = [change for change in span.changes if change.sequence == self.position.sequence + 1]
     for change in fresh:
         self.append(change)
@@ -32,7 +32,7 @@
 
 
 def applies_twice(self, span):
-    """Takes in what it has already."""
+    """Apply changes again."""
     if span.epoch != self.position.epoch or span.after > self.position.sequence:
         return []
     for change in span.changes:
@@ -41,7 +41,7 @@
 
 
 def applies_older_snapshots(self, snapshot):
-    """Goes back to a snapshot that it is beyond."""
+    """Apply a snapshot that is behind the log."""
     if snapshot.position.epoch < self.position.epoch:
         return False
     self.position, self.configuration = snapshot.position, dict(snapshot.configuration)
@@ -51,14 +51,14 @@
 
 
 def applies_half(self, change):
-    """Sets the first key of a change only."""
+    """Set only the first key of a change."""
     real_append(self, change)
     for item in change.items[1:]:
         self.configuration[item.key] = 'older'
 
 
 def keeps_old_keys(self, snapshot):
-    """Leaves its own values in force beside a snapshot's."""
+    """Keep the old values beside those of a snapshot."""
     kept = dict(self.configuration)
     taken = real_apply_snapshot(self, snapshot)
     if taken:
@@ -67,7 +67,7 @@
 
 
 def persists_late(self, kind, items, at):
-    """Sends a change out before it is written down, which the next one's put does."""
+    """Send a change before it is stored, at the next put."""
     kept, self.keep = self.keep, self.late.append
     change = real_put(self, kind, items, at)
     self.keep = kept
@@ -81,8 +81,8 @@
     return True
 
 
-def fresh_when_heard(self, sync):
-    """Counts from when a message came, not from the stamp that it echoes."""
+def fresh_since_arrival(self, sync):
+    """Count from the arrival of a message instead of the stamp that it echoes."""
     if sync.echo is not None:
         real_update_freshness(self, sync)
         for origin in sync.ages:
@@ -95,36 +95,36 @@
     real_receive(self, now, name, sync)
 
 
-def age_not_counted(self, sync):
-    """Takes what comes from a relay for as fresh as the writer's."""
+def ignores_relay_age(self, sync):
+    """Ignore the age of a relay's log."""
     for origin in sync.ages if sync.echo is not None else ():
         if origin != self.origin and self.has_reached(origin, sync.positions[origin]):
             self.fresh_since[origin] = max(self.fresh_since.get(origin, sync.echo), sync.echo)
 
 
 def fresh_without_a_lease(self, now, origin):
-    """A writer that is fenced off takes its log for the newest."""
+    """Report a writer's log as fresh without its lease."""
     return 0 if origin == self.origin else real_age(self, now, origin)
 
 
-def own_position_is_complete(self, origin):
+def own_position_as_complete(self, origin):
     return self.log(origin).position
 
 
 def snapshot_ahead_of_state(self, with_history=False):
-    """Says that it is further on than it is."""
+    """Make a snapshot with a position ahead of its state."""
     return Snapshot(
         Position(self.position.epoch, self.position.sequence + 1), dict(self.configuration), self.newest
     )
 
 
 def unbounded_tail(self, sequence):
-    """Takes its tail to reach back to any sequence."""
+    """Treat the tail as reaching back to any sequence."""
     return sequence <= self.position.sequence
 
 
 def newest_changes_first(self, position, max_changes=logs.MAX_SPAN_CHANGES):
-    """Gives the newest changes first."""
+    """Send the newest change only."""
     span = real_span_after(self, position, max_changes)
     if span is None or len(span.changes) < 2:
         return span
@@ -141,56 +141,56 @@
         (ChangeLog, 'span_after', newest_changes_first),
     ],
     'accepts any epoch': [(ChangeLog, 'apply_span', accepts_any_epoch)],
-    'takes in twice': [(ChangeLog, 'apply_span', applies_twice)],
-    'takes older snapshots': [(ChangeLog, 'apply_snapshot', applies_older_snapshots)],
-    'takes half a change': [(ChangeLog, 'append', applies_half)],
+    'applies a span twice': [(ChangeLog, 'apply_span', applies_twice)],
+    'applies older snapshots': [(ChangeLog, 'apply_snapshot', applies_older_snapshots)],
+    'applies half a change': [(ChangeLog, 'append', applies_half)],
     'keeps old keys beside a snapshot': [(ChangeLog, 'apply_snapshot', keeps_old_keys)],
-    'a writer that writes down late': [(Writer, 'put', persists_late)],
-    'fresh whatever it lacks': [(Replica, 'has_reached', fresh_despite_gaps)],
-    'fresh from when it was heard': [
-        (Replica, 'update_freshness', fresh_when_heard),
+    'stores a change late': [(Writer, 'put', persists_late)],
+    'fresh despite gaps': [(Replica, 'has_reached', fresh_despite_gaps)],
+    'fresh since arrival': [
+        (Replica, 'update_freshness', fresh_since_arrival),
         (Replica, 'receive', records_time),
     ],
-    "a relay's age not counted": [(Replica, 'update_freshness', age_not_counted)],
-    'a fenced writer is fresh': [(Replica, 'age', fresh_without_a_lease)],
-    'drift of clocks not counted': [(replicas, 'longer', lambda span: span)],
-    'complete here is complete': [(Replica, 'complete', own_position_is_complete)],
-    'a snapshot further on than its state': [(ChangeLog, 'snapshot', snapshot_ahead_of_state)],
-    'a tail without an end': [(ChangeLog, 'covers', unbounded_tail)],
+    "ignores a relay's age": [(Replica, 'update_freshness', ignores_relay_age)],
+    'fresh without a lease': [(Replica, 'age', fresh_without_a_lease)],
+    'ignores clock drift': [(replicas, 'longer', lambda span: span)],
+    'complete without children': [(Replica, 'complete', own_position_as_complete)],
+    'snapshot ahead of its state': [(ChangeLog, 'snapshot', snapshot_ahead_of_state)],
+    'unbounded tail': [(ChangeLog, 'covers', unbounded_tail)],
 }
 
 
 def first_violation(patches):
-    """The first broken promise with these patches, or None."""
+    """Return the first violation or error with these patches, or None."""
     Writer.late = []
-    with_patches = [mock.patch.object(owner, name, form) for owner, name, form in patches]
-    for patch in with_patches:
-        patch.start()
+    patchers = [mock.patch.object(owner, name, form) for owner, name, form in patches]
+    for patcher in patchers:
+        patcher.start()
     try:
         for seed in range(MAX_SEEDS):
             try:
                 search.search_random(seed)
-            except Exception as err:  # a broken form may also end in a fault
+            except Exception as err:  # a mutant may also raise another error
                 return err
     finally:
-        for patch in with_patches:
-            patch.stop()
+        for patcher in patchers:
+            patcher.stop()
     return None
 
 
 class Search(unittest.TestCase):
-    def test_no_promise_is_broken_by_chance(self):
+    def test_invariants_hold_in_random_worlds(self):
         self.assertGreater(
             sum(search.search_random(seed) for seed in range(RANDOM_WORLDS)), 10 * RANDOM_WORLDS
         )
 
-    def test_nor_breadth_first(self):
+    def test_invariants_hold_breadth_first(self):
         self.assertGreaterEqual(search.search_breadth_first(STATES), STATES)
 
-    def test_the_same_seed_is_the_same_world(self):
+    def test_random_search_is_deterministic(self):
         self.assertEqual(search.search_random(7), search.search_random(7))
 
-    def test_each_broken_form_is_found(self):
+    def test_each_mutant_is_found(self):
         for name, patches in MUTANTS.items():
             with self.subTest(name=name):
                 self.assertIsInstance(first_violation(patches), Exception)
