--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -130,10 +130,10 @@
         """Close links that have been idle for too long."""
         now = self.clock()
         for link in list(self.links.values()):
-            if now >= link.heard + IDLE_TIMEOUT:
+            if now >= link.last_received + IDLE_TIMEOUT:
                 warn('link given up', peer=link.peer, why='silent')
                 link.close()
-        for link in [link for link in self.unidentified if now >= link.heard + HELLO_TIMEOUT]:
+        for link in [link for link in self.unidentified if now >= link.last_received + HELLO_TIMEOUT]:
             link.close()
         self.deadlines.at(now + IDLE_CHECK_INTERVAL, self.end_idle_links, 0)
 
--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -54,7 +54,7 @@
     """Return the host of this process. Raise BadLine if a writer's file cannot be read or written."""
     is_writer = process.role == 'writer'
     replica = Replica(process.name, process.name if is_writer else None)
-    parents = [(name, address(settings.named(name).address)) for name in process.parents]
+    parents = [(name, address(settings.named(name).address)) for name in process.above]
     random = Random(os.urandom(8)).random
     # The rate limit of nodes does not apply to children that are relays.
     relays = frozenset(each.name for each in settings.process)
