--- a/lilacdyke/scale/budgets.py
+++ b/lilacdyke/scale/budgets.py
@@ -11,18 +11,22 @@
 
 # The named size.
 NODES, SITES, SERVERS, REGIONS, ZONES = 10_000, 550, 4_600, 20, 54
-REQUESTS, PURGES = 6_900_000, 55  # a second, at the peak
-CONFIGURATIONS, RESTARTS, FAILURES = 5_300, 3_100, 29  # a day
+REQUEST_RATE, PURGE_RATE = 6_900_000, 55  # a second, at the peak
+CONFIGURATIONS_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 5_300, 3_100, 29  # a day
 CONTROL_MACHINES = 40
-PURGE_WITHIN_S, CONFIGURATION_WITHIN_S = 3.9, 15.0
+PURGE_DEADLINE_S, CONFIGURATION_DEADLINE_S = 3.9, 15.0
 # What a node may spend for control.
-NODE_CORE, NODE_MB, NODE_BYTES = 0.03, 64, 21_000  # part of a core; MB; bytes a second
-CORE = 1.0  # of a planner's one thread, and of a node's for requests
-DAY = 86_400
+NODE_CONTROL_CORE, NODE_CONTROL_MB, NODE_CONTROL_BYTES = (
+    0.03,
+    64,
+    21_000,
+)  # part of a core; MB; bytes a second
+FULL_CORE = 1.0  # of a planner's one thread, and of a node's for requests
+SECONDS_PER_DAY = 86_400
 LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; planners: the most it takes
-ENTRY_CHANGES = 3  # of the list for one restart: it drains, it is gone or starts, it serves
+LIST_CHANGES_PER_RESTART = 3  # of the list for one restart: it drains, it is gone or starts, it serves
 PURGE_BYTES = 64  # worked out: a key, a time, a number and their framing
-REQUESTS_PER_NODE = REQUESTS / NODES
+REQUESTS_PER_NODE = REQUEST_RATE / NODES
 ZONE_SERVERS, REGION_SERVERS = SERVERS / ZONES, SERVERS / REGIONS
 
 
@@ -30,31 +34,31 @@
     """One figure of the page."""
 
     role: str
-    what: str
+    subject: str
     formula: str
-    value: object  # of a dictionary of lines by measurement
+    compute: object  # of a dictionary of lines by measurement
     budget: float
     unit: str
-    scale: float  # the value and budget are shown times this
-    lines: tuple  # the measurements that it rests on
+    display_factor: float  # the value and budget are shown times this
+    measures: tuple  # the measurements that it rests on
     sizes: tuple  # the size that each is taken at
-    carried_by: str
-    proved_by: str
+    implemented_by: str
+    verified_by: str
 
 
-def reads(servers):
+def decisions_core(servers):
     """Processor time of decisions, as a part of a core, at a node that lists so many servers."""
     return lambda lines: REQUESTS_PER_NODE * lines['decision'].at(servers) / 1e6
 
 
-def digests_a_second(forwarders):
+def digests_per_second(forwarders):
     """Digests that a planner hears."""
     return forwarders * SAYS / LEASE_S
 
 
-def whole_list_s(servers):
+def list_transfer_s(servers):
     """Seconds of a node's bytes that a whole list takes."""
-    return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_BYTES
+    return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_CONTROL_BYTES
 
 
 def list_megabytes(servers):
@@ -62,34 +66,40 @@
     return lambda lines: lines['list-memory'].at(servers) / 1_024
 
 
-def entry_changes_core(lines):
+def changed_entries_core(lines):
     """A part of a core for changed entries of the list."""
-    return RESTARTS * ENTRY_CHANGES / DAY * lines['changed-entry'].at(SERVERS) / 1e3
+    return (
+        RESTARTS_PER_DAY
+        * LIST_CHANGES_PER_RESTART
+        / SECONDS_PER_DAY
+        * lines['changed-entry'].at(SERVERS)
+        / 1e3
+    )
 
 
-def bunched_restarts_core(lines):
+def burst_changed_entries_core(lines):
     """The same while a tenth of a day's restarts come within a minute."""
-    return RESTARTS / 10 * ENTRY_CHANGES / 60 * lines['changed-entry'].at(SERVERS) / 1e3
+    return RESTARTS_PER_DAY / 10 * LIST_CHANGES_PER_RESTART / 60 * lines['changed-entry'].at(SERVERS) / 1e3
 
 
 def planner_core(forwarders):
     """A part of a core for digests at one planner."""
 
-    def value(lines):
+    def compute(lines):
         by_limits = lines['planner-digest-by-limits']
         # The measurement by forwarders has two limits; what eight cost more is in proportion.
         factor = by_limits.at(LIMITS) / by_limits.at(2)
-        return digests_a_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
+        return digests_per_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
 
-    return value
+    return compute
 
 
-def links_core(lines):
+def planner_links_core(lines):
     """A part of a node's core for its links to all planners."""
     return PLANNERS * SAYS / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
 
 
-def links_bytes(lines):
+def planner_links_bytes(lines):
     """Bytes a second of a node's links to all planners, both ways."""
     return PLANNERS * SAYS / LEASE_S * lines['link-bytes'].at(LIMITS)
 
@@ -104,8 +114,8 @@
         'node, ordinary second',
         'decisions, all servers listed',
         'requests a node x decision(%d servers)' % SERVERS,
-        reads(SERVERS),
-        CORE,
+        decisions_core(SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -117,8 +127,8 @@
         'node, ordinary second',
         'decisions, its region listed',
         'requests a node x decision(%.0f servers)' % REGION_SERVERS,
-        reads(REGION_SERVERS),
-        CORE,
+        decisions_core(REGION_SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -130,8 +140,8 @@
         'node, ordinary second',
         'decisions, its zone listed',
         'requests a node x decision(%.0f servers)' % ZONE_SERVERS,
-        reads(ZONE_SERVERS),
-        CORE,
+        decisions_core(ZONE_SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -143,8 +153,8 @@
         'node, start',
         'bytes of a whole list, all servers',
         'list-bytes(%d) / bytes of control a second' % SERVERS,
-        whole_list_s(SERVERS),
-        CONFIGURATION_WITHIN_S,
+        list_transfer_s(SERVERS),
+        CONFIGURATION_DEADLINE_S,
         's',
         1,
         ('list-bytes',),
@@ -156,8 +166,8 @@
         'node, start',
         'bytes of a whole list, its region',
         'list-bytes(%.0f) / bytes of control a second' % REGION_SERVERS,
-        whole_list_s(REGION_SERVERS),
-        CONFIGURATION_WITHIN_S,
+        list_transfer_s(REGION_SERVERS),
+        CONFIGURATION_DEADLINE_S,
         's',
         1,
         ('list-bytes',),
@@ -170,7 +180,7 @@
         'memory of the list, all servers',
         'list-memory(%d)' % SERVERS,
         list_megabytes(SERVERS),
-        NODE_MB,
+        NODE_CONTROL_MB,
         'MB',
         1,
         ('list-memory',),
@@ -181,9 +191,9 @@
     Claim(
         'node, 3,100 restarts spread over a day',
         'changed entries, all servers listed',
-        'restarts x %d a day x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
-        entry_changes_core,
-        NODE_CORE,
+        'restarts x %d a day x changed-entry(%d)' % (LIST_CHANGES_PER_RESTART, SERVERS),
+        changed_entries_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('changed-entry',),
@@ -194,9 +204,9 @@
     Claim(
         'node, a tenth of them within a minute',
         'changed entries, all servers listed',
-        'restarts / 10 x %d / 60 s x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
-        bunched_restarts_core,
-        NODE_CORE,
+        'restarts / 10 x %d / 60 s x changed-entry(%d)' % (LIST_CHANGES_PER_RESTART, SERVERS),
+        burst_changed_entries_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('changed-entry',),
@@ -208,8 +218,8 @@
         'node, peak',
         'bytes of purges alone',
         'purges a second x %d B (worked out; see the scale runs)' % PURGE_BYTES,
-        lambda lines: PURGES * PURGE_BYTES,
-        NODE_BYTES,
+        lambda lines: PURGE_RATE * PURGE_BYTES,
+        NODE_CONTROL_BYTES,
         'B/s',
         1,
         (),
@@ -221,8 +231,8 @@
         'node',
         'links to %d planners, processor time' % PLANNERS,
         'planners x %d / lease x forwarder-digest(%d limits)' % (SAYS, LIMITS),
-        links_core,
-        NODE_CORE,
+        planner_links_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('forwarder-digest',),
@@ -234,8 +244,8 @@
         'node',
         'links to %d planners, bytes' % PLANNERS,
         'planners x %d / lease x link-bytes(%d limits)' % (SAYS, LIMITS),
-        links_bytes,
-        NODE_BYTES,
+        planner_links_bytes,
+        NODE_CONTROL_BYTES,
         'B/s',
         1,
         ('link-bytes',),
@@ -248,7 +258,7 @@
         'digests of all nodes',
         'nodes x %d / lease x planner-digest(%d forwarders) x %d limits over 2' % (SAYS, NODES, LIMITS),
         planner_core(NODES),
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('planner-digest', 'planner-digest-by-limits'),
@@ -262,7 +272,7 @@
         'nodes / regions x %d / lease x planner-digest(%d forwarders) x %d limits over 2'
         % (SAYS, NODES // REGIONS, LIMITS),
         planner_core(NODES // REGIONS),
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('planner-digest', 'planner-digest-by-limits'),
@@ -275,7 +285,7 @@
         'renewals of %d tasks' % TASKS,
         'tasks x 3 / 5 s x voter-message(%d)' % TASKS,
         voter_core,
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('voter-message',),
@@ -289,10 +299,10 @@
 class Bound(NamedTuple):
     """A bound that stands in the code, against what the named size wants."""
 
-    what: str
-    bound: float
-    wanted: float
-    where: str
+    subject: str
+    limit: float
+    required: float
+    location: str
 
 
 def bounds():
--- a/lilacdyke/scale/cli.py
+++ b/lilacdyke/scale/cli.py
@@ -13,7 +13,7 @@
 PAGE = 'docs/CAPACITY.md'
 
 
-def fail(path, err):
+def exit_with_error(path, err):
     """One line, and exit 2."""
     click.echo('lilacdyke: %s: %s' % (path, err), err=True)
     sys.exit(2)
@@ -34,18 +34,18 @@
 def slopes(names, repeats, largest, out):
     """Take measurements, all of them by default."""
 
-    def told(row):
+    def print_row(row):
         click.echo(
             '%-24s %6d  %12.3f %s  (%.3f to %.3f)'
             % (row.measure, row.size, row.median, row.unit, min(row.values), max(row.values))
         )
 
-    found = measures.run(names or list(measures.MEASURES), repeats, largest, told)
+    found = measures.run(names or list(measures.MEASURES), repeats, largest, print_row)
     if out:
         try:
             records.write(out, found)
         except OSError as err:
-            fail(out, err)
+            exit_with_error(out, err)
 
 
 @scale.command()
@@ -60,14 +60,14 @@
     """Pass changes to thousands of hollow nodes, through two levels of relays, on loopback."""
     from . import fleet_run
 
-    found = fleet_run.run(fleet_run.Plan(nodes, relays, seconds, kill_relay))
+    found = fleet_run.run(fleet_run.RunOptions(nodes, relays, seconds, kill_relay))
     for row in found:
         click.echo('%-40s %12.3f %s' % (row.measure, row.median, row.unit))
     if out:
         try:
             records.write(out, found, append=True)
         except OSError as err:
-            fail(out, err)
+            exit_with_error(out, err)
 
 
 @scale.command()
@@ -81,19 +81,19 @@
         try:
             rows += records.read(path)
         except BadLine as err:
-            fail(path, err)
+            exit_with_error(path, err)
     try:
         with open(page_path, encoding='utf-8') as file:
             text = file.read()
-        made = pages.filled(text, rows)
+        new_text = pages.fill(text, rows)
     except (OSError, BadLine, ValueError) as err:
-        fail(page_path, err)
+        exit_with_error(page_path, err)
     if check:
-        if made != text:
+        if new_text != text:
             click.echo(
                 'lilacdyke: %s: its tables are not those of %s' % (page_path, ', '.join(paths)), err=True
             )
             sys.exit(1)
         return
     with open(page_path, 'w', encoding='utf-8') as file:
-        file.write(made)
+        file.write(new_text)
--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -21,11 +21,11 @@
 LEASE_S = 2.0
 LIMITS = 2  # where limits are not what is varied
 FORWARDERS = 50  # where forwarders are not
-WARM_ROUNDS = 3  # until purses have given and borrowed
-TASK_ROUNDS = 200  # messages that one value is the mean of
+WARM_UP_ROUNDS = 3  # until purses have given and borrowed
+RENEWALS_PER_VALUE = 200  # messages that one value is the mean of
 
 
-def fleet_of(forwarders, limits):
+def make_fleet(forwarders, limits):
     """A fleet file's content, without a file."""
     return Fleet(
         enabled=True,
@@ -37,28 +37,28 @@
     )
 
 
-class Round:
+class PlannerRound:
     """Forwarders and one planner that speak in turn; processor time of each side, and bytes of each kind."""
 
     def __init__(self, forwarders, limits, seed):
-        self.fleet, self.now = fleet_of(forwarders, limits), SECOND
-        self.chance = Random(seed).random
+        self.fleet, self.now = make_fleet(forwarders, limits), SECOND
+        self.uniform = Random(seed).random
         self.planner = Planner(self.now, 'p0-life', self.fleet, 0)
         self.forwarders = [self.forwarder(number) for number in range(forwarders)]
         self.planner_s = self.forwarders_s = 0.0
         self.digest_bytes = self.plan_bytes = 0
-        for _ in range(WARM_ROUNDS):
-            self.play()
+        for _ in range(WARM_UP_ROUNDS):
+            self.run()
 
     def forwarder(self, number):
         """One that asks for more than its part, or for less."""
         fleet = self.fleet
-        own = fleet.seat_parts(number % fleet.seats)
+        seat_shares = fleet.seat_parts(number % fleet.seats)
         purse = Purse(
             self.now - 10 * fleet.gift,
             'f%d' % number,
             [row.name for row in fleet.planner],
-            own,
+            seat_shares,
             fleet.lease,
             fleet.gift,
             fleet.tails(),
@@ -68,58 +68,58 @@
         names = [limit.name for limit in fleet.limit]
         spare = {name: GRAIN // 2 for name in names} if number % 2 else {}
         wants = {} if number % 2 else {name: 8 * GRAIN for name in names}
-        return Forwarder(self.now, fleet, purse, lambda now: (spare, wants), dict, self.chance)
+        return Forwarder(self.now, fleet, purse, lambda now: (spare, wants), dict, self.uniform)
 
-    def play(self):
+    def run(self):
         """One round."""
         self.planner_s = self.forwarders_s = 0.0
         self.digest_bytes = self.plan_bytes = 0
         self.now += self.fleet.lease // SAYS
         for forwarder in self.forwarders:
-            begun = time.process_time()
+            started = time.process_time()
             digest = pack(DIGEST, forwarder.digest(self.now, 'p0'))
-            said = time.process_time()
+            digest_ready = time.process_time()
             [(_, fields)] = Frames().feed(digest)
             plan = pack(PLAN, self.planner.told(self.now, fields))
-            answered = time.process_time()
+            plan_ready = time.process_time()
             [(_, fields)] = Frames().feed(plan)
             forwarder.planned(self.now, 'p0', fields)
             ended = time.process_time()
-            self.planner_s += answered - said
-            self.forwarders_s += said - begun + ended - answered
+            self.planner_s += plan_ready - digest_ready
+            self.forwarders_s += digest_ready - started + ended - plan_ready
             self.digest_bytes += len(digest)
             self.plan_bytes += len(plan)
 
 
-def rounds(forwarders, limits, seed, figure):
+def measure_round(forwarders, limits, seed, metric):
     """A function that plays a round and gives a figure of it, for one forwarder."""
-    made = Round(forwarders, limits, seed)
+    made = PlannerRound(forwarders, limits, seed)
 
     def value():
-        made.play()
-        return figure(made) / forwarders
+        made.run()
+        return metric(made) / forwarders
 
     return value
 
 
 def planner_digest(forwarders, seed):
     """Microseconds of processor time at a planner for one digest, its plan among them."""
-    return rounds(forwarders, LIMITS, seed, lambda made: made.planner_s * 1e6)
+    return measure_round(forwarders, LIMITS, seed, lambda made: made.planner_s * 1e6)
 
 
 def planner_digest_by_limits(limits, seed):
     """The same by limits."""
-    return rounds(FORWARDERS, limits, seed, lambda made: made.planner_s * 1e6)
+    return measure_round(FORWARDERS, limits, seed, lambda made: made.planner_s * 1e6)
 
 
 def forwarder_digest(limits, seed):
     """Microseconds of processor time at a forwarder for one digest and its plan, by limits."""
-    return rounds(FORWARDERS, limits, seed, lambda made: made.forwarders_s * 1e6)
+    return measure_round(FORWARDERS, limits, seed, lambda made: made.forwarders_s * 1e6)
 
 
 def link_bytes(limits, seed):
     """Bytes of one digest and its plan, by limits."""
-    return rounds(FORWARDERS, limits, seed, lambda made: made.digest_bytes + made.plan_bytes)
+    return measure_round(FORWARDERS, limits, seed, lambda made: made.digest_bytes + made.plan_bytes)
 
 
 def voter_message(tasks, seed):
@@ -129,7 +129,7 @@
     now = 20 * SECOND
     numbers, seqs = {}, dict.fromkeys(range(tasks), 0)
 
-    def say(task, verb, number):
+    def exchange(task, verb, number):
         seqs[task] += 1
         message = {
             'task': 't%d' % task,
@@ -141,14 +141,14 @@
         return voter.told(now, message)[0]
 
     for task in range(tasks):
-        asked = say(task, 'ask', 0)
-        numbers[task] = asked['number'] + 1
-        say(task, 'confirm', numbers[task])
+        reply = exchange(task, 'ask', 0)
+        numbers[task] = reply['number'] + 1
+        exchange(task, 'confirm', numbers[task])
 
     def value():
-        begun = time.process_time()
-        for count in range(TASK_ROUNDS):
-            say(count % tasks, 'renew', numbers[count % tasks])
-        return (time.process_time() - begun) / TASK_ROUNDS * 1e6
+        started = time.process_time()
+        for count in range(RENEWALS_PER_VALUE):
+            exchange(count % tasks, 'renew', numbers[count % tasks])
+        return (time.process_time() - started) / RENEWALS_PER_VALUE * 1e6
 
     return value
--- a/lilacdyke/scale/datapath.py
+++ b/lilacdyke/scale/datapath.py
@@ -15,10 +15,10 @@
 from ..values import SECOND
 
 GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the one profile
-READS = 400  # decisions that one value is the mean of
-ENTRIES = 20  # changed entries that one value is the mean of
+READS_PER_VALUE = 400  # decisions that one value is the mean of
+ENTRIES_PER_VALUE = 20  # changed entries that one value is the mean of
 KEYS = 5_000
-ANSWERED_AFTER = 100  # ticks until a cache answers
+ANSWER_TICKS = 100  # ticks until a cache answers
 
 
 def site_terms(nodes):
@@ -57,7 +57,7 @@
     return router
 
 
-def entry(number):
+def list_entry(number):
     """One server as discovery words it."""
     return {
         'instanceId': 's-%08x' % number,
@@ -71,14 +71,14 @@
     }
 
 
-def one_read(router, now, key):
+def run_read(router, now, key):
     """A read from its start to its answer; the time then."""
     transaction = router.take(now, 0, key, now + LIMIT, False, now)
     while (decision := router.decide(now)) is not None:
         if decision[0] == 'send':
             hop = decision[1]
-    now += ANSWERED_AFTER
-    router.hop_ended(now, hop, 'committed', ANSWERED_AFTER, True, 1)
+    now += ANSWER_TICKS
+    router.hop_ended(now, hop, 'committed', ANSWER_TICKS, True, 1)
     while router.decide(now) is not None:
         pass
     assert transaction.done
@@ -87,14 +87,14 @@
 
 def decision(servers, seed):
     """Microseconds of processor time for a read, from its start to its answer."""
-    router, chance, now = bare_router(servers, seed), Random(seed), 2 * SECOND
+    router, rng, now = bare_router(servers, seed), Random(seed), 2 * SECOND
 
     def value():
         nonlocal now
-        begun = time.process_time()
-        for _ in range(READS):
-            now = one_read(router, now, 'k%d' % chance.randrange(KEYS))
-        return (time.process_time() - begun) / READS * 1e6
+        started = time.process_time()
+        for _ in range(READS_PER_VALUE):
+            now = run_read(router, now, 'k%d' % rng.randrange(KEYS))
+        return (time.process_time() - started) / READS_PER_VALUE * 1e6
 
     value()  # what is known of servers begins with the first reads
     return value
@@ -102,14 +102,14 @@
 
 def whole_list(servers, seed):
     """Milliseconds of processor time for a whole list: read off its JSON and taken by the router."""
-    text = json.dumps({'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]})
+    text = json.dumps({'generation': 5, 'reset': True, 'instances': [list_entry(n) for n in range(servers)]})
 
     def value():
         router = Router(site_terms(10_000), seed, 0)
-        begun = time.process_time()
+        started = time.process_time()
         read_list(json.loads(text))
         router.list_replaced(SECOND, list_rows(servers))
-        return (time.process_time() - begun) * 1e3
+        return (time.process_time() - started) * 1e3
 
     return value
 
@@ -117,16 +117,16 @@
 def changed_entry(servers, seed):
     """Milliseconds of processor time for one changed entry of the list."""
     router = bare_router(servers, seed)
-    known, chance = list(router.known.values()), Random(seed)
+    known, rng = list(router.known.values()), Random(seed)
 
     def value():
-        begun = time.process_time()
-        for number in range(ENTRIES):
-            server = chance.choice(known)
+        started = time.process_time()
+        for number in range(ENTRIES_PER_VALUE):
+            server = rng.choice(known)
             router.list_changed(
                 2 * SECOND, [(server, 'draining' if number % 2 else 'ready', 1.0, None, 0, 0)]
             )
-        return (time.process_time() - begun) / ENTRIES * 1e3
+        return (time.process_time() - started) / ENTRIES_PER_VALUE * 1e3
 
     return value
 
@@ -149,5 +149,5 @@
 
 def list_bytes(servers, seed):
     """KB of a whole list on the wire, as compact JSON."""
-    whole = {'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]}
+    whole = {'generation': 5, 'reset': True, 'instances': [list_entry(n) for n in range(servers)]}
     return lambda: len(json.dumps(whole, separators=(',', ':'))) / 1_024
--- a/lilacdyke/scale/fleet_run.py
+++ b/lilacdyke/scale/fleet_run.py
@@ -20,18 +20,18 @@
 
 from ..changes.cli import read_frame
 from ..changes.messages import Item, PutAnswer, PutRequest, pack, unpack
-from .page import KILLED
+from .page import KILLED_SUFFIX
 from .rows import Row, machine
 
 NODES_PER_PROCESS = 250
 TOP_RELAYS = 2
-PURGES, CONFIGURATIONS = 55.0, 10 * 5_300 / 86_400  # a second
-SETTLE_S, TAIL_S = 4.0, 6.0  # before the load and after it
-RELAY_AWAY_S = 3.0
+PURGE_RATE, CONFIGURATION_RATE = 55.0, 10 * 5_300 / 86_400  # a second
+SETTLE_S, DRAIN_S = 4.0, 6.0  # before the load and after it
+RELAY_DOWN_S = 3.0
 PROGRAM = (sys.executable, '-m', 'lilacdyke')
 
 
-class Plan(NamedTuple):
+class RunOptions(NamedTuple):
     """What is run."""
 
     nodes: int
@@ -49,7 +49,7 @@
     return ports
 
 
-def changes_file(folder, relays):
+def write_changes_file(folder, relays):
     """Write the changes file of a run: (its path, names of processes by level)."""
     top = ['t%d' % number for number in range(TOP_RELAYS)]
     lower = ['r%d' % number for number in range(relays)]
@@ -61,26 +61,26 @@
         rows.append({'name': name, 'role': 'relay', 'above': top[turn:] + top[:turn]})
     for row in rows:
         row['address'] = '127.0.0.1:%d' % next(ports)
-    told = {'enabled': True, 'installation': 'scale', 'process': rows, 'keys': {'limit': 'number'}}
+    content = {'enabled': True, 'installation': 'scale', 'process': rows, 'keys': {'limit': 'number'}}
     path = os.path.join(folder, 'changes.toml')
     with open(path, 'wb') as file:
-        tomli_w.dump(told, file)
+        tomli_w.dump(content, file)
     # Hollow nodes see only relays of the lower level; those above them are the other relays' business.
     node_path = os.path.join(folder, 'nodes.toml')
     nodes_rows = [rows[0], *({**row, 'above': ['w0']} for row in rows if row['name'] in lower)]
     with open(node_path, 'wb') as file:
-        tomli_w.dump({**told, 'process': nodes_rows}, file)
+        tomli_w.dump({**content, 'process': nodes_rows}, file)
     return path, node_path, rows[0]['address'], top, lower
 
 
-def processor_s(pid):
+def cpu_seconds(pid):
     """Seconds of processor time that a process has had."""
     with open('/proc/%d/stat' % pid, encoding='ascii') as file:
         fields = file.read().rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
 
 
-def memory_mb(pid):
+def peak_memory_mb(pid):
     """The most memory that a process has held, in MB."""
     with open('/proc/%d/status' % pid, encoding='ascii') as file:
         return next(int(row.split()[1]) for row in file if row.startswith('VmHWM')) / 1_024
@@ -89,12 +89,12 @@
 class FleetRun:
     """One run's processes."""
 
-    def __init__(self, plan, folder):
-        self.plan, self.folder = plan, folder
-        self.path, self.node_path, self.writer_address, self.top, self.lower = changes_file(
-            folder, plan.relays
+    def __init__(self, options, folder):
+        self.options, self.folder = options, folder
+        self.path, self.node_path, self.writer_address, self.top, self.lower = write_changes_file(
+            folder, options.relays
         )
-        self.processes, self.outs = {}, []
+        self.processes, self.result_paths = {}, []
 
     def start(self, name):
         """Start a writer or a relay."""
@@ -106,16 +106,16 @@
         for name in ('w0', *self.top, *self.lower):
             self.start(name)
         time.sleep(1.0)
-        for first in range(0, self.plan.nodes, NODES_PER_PROCESS):
+        for first in range(0, self.options.nodes, NODES_PER_PROCESS):
             out = os.path.join(self.folder, 'seen-%d.json' % first)
-            self.outs.append(out)
-            count = min(NODES_PER_PROCESS, self.plan.nodes - first)
-            seconds = SETTLE_S + self.plan.seconds + TAIL_S
+            self.result_paths.append(out)
+            count = min(NODES_PER_PROCESS, self.options.nodes - first)
+            seconds = SETTLE_S + self.options.seconds + DRAIN_S
             command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.node_path, '--out', out)
             sizes = ('--count', str(count), '--first', str(first), '--seconds', str(seconds))
             self.processes['hollow-%d' % first] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
 
-    def end(self):
+    def stop_all(self):
         """End all that still run, by their ids."""
         for process in self.processes.values():
             if process.poll() is None:
@@ -125,18 +125,18 @@
     def load(self):
         """Put changes at their rates; how many of each kind."""
         host, _, port = self.writer_address.rpartition(':')
-        begun, counts = time.monotonic(), {'purge': 0, 'config': 0}
-        rates = {'purge': PURGES, 'config': CONFIGURATIONS}
-        killed = back = None
+        started, counts = time.monotonic(), {'purge': 0, 'config': 0}
+        rates = {'purge': PURGE_RATE, 'config': CONFIGURATION_RATE}
+        killed_at = restarted_at = None
         with socket.create_connection((host, int(port)), 5) as connection:
-            while (now := time.monotonic() - begun) < self.plan.seconds:
-                if self.plan.kill_relay and killed is None and now > self.plan.seconds / 2:
+            while (now := time.monotonic() - started) < self.options.seconds:
+                if self.options.kill_relay and killed_at is None and now > self.options.seconds / 2:
                     self.processes['r0'].send_signal(signal.SIGKILL)
                     self.processes['r0'].wait()
-                    killed = now
-                if killed is not None and back is None and now > killed + RELAY_AWAY_S:
+                    killed_at = now
+                if killed_at is not None and restarted_at is None and now > killed_at + RELAY_DOWN_S:
                     self.start('r0')
-                    back = now
+                    restarted_at = now
                 for kind, rate in rates.items():
                     if counts[kind] < now * rate:
                         self.put(connection, kind, counts[kind])
@@ -153,75 +153,78 @@
         if answer.position is None:
             raise RuntimeError(answer.refused)
 
-    def play(self):
+    def execute(self):
         """The whole run; what was seen."""
         try:
             self.start_all()
             time.sleep(SETTLE_S)
-            before = {name: processor_s(process.pid) for name, process in self.processes.items()}
+            before = {name: cpu_seconds(process.pid) for name, process in self.processes.items()}
             counts = self.load()
             # A relay that was started anew has no time from before.
-            spent = {
-                name: processor_s(process.pid)
-                - (0 if name == 'r0' and self.plan.kill_relay else before[name])
+            cpu = {
+                name: cpu_seconds(process.pid)
+                - (0 if name == 'r0' and self.options.kill_relay else before[name])
                 for name, process in self.processes.items()
             }
-            memory = {name: memory_mb(process.pid) for name, process in self.processes.items()}
+            memory = {name: peak_memory_mb(process.pid) for name, process in self.processes.items()}
             for name, process in self.processes.items():
                 if name.startswith('hollow'):
-                    process.wait(SETTLE_S + TAIL_S + 30)
-            return self.figures(counts, spent, memory)
+                    process.wait(SETTLE_S + DRAIN_S + 30)
+            return self.compute_figures(counts, cpu, memory)
         finally:
-            self.end()
+            self.stop_all()
 
-    def figures(self, counts, spent, memory):
+    def compute_figures(self, counts, cpu, memory):
         """What was seen, as figures by name: (value, unit)."""
-        seen = []
-        for out in self.outs:
+        results = []
+        for out in self.result_paths:
             with open(out, encoding='utf-8') as file:
-                seen.append(json.load(file))
+                results.append(json.load(file))
         latest, counted = {}, {}
-        for part in seen:
-            for key, late in part['latest'].items():
-                latest[key] = max(latest.get(key, 0), late)
+        for part in results:
+            for key, latency in part['latest'].items():
+                latest[key] = max(latest.get(key, 0), latency)
                 counted[key] = counted.get(key, 0) + part['counted'][key]
-        nodes, seconds = self.plan.nodes, self.plan.seconds
+        nodes, seconds = self.options.nodes, self.options.seconds
         found = {}
         for kind in ('purge', 'config'):
-            times = sorted(late for key, late in latest.items() if key.startswith(kind))
+            times = sorted(latency for key, latency in latest.items() if key.startswith(kind))
             found['%s-everywhere-median' % kind] = (median(times), 'ms')
             found['%s-everywhere-p99' % kind] = (times[min(len(times) - 1, int(len(times) * 0.99))], 'ms')
             found['%s-everywhere-most' % kind] = (times[-1], 'ms')
-        whole = sum(counted[key] == nodes for key in latest)
+        received_by_all = sum(counted[key] == nodes for key in latest)
         found['changes-put'] = (sum(counts.values()), '')
-        found['changes-one-by-one-at-all'] = (whole, '')
-        found['snapshots-taken'] = (sum(part['snapshots'] for part in seen), '')
-        found['nodes-at-the-end'] = (sum(part['nodes'] for part in seen if len(part['positions']) == 1), '')
-        total_s = sum(part['seconds'] * part['nodes'] for part in seen)
-        found['node-bytes-in'] = (sum(part['bytes_in'] for part in seen) / total_s, 'B/s')
-        found['node-bytes-out'] = (sum(part['bytes_out'] for part in seen) / total_s, 'B/s')
-        hollow = sum(spent[name] for name in spent if name.startswith('hollow'))
-        found['node-core'] = (100 * hollow / seconds / nodes, '% of a core')
-        found['relay-core'] = (100 * max(spent[name] for name in self.lower) / seconds, '% of a core')
-        found['top-relay-core'] = (100 * max(spent[name] for name in self.top) / seconds, '% of a core')
-        found['writer-core'] = (100 * spent['w0'] / seconds, '% of a core')
+        found['changes-one-by-one-at-all'] = (received_by_all, '')
+        found['snapshots-taken'] = (sum(part['snapshots'] for part in results), '')
+        found['nodes-at-the-end'] = (
+            sum(part['nodes'] for part in results if len(part['positions']) == 1),
+            '',
+        )
+        total_s = sum(part['seconds'] * part['nodes'] for part in results)
+        found['node-bytes-in'] = (sum(part['bytes_in'] for part in results) / total_s, 'B/s')
+        found['node-bytes-out'] = (sum(part['bytes_out'] for part in results) / total_s, 'B/s')
+        hollow_cpu = sum(cpu[name] for name in cpu if name.startswith('hollow'))
+        found['node-core'] = (100 * hollow_cpu / seconds / nodes, '% of a core')
+        found['relay-core'] = (100 * max(cpu[name] for name in self.lower) / seconds, '% of a core')
+        found['top-relay-core'] = (100 * max(cpu[name] for name in self.top) / seconds, '% of a core')
+        found['writer-core'] = (100 * cpu['w0'] / seconds, '% of a core')
         found['relay-memory'] = (max(memory[name] for name in self.lower), 'MB')
         found['writer-memory'] = (memory['w0'], 'MB')
         return found
 
 
-def rows_of(plan, found):
+def to_rows(options, found):
     """A run's figures as rows."""
-    command = 'lilacdyke scale run --nodes %d --relays %d --seconds %g' % plan[:3]
-    command += ' --kill-relay' * plan.kill_relay
-    suffix = KILLED if plan.kill_relay else ''
+    command = 'lilacdyke scale run --nodes %d --relays %d --seconds %g' % options[:3]
+    command += ' --kill-relay' * options.kill_relay
+    suffix = KILLED_SUFFIX if options.kill_relay else ''
     return [
-        Row(name + suffix, plan.nodes, unit, [round(float(value), 4)], command, 0, machine())
+        Row(name + suffix, options.nodes, unit, [round(float(value), 4)], command, 0, machine())
         for name, (value, unit) in found.items()
     ]
 
 
-def run(plan):
+def run(options):
     """One run; its rows."""
     with tempfile.TemporaryDirectory() as folder:
-        return rows_of(plan, FleetRun(plan, folder).play())
+        return to_rows(options, FleetRun(options, folder).execute())
--- a/lilacdyke/scale/hollow.py
+++ b/lilacdyke/scale/hollow.py
@@ -14,14 +14,14 @@
 
 import click
 
-from ..changes import settings as files
+from ..changes import settings as settings_file
 from ..changes.node import NodeChanges, Record
 from ..net import logs
 from ..net.sockets import Reactor
 from ..net.system import System
 
 
-class Seen(Record):
+class LatencyRecord(Record):
     """A record that also notes how late each change came (milliseconds after its writer's time)."""
 
     def __init__(self, latest, counted):
@@ -30,9 +30,9 @@
 
     def apply(self, origin, change):
         super().apply(origin, change)
-        late = int(System.wall() * 1_000) - change.at
+        latency = int(System.wall() * 1_000) - change.at
         key = '%s/%s/%d' % (change.kind, origin, change.sequence)
-        self.latest[key] = max(self.latest.get(key, 0), late)
+        self.latest[key] = max(self.latest.get(key, 0), latency)
         self.counted[key] = self.counted.get(key, 0) + 1
 
 
@@ -49,24 +49,24 @@
     logs.begin('error')
     reactor = Reactor()
     installReactor(reactor)
-    settings = files.read(path)
+    settings = settings_file.read(path)
     latest, counted, nodes = {}, {}, []
     for number in range(first, first + count):
-        record = Seen(latest, counted)
-        chance = Random(number).random
-        node = NodeChanges(reactor, System.elapsed, chance, 'n%d' % number, number, settings, record)
+        record = LatencyRecord(latest, counted)
+        random = Random(number).random
+        node = NodeChanges(reactor, System.elapsed, random, 'n%d' % number, number, settings, record)
         nodes.append(node)
         # They start within a second, as a front would let them.
-        reactor.callLater(chance(), node.begin)
-    begun = time.monotonic()
+        reactor.callLater(random(), node.begin)
+    started = time.monotonic()
     reactor.callLater(seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
-    took = time.monotonic() - begun
+    elapsed = time.monotonic() - started
     with open(out, 'w', encoding='utf-8') as file:
         json.dump(
             {
                 'nodes': count,
-                'seconds': took,
+                'seconds': elapsed,
                 'processor_s': time.process_time(),
                 'bytes_in': sum(node.host.counts['bytes_in'] for node in nodes),
                 'bytes_out': sum(node.host.counts['bytes_out'] for node in nodes),
--- a/lilacdyke/scale/slopes.py
+++ b/lilacdyke/scale/slopes.py
@@ -15,8 +15,8 @@
 class Measure(NamedTuple):
     """One measurement: prepare(size, seed) gives a function of which each call is one value."""
 
-    about: str
-    varied: str  # what size counts
+    description: str
+    dimension: str  # what size counts
     unit: str
     sizes: tuple
     prepare: object
@@ -59,9 +59,9 @@
 }
 
 
-def run(names, repeats, largest, told=lambda row: None):
+def run(names, repeats, largest, on_row=lambda row: None):
     """Take these measurements; their rows. largest: no size beyond it."""
-    found = []
+    rows = []
     for name in names:
         measure = MEASURES[name]
         for size in [size for size in measure.sizes if size <= largest]:
@@ -75,12 +75,12 @@
                 seed=SEED,
                 machine=machine(),
             )
-            found.append(row)
-            told(row)
-    return found
+            rows.append(row)
+            on_row(row)
+    return rows
 
 
-class Line(NamedTuple):
+class FittedLine(NamedTuple):
     """base + slope x size, by least squares through the medians, each counted by its relative error."""
 
     base: float
@@ -92,12 +92,12 @@
         """Its value there."""
         return self.base + self.slope * size
 
-    def within(self, size):
+    def covers(self, size):
         """Whether that size lies among those measured."""
         return self.smallest <= size <= self.largest
 
 
-def line(rows, name):
+def fit_line(rows, name):
     """The line of one measurement's rows."""
     points = sorted((row.size, row.median) for row in rows if row.measure == name)
     if len(points) < 2:
@@ -109,4 +109,4 @@
     mean_y = sum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
     spread = sum(w * (x - mean_x) ** 2 for w, (x, _) in zip(weights, points, strict=True))
     slope = sum(w * (x - mean_x) * (y - mean_y) for w, (x, y) in zip(weights, points, strict=True)) / spread
-    return Line(mean_y - slope * mean_x, slope, points[0][0], points[-1][0])
+    return FittedLine(mean_y - slope * mean_x, slope, points[0][0], points[-1][0])
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -12,7 +12,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 TEXT = '# x\n%s\n# y\n' % '\n'.join(
-    '%s\nPLACEHOLDER\n%s' % (page.MARK % name, page.END) for name in page.TABLES
+    '%s\nPLACEHOLDER\n%s' % (page.MARKER % name, page.END_MARKER) for name in page.TABLES
 )
 
 
@@ -45,11 +45,11 @@
             good.replace('[1]', '[]'): 'there are none',
             '{}': 'measure',
         }
-        for text, told in cases.items():
+        for text, expected in cases.items():
             with self.subTest(text=text), tempfile.NamedTemporaryFile('w', suffix='.jsonl') as file:
                 file.write(good + text)
                 file.flush()
-                with self.assertRaisesRegex(BadLine, told):
+                with self.assertRaisesRegex(BadLine, expected):
                     rows.read(file.name)
         with self.assertRaises(BadLine):
             rows.read('/nowhere/rows.jsonl')
@@ -60,18 +60,18 @@
 
 class Lines(unittest.TestCase):
     def test_a_line_through_points_that_lie_on_one(self):
-        found = slopes.line([row('a', size, 5 + 2 * size) for size in (10, 50, 200)], 'a')
+        found = slopes.fit_line([row('a', size, 5 + 2 * size) for size in (10, 50, 200)], 'a')
         self.assertAlmostEqual(found.base, 5)
         self.assertAlmostEqual(found.slope, 2)
-        self.assertEqual((found.within(200), found.within(201), found.within(9)), (True, False, False))
+        self.assertEqual((found.covers(200), found.covers(201), found.covers(9)), (True, False, False))
 
     def test_small_sizes_are_not_drowned_by_the_largest(self):
-        found = slopes.line([row('a', 1, 10.0), row('a', 10, 20.0), row('a', 1_000, 3_000.0)], 'a')
+        found = slopes.fit_line([row('a', 1, 10.0), row('a', 10, 20.0), row('a', 1_000, 3_000.0)], 'a')
         self.assertLess(abs(found.at(1) - 10), 3)
 
     def test_one_size_gives_no_line(self):
         with self.assertRaises(ValueError):
-            slopes.line([row('a', 1, 1)], 'a')
+            slopes.fit_line([row('a', 1, 1)], 'a')
 
 
 class Measurements(unittest.TestCase):
@@ -91,13 +91,13 @@
 
     def test_a_read_is_sent_and_answered(self):
         router = datapath.bare_router(5, 1)
-        self.assertGreater(datapath.one_read(router, 20_000, 'k'), 20_000)
+        self.assertGreater(datapath.run_read(router, 20_000, 'k'), 20_000)
         self.assertEqual(router.total_out, 0)
 
     def test_a_round_has_digests_that_give_and_plans_that_lend(self):
-        made = control.Round(4, 2, 1)
+        made = control.PlannerRound(4, 2, 1)
         for _ in range(3):
-            made.play()
+            made.run()
         lent = [forwarder.purse.borrowed(made.now, 'limit-0') for forwarder in made.forwarders]
         self.assertGreater(max(lent), 0)
         self.assertGreater(min(made.digest_bytes, made.plan_bytes, made.planner_s, made.forwarders_s), 0)
@@ -106,58 +106,56 @@
         heard = []
         usual = control.Voter.told
 
-        def told(self, now, message):
+        def recording_told(self, now, message):
             answer = usual(self, now, message)
             heard.append(answer[0]['yes'])
             return answer
 
-        control.Voter.told = told
+        control.Voter.told = recording_told
         try:
             control.voter_message(3, 1)()
         finally:
             control.Voter.told = usual
         self.assertEqual(set(heard), {True})
-        self.assertGreater(len(heard), control.TASK_ROUNDS)
+        self.assertGreater(len(heard), control.RENEWALS_PER_VALUE)
 
 
 class Page(unittest.TestCase):
     def test_tables_are_made_between_their_marks_and_nothing_else_changes(self):
-        made = page.filled(TEXT, all_rows())
+        made = page.fill(TEXT, all_rows())
         self.assertNotIn('PLACEHOLDER', made)
         self.assertTrue(made.startswith('# x\n') and made.endswith('# y\n'))
-        self.assertEqual(page.filled(made, all_rows()), made)
+        self.assertEqual(page.fill(made, all_rows()), made)
 
     def test_what_does_not_fit_is_red_with_its_factor_and_what_does_is_not(self):
-        cheap, dear = (page.figures_by_role(all_rows(slope)) for slope in (1e-9, 1e9))
+        cheap, dear = (page.roles_table(all_rows(slope)) for slope in (1e-9, 1e9))
         self.assertNotIn('**red', cheap)
-        self.assertEqual(dear.count('**red'), sum(bool(claim.lines) for claim in budgets.CLAIMS))
+        self.assertEqual(dear.count('**red'), sum(bool(claim.measures) for claim in budgets.CLAIMS))
 
     def test_a_size_beyond_those_measured_is_called_worked_out(self):
-        [line] = [
-            line for line in page.figures_by_role(all_rows()).split('\n') if 'digests of all nodes' in line
-        ]
+        [line] = [line for line in page.roles_table(all_rows()).split('\n') if 'digests of all nodes' in line]
         self.assertIn('(worked out)', line)
 
     def test_a_mark_that_is_missing_or_stands_twice_is_named(self):
-        for text in (TEXT.replace(page.MARK % 'roles', ''), TEXT + page.MARK % 'roles'):
+        for text in (TEXT.replace(page.MARKER % 'roles', ''), TEXT + page.MARKER % 'roles'):
             with self.assertRaisesRegex(BadLine, 'roles'):
-                page.filled(text, all_rows())
+                page.fill(text, all_rows())
 
     def test_runs_stand_side_by_side(self):
         made = [rows.Row('purge-everywhere-most', 9, 'ms', [5.0], 'one', 0, 'here')]
-        made.append(rows.Row('purge-everywhere-most' + page.KILLED, 9, 'ms', [7.0], 'two', 0, 'here'))
-        self.assertIn('| purge everywhere most | ms | 5 | 7 |', page.runs(made))
-        self.assertEqual(page.runs(all_rows()), 'None is recorded.')
+        made.append(rows.Row('purge-everywhere-most' + page.KILLED_SUFFIX, 9, 'ms', [7.0], 'two', 0, 'here'))
+        self.assertIn('| purge everywhere most | ms | 5 | 7 |', page.runs_table(made))
+        self.assertEqual(page.runs_table(all_rows()), 'None is recorded.')
 
     def test_bounds_are_those_of_the_code(self):
-        found = {bound.what: bound.bound for bound in budgets.bounds()}
+        found = {bound.subject: bound.limit for bound in budgets.bounds()}
         self.assertEqual((found['seats of a fleet file'], found['planners of a fleet file']), (4_096, 9))
 
     def test_each_claim_rests_on_measurements_that_there_are(self):
         for claim in budgets.CLAIMS:
-            with self.subTest(what=claim.what):
-                self.assertLessEqual(set(claim.lines), set(slopes.MEASURES))
-                self.assertEqual(len(claim.lines), len(claim.sizes))
+            with self.subTest(what=claim.subject):
+                self.assertLessEqual(set(claim.measures), set(slopes.MEASURES))
+                self.assertEqual(len(claim.measures), len(claim.sizes))
 
     def test_the_page_in_the_repository_is_the_one_that_its_rows_give(self):
         paths = [os.path.join(ROOT, 'docs', 'capacity', name) for name in ('slopes.jsonl', 'runs.jsonl')]
