--- a/lilacdyke/scale/__init__.py
+++ b/lilacdyke/scale/__init__.py
@@ -1,4 +1,4 @@
-"""Scale tests: what each role costs by the size of the installation, and what that comes to at a named size.
+"""Scale tests: the cost of each role by installation size, and its projection to a reference size.
 
-A node imports nothing of it.
+Nodes never import this package.
 """
