--- a/lilacdyke/scale/budgets.py
+++ b/lilacdyke/scale/budgets.py
@@ -1,7 +1,7 @@
-"""What the measured lines come to at the size of two years from now, against what each role may cost.
+"""Projected cost of each role at the reference size, expected in two years, against its budget.
 
-Owns the named size, the budgets, and each claim: a role, a formula over measured lines, its budget. Must
-never hold a measured figure: those come from the recorded rows.
+Holds the reference size, the budgets and the claims (a role, a formula over fitted lines, a budget). Measured
+figures come from the recorded rows only.
 """
 
 from typing import NamedTuple
@@ -9,65 +9,61 @@
 from ..plan.forwarder import SAYS
 from ..plan.limits import FORWARDERS_PER_SEAT
 
-# The named size.
+# The reference size.
 NODES, SITES, SERVERS, REGIONS, ZONES = 10_000, 550, 4_600, 20, 54
-REQUEST_RATE, PURGE_RATE = 6_900_000, 55  # a second, at the peak
-CONFIGURATIONS_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 5_300, 3_100, 29  # a day
+REQUEST_RATE, PURGE_RATE = 6_900_000, 55  # per second, at the peak
+CONFIGURATIONS_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 5_300, 3_100, 29
 CONTROL_MACHINES = 40
 PURGE_DEADLINE_S, CONFIGURATION_DEADLINE_S = 3.9, 15.0
-# What a node may spend for control.
-NODE_CONTROL_CORE, NODE_CONTROL_MB, NODE_CONTROL_BYTES = (
-    0.03,
-    64,
-    21_000,
-)  # part of a core; MB; bytes a second
-FULL_CORE = 1.0  # of a planner's one thread, and of a node's for requests
+# A node's budget for control traffic: fraction of a core, MB, bytes per second.
+NODE_CONTROL_CORE, NODE_CONTROL_MB, NODE_CONTROL_BYTES = 0.03, 64, 21_000
+FULL_CORE = 1.0  # budget of a planner's thread, and of a node's for requests
 SECONDS_PER_DAY = 86_400
-LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; planners: the most it takes
-LIST_CHANGES_PER_RESTART = 3  # of the list for one restart: it drains, it is gone or starts, it serves
-PURGE_BYTES = 64  # worked out: a key, a time, a number and their framing
+LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; PLANNERS is its maximum
+LIST_CHANGES_PER_RESTART = 3  # draining, gone or starting, serving
+PURGE_BYTES = 64  # calculated: a key, a time, a number and their framing
 REQUESTS_PER_NODE = REQUEST_RATE / NODES
 ZONE_SERVERS, REGION_SERVERS = SERVERS / ZONES, SERVERS / REGIONS
 
 
 class Claim(NamedTuple):
-    """One figure of the page."""
+    """One projected figure of the page."""
 
     role: str
     subject: str
     formula: str
-    compute: object  # of a dictionary of lines by measurement
+    compute: object  # function of the fitted lines by measurement
     budget: float
     unit: str
-    display_factor: float  # the value and budget are shown times this
-    measures: tuple  # the measurements that it rests on
-    sizes: tuple  # the size that each is taken at
+    display_factor: float  # factor of the displayed value and budget
+    measures: tuple  # names of the measurements used
+    sizes: tuple  # the size at which each is evaluated
     implemented_by: str
     verified_by: str
 
 
 def decisions_core(servers):
-    """Processor time of decisions, as a part of a core, at a node that lists so many servers."""
+    """Return the cost of decisions at a node that lists this many servers, as a fraction of a core."""
     return lambda lines: REQUESTS_PER_NODE * lines['decision'].at(servers) / 1e6
 
 
 def digests_per_second(forwarders):
-    """Digests that a planner hears."""
+    """Return the digests per second that a planner receives."""
     return forwarders * SAYS / LEASE_S
 
 
 def list_transfer_s(servers):
-    """Seconds of a node's bytes that a whole list takes."""
+    """Return the seconds that a whole list takes at a node's control bandwidth."""
     return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_CONTROL_BYTES
 
 
 def list_megabytes(servers):
-    """MB that a list holds in the module."""
+    """Return the memory of a list in MB."""
     return lambda lines: lines['list-memory'].at(servers) / 1_024
 
 
 def changed_entries_core(lines):
-    """A part of a core for changed entries of the list."""
+    """Return the cost of changed list entries, as a fraction of a core."""
     return (
         RESTARTS_PER_DAY
         * LIST_CHANGES_PER_RESTART
@@ -78,16 +74,16 @@
 
 
 def burst_changed_entries_core(lines):
-    """The same while a tenth of a day's restarts come within a minute."""
+    """Return the same while a tenth of a day's restarts occur within a minute."""
     return RESTARTS_PER_DAY / 10 * LIST_CHANGES_PER_RESTART / 60 * lines['changed-entry'].at(SERVERS) / 1e3
 
 
 def planner_core(forwarders):
-    """A part of a core for digests at one planner."""
+    """Return the cost of digests at one planner, as a fraction of a core."""
 
     def compute(lines):
         by_limits = lines['planner-digest-by-limits']
-        # The measurement by forwarders has two limits; what eight cost more is in proportion.
+        # The measurement by forwarders uses two limits: scale it to LIMITS.
         factor = by_limits.at(LIMITS) / by_limits.at(2)
         return digests_per_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
 
@@ -95,17 +91,17 @@
 
 
 def planner_links_core(lines):
-    """A part of a node's core for its links to all planners."""
+    """Return the cost of a node's links to all planners, as a fraction of a core."""
     return PLANNERS * SAYS / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
 
 
 def planner_links_bytes(lines):
-    """Bytes a second of a node's links to all planners, both ways."""
+    """Return the bytes per second on a node's links to all planners, in both directions."""
     return PLANNERS * SAYS / LEASE_S * lines['link-bytes'].at(LIMITS)
 
 
 def voter_core(lines):
-    """A part of a core for renewals: each task renewed three times in a lease of 5 s."""
+    """Return the cost of renewals at three per task in a lease of 5 s, as a fraction of a core."""
     return TASKS * 3 / 5 * lines['voter-message'].at(TASKS) / 1e6
 
 
@@ -297,7 +293,7 @@
 
 
 class Bound(NamedTuple):
-    """A bound that stands in the code, against what the named size wants."""
+    """A limit in the code, against what the reference size requires."""
 
     subject: str
     limit: float
@@ -306,7 +302,7 @@
 
 
 def bounds():
-    """The bounds of the code, read off it."""
+    """Return the limits, read from the code."""
     from typing import get_args, get_type_hints
 
     from ..plan.limits import Fleet
