--- a/lilacdyke/scale/cli.py
+++ b/lilacdyke/scale/cli.py
@@ -1,4 +1,4 @@
-"""The commands `lilacdyke scale slopes` and `lilacdyke scale page`."""
+"""The commands `lilacdyke scale slopes`, `lilacdyke scale run` and `lilacdyke scale page`."""
 
 import sys
 
@@ -14,23 +14,21 @@
 
 
 def exit_with_error(path, err):
-    """One line, and exit 2."""
+    """Print an error and exit with code 2."""
     click.echo('lilacdyke: %s: %s' % (path, err), err=True)
     sys.exit(2)
 
 
 @click.group()
 def scale():
-    """What each role costs by the size of the installation."""
+    """Measure the cost of each role by installation size."""
 
 
 @scale.command()
 @click.argument('names', nargs=-1, type=click.Choice(list(measures.MEASURES)), metavar='[MEASURE]...')
 @click.option('--repeats', type=click.IntRange(1, 50), default=5, show_default=True)
-@click.option(
-    '--largest', type=click.IntRange(1), default=10_000, show_default=True, help='No size beyond it.'
-)
-@click.option('--out', type=click.Path(dir_okay=False), help='Record the rows there, a JSON line each.')
+@click.option('--largest', type=click.IntRange(1), default=10_000, show_default=True, help='Maximum size.')
+@click.option('--out', type=click.Path(dir_okay=False), help='File to write the rows to, as JSON lines.')
 def slopes(names, repeats, largest, out):
     """Take measurements, all of them by default."""
 
@@ -52,12 +50,16 @@
 @click.option(
     '--nodes', type=click.IntRange(10, 20_000), default=500, show_default=True, help='Hollow nodes.'
 )
-@click.option('--relays', type=click.IntRange(2, 40), default=4, show_default=True, help='That nodes ask.')
-@click.option('--seconds', type=click.FloatRange(4, 300), default=20.0, show_default=True, help='Of load.')
-@click.option('--kill-relay', is_flag=True, help='Kill a relay half way, and start it anew.')
-@click.option('--out', type=click.Path(dir_okay=False), help='Append the rows there, a JSON line each.')
+@click.option(
+    '--relays', type=click.IntRange(2, 40), default=4, show_default=True, help='Relays that nodes dial.'
+)
+@click.option(
+    '--seconds', type=click.FloatRange(4, 300), default=20.0, show_default=True, help='Duration of the load.'
+)
+@click.option('--kill-relay', is_flag=True, help='Kill a relay half way, and restart it.')
+@click.option('--out', type=click.Path(dir_okay=False), help='File to append the rows to, as JSON lines.')
 def run(nodes, relays, seconds, kill_relay, out):
-    """Pass changes to thousands of hollow nodes, through two levels of relays, on loopback."""
+    """Distribute changes to thousands of hollow nodes through two levels of relays, on loopback."""
     from . import fleet_run
 
     found = fleet_run.run(fleet_run.RunOptions(nodes, relays, seconds, kill_relay))
@@ -73,7 +75,7 @@
 @scale.command()
 @click.option('--rows', 'paths', type=click.Path(), multiple=True, default=ROWS, show_default=True)
 @click.option('--page', 'page_path', type=click.Path(), default=PAGE, show_default=True)
-@click.option('--check', is_flag=True, help='Change nothing; exit 1 if tables and rows do not agree.')
+@click.option('--check', is_flag=True, help='Write nothing; exit 1 if the tables do not match the rows.')
 def page(paths, page_path, check):
     """Write the page's tables from recorded rows."""
     rows = []
@@ -90,9 +92,7 @@
         exit_with_error(page_path, err)
     if check:
         if new_text != text:
-            click.echo(
-                'lilacdyke: %s: its tables are not those of %s' % (page_path, ', '.join(paths)), err=True
-            )
+            click.echo('lilacdyke: %s: its tables do not match %s' % (page_path, ', '.join(paths)), err=True)
             sys.exit(1)
         return
     with open(page_path, 'w', encoding='utf-8') as file:
