--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -1,9 +1,8 @@
-"""What planners, forwarders and voters cost, by forwarders, limits and tasks: their own code and frames,
-without sockets.
+"""Cost of planners, forwarders and voters by forwarders, limits and tasks: their code and frames, without
+sockets.
 
-Owns the parties that speak: as many purses as there are forwarders, one planner of three. A round is one
-digest of each forwarder and the plan that answers it, a quarter of a lease later. Must never count the other
-side's work.
+In each round, a quarter of a lease after the last, every forwarder sends a digest to one of three planners
+and receives its plan. The processor time of each side is measured separately.
 """
 
 import time
@@ -19,14 +18,14 @@
 
 PLANNERS = 3
 LEASE_S = 2.0
-LIMITS = 2  # where limits are not what is varied
-FORWARDERS = 50  # where forwarders are not
-WARM_UP_ROUNDS = 3  # until purses have given and borrowed
-RENEWALS_PER_VALUE = 200  # messages that one value is the mean of
+LIMITS = 2  # unless limits are varied
+FORWARDERS = 50  # unless forwarders are varied
+WARM_UP_ROUNDS = 3  # until purses have lent and borrowed
+RENEWALS_PER_VALUE = 200  # one value is their mean
 
 
 def make_fleet(forwarders, limits):
-    """A fleet file's content, without a file."""
+    """Return a fleet file's settings, without a file."""
     return Fleet(
         enabled=True,
         installation='scale',
@@ -38,7 +37,7 @@
 
 
 class PlannerRound:
-    """Forwarders and one planner that speak in turn; processor time of each side, and bytes of each kind."""
+    """Rounds of forwarders and one planner: processor seconds of each side, and bytes by message type."""
 
     def __init__(self, forwarders, limits, seed):
         self.fleet, self.now = make_fleet(forwarders, limits), SECOND
@@ -51,7 +50,7 @@
             self.run()
 
     def forwarder(self, number):
-        """One that asks for more than its part, or for less."""
+        """Return a forwarder that wants more than its share, or less if its number is odd."""
         fleet = self.fleet
         seat_shares = fleet.seat_parts(number % fleet.seats)
         purse = Purse(
@@ -71,7 +70,7 @@
         return Forwarder(self.now, fleet, purse, lambda now: (spare, wants), dict, self.uniform)
 
     def run(self):
-        """One round."""
+        """Run one round."""
         self.planner_s = self.forwarders_s = 0.0
         self.digest_bytes = self.plan_bytes = 0
         self.now += self.fleet.lease // SAYS
@@ -92,7 +91,7 @@
 
 
 def measure_round(forwarders, limits, seed, metric):
-    """A function that plays a round and gives a figure of it, for one forwarder."""
+    """Return a function that runs a round and returns this metric per forwarder."""
     made = PlannerRound(forwarders, limits, seed)
 
     def value():
@@ -103,12 +102,12 @@
 
 
 def planner_digest(forwarders, seed):
-    """Microseconds of processor time at a planner for one digest, its plan among them."""
+    """Microseconds of processor time at a planner for one digest and its plan, by forwarders."""
     return measure_round(forwarders, LIMITS, seed, lambda made: made.planner_s * 1e6)
 
 
 def planner_digest_by_limits(limits, seed):
-    """The same by limits."""
+    """Microseconds of processor time at a planner for one digest and its plan, by limits."""
     return measure_round(FORWARDERS, limits, seed, lambda made: made.planner_s * 1e6)
 
 
@@ -123,7 +122,7 @@
 
 
 def voter_message(tasks, seed):
-    """Microseconds of processor time at a voter for a renewal, by tasks that are held."""
+    """Microseconds of processor time at a voter for a renewal, by tasks held."""
     lease = 5 * SECOND
     voter = Voter(0, 'v0', lease, lambda bound: True, 1)
     now = 20 * SECOND
