--- a/lilacdyke/scale/datapath.py
+++ b/lilacdyke/scale/datapath.py
@@ -1,7 +1,7 @@
-"""What a node's decisions and its list cost, by the number of servers in the list.
+"""Cost of a node's decisions and server list, by the number of servers in the list.
 
-Owns the bare router that is measured: the program's own module, with nothing around it. A measurement
-prepares its state, then gives one value a call. Must never measure what it prepares.
+Measures the router alone, without I/O. Each measurement prepares its state outside the measured time, and
+returns a function that measures one value per call.
 """
 
 import json
@@ -14,15 +14,15 @@
 from ..terms import IDEMPOTENT, Profile, SiteTerms
 from ..values import SECOND
 
-GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the one profile
-READS_PER_VALUE = 400  # decisions that one value is the mean of
-ENTRIES_PER_VALUE = 20  # changed entries that one value is the mean of
+GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the only profile
+READS_PER_VALUE = 400  # one value is their mean
+ENTRIES_PER_VALUE = 20  # one value is their mean
 KEYS = 5_000
-ANSWER_TICKS = 100  # ticks until a cache answers
+ANSWER_TICKS = 100  # latency of a cache
 
 
 def site_terms(nodes):
-    """The terms of an installation without an origin of its own kind, and with reads alone."""
+    """Return the terms of an installation without an origin, which serves reads only."""
     return SiteTerms(
         profiles=[Profile('read', IDEMPOTENT, 'all', 0, GOAL, 0, LIMIT)],
         tenants=[],
@@ -46,19 +46,19 @@
 
 
 def list_rows(servers):
-    """A list's rows as the module takes them."""
+    """Return the rows of a server list, as the router takes them."""
     return [(Server('s-%08x' % number, False), 'ready', 1.0, None, 0, 0) for number in range(servers)]
 
 
 def bare_router(servers, seed):
-    """A router that has been told a list."""
+    """Return a router that has received a list."""
     router = Router(site_terms(10_000), seed, 0)
     router.list_replaced(SECOND, list_rows(servers))
     return router
 
 
 def list_entry(number):
-    """One server as discovery words it."""
+    """Return one server, as in a list from discovery."""
     return {
         'instanceId': 's-%08x' % number,
         'hostPort': '10.%d.%d.%d:8000' % (number >> 16 & 255, number >> 8 & 255, number & 255),
@@ -72,7 +72,7 @@
 
 
 def run_read(router, now, key):
-    """A read from its start to its answer; the time then."""
+    """Run a read from its start to its answer, and return the time of the answer."""
     transaction = router.take(now, 0, key, now + LIMIT, False, now)
     while (decision := router.decide(now)) is not None:
         if decision[0] == 'send':
@@ -96,12 +96,12 @@
             now = run_read(router, now, 'k%d' % rng.randrange(KEYS))
         return (time.process_time() - started) / READS_PER_VALUE * 1e6
 
-    value()  # what is known of servers begins with the first reads
+    value()  # warm-up: the first reads initialise the state of servers
     return value
 
 
 def whole_list(servers, seed):
-    """Milliseconds of processor time for a whole list: read off its JSON and taken by the router."""
+    """Milliseconds of processor time to parse a whole list and apply it to the router."""
     text = json.dumps({'generation': 5, 'reset': True, 'instances': [list_entry(n) for n in range(servers)]})
 
     def value():
@@ -132,7 +132,7 @@
 
 
 def list_memory(servers, seed):
-    """KB that a list of servers holds in the module."""
+    """KB of memory that a list of servers takes in the router."""
 
     def value():
         tracemalloc.start()
