--- a/lilacdyke/scale/fleet_run.py
+++ b/lilacdyke/scale/fleet_run.py
@@ -1,8 +1,7 @@
-"""A scale run: a writer, two levels of relays and thousands of hollow nodes, as processes on loopback, with
-steady changes.
+"""A scale run: a writer, two levels of relays and thousands of hollow nodes as processes on loopback, under a
+steady load of changes.
 
-Owns the processes, which it ends by their ids, and the figures of a run. Must never run for longer than it
-was told, nor send to anywhere but this machine.
+The run starts and stops its own processes, ends after the given time, and sends to this machine only.
 """
 
 import json
@@ -25,23 +24,23 @@
 
 NODES_PER_PROCESS = 250
 TOP_RELAYS = 2
-PURGE_RATE, CONFIGURATION_RATE = 55.0, 10 * 5_300 / 86_400  # a second
+PURGE_RATE, CONFIGURATION_RATE = 55.0, 10 * 5_300 / 86_400  # per second
 SETTLE_S, DRAIN_S = 4.0, 6.0  # before the load and after it
 RELAY_DOWN_S = 3.0
 PROGRAM = (sys.executable, '-m', 'lilacdyke')
 
 
 class RunOptions(NamedTuple):
-    """What is run."""
+    """Options of a run."""
 
     nodes: int
-    relays: int  # of the lower level, which nodes ask
+    relays: int  # of the lower level, which nodes dial
     seconds: float
     kill_relay: bool
 
 
 def free_ports(count):
-    """Ports that nobody listens at now."""
+    """Return ports on which nothing listens at present."""
     sockets = [socket.create_server(('127.0.0.1', 0)) for _ in range(count)]
     ports = [each.getsockname()[1] for each in sockets]
     for each in sockets:
@@ -50,7 +49,7 @@
 
 
 def write_changes_file(folder, relays):
-    """Write the changes file of a run: (its path, names of processes by level)."""
+    """Write the changes files of a run. Return their paths, the writer's address and the relays by level."""
     top = ['t%d' % number for number in range(TOP_RELAYS)]
     lower = ['r%d' % number for number in range(relays)]
     ports = iter(free_ports(1 + len(top) + len(lower)))
@@ -65,7 +64,7 @@
     path = os.path.join(folder, 'changes.toml')
     with open(path, 'wb') as file:
         tomli_w.dump(content, file)
-    # Hollow nodes see only relays of the lower level; those above them are the other relays' business.
+    # Nodes dial any relay in their file, so theirs lists only the lower level.
     node_path = os.path.join(folder, 'nodes.toml')
     nodes_rows = [rows[0], *({**row, 'above': ['w0']} for row in rows if row['name'] in lower)]
     with open(node_path, 'wb') as file:
@@ -74,20 +73,20 @@
 
 
 def cpu_seconds(pid):
-    """Seconds of processor time that a process has had."""
+    """Return the processor seconds that a process has used."""
     with open('/proc/%d/stat' % pid, encoding='ascii') as file:
         fields = file.read().rpartition(')')[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
 
 
 def peak_memory_mb(pid):
-    """The most memory that a process has held, in MB."""
+    """Return the peak memory of a process in MB."""
     with open('/proc/%d/status' % pid, encoding='ascii') as file:
         return next(int(row.split()[1]) for row in file if row.startswith('VmHWM')) / 1_024
 
 
 class FleetRun:
-    """One run's processes."""
+    """The processes of one run."""
 
     def __init__(self, options, folder):
         self.options, self.folder = options, folder
@@ -102,7 +101,7 @@
         self.processes[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
 
     def start_all(self):
-        """Start all processes, from the writer down."""
+        """Start all processes, the writer first."""
         for name in ('w0', *self.top, *self.lower):
             self.start(name)
         time.sleep(1.0)
@@ -116,14 +115,14 @@
             self.processes['hollow-%d' % first] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
 
     def stop_all(self):
-        """End all that still run, by their ids."""
+        """Kill the processes that still run."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
             process.wait()
 
     def load(self):
-        """Put changes at their rates; how many of each kind."""
+        """Put changes at their rates. Return how many of each kind."""
         host, _, port = self.writer_address.rpartition(':')
         started, counts = time.monotonic(), {'purge': 0, 'config': 0}
         rates = {'purge': PURGE_RATE, 'config': CONFIGURATION_RATE}
@@ -146,7 +145,7 @@
 
     @staticmethod
     def put(connection, kind, number):
-        """One change."""
+        """Put one change."""
         item = Item('limit', str(number)) if kind == 'config' else Item('object-%d' % number)
         connection.sendall(pack(PutRequest(kind, [item])))
         answer = unpack(read_frame(connection), PutAnswer)
@@ -154,13 +153,13 @@
             raise RuntimeError(answer.refused)
 
     def execute(self):
-        """The whole run; what was seen."""
+        """Execute the whole run and return its figures."""
         try:
             self.start_all()
             time.sleep(SETTLE_S)
             before = {name: cpu_seconds(process.pid) for name, process in self.processes.items()}
             counts = self.load()
-            # A relay that was started anew has no time from before.
+            # A restarted relay counts from zero.
             cpu = {
                 name: cpu_seconds(process.pid)
                 - (0 if name == 'r0' and self.options.kill_relay else before[name])
@@ -175,7 +174,7 @@
             self.stop_all()
 
     def compute_figures(self, counts, cpu, memory):
-        """What was seen, as figures by name: (value, unit)."""
+        """Return (value, unit) by name of figure."""
         results = []
         for out in self.result_paths:
             with open(out, encoding='utf-8') as file:
@@ -214,7 +213,7 @@
 
 
 def to_rows(options, found):
-    """A run's figures as rows."""
+    """Return the figures of a run as rows."""
     command = 'lilacdyke scale run --nodes %d --relays %d --seconds %g' % options[:3]
     command += ' --kill-relay' * options.kill_relay
     suffix = KILLED_SUFFIX if options.kill_relay else ''
@@ -225,6 +224,6 @@
 
 
 def run(options):
-    """One run; its rows."""
+    """Execute one run and return its rows."""
     with tempfile.TemporaryDirectory() as folder:
         return to_rows(options, FleetRun(options, folder).execute())
