--- a/lilacdyke/scale/hollow.py
+++ b/lilacdyke/scale/hollow.py
@@ -1,9 +1,7 @@
-"""A process of hollow nodes: each is a node's own part in the distribution of changes, without clients,
-servers or a list.
+"""A process of hollow nodes: each is only a node's part in the distribution of changes.
 
-Owns the nodes and what they saw. What a hollow node leaves out: requests, connections to servers, the watch
-on discovery, planners' links; it holds a node's replica, its link with all its frames, its record and its log
-lines of both.
+A hollow node has a node's replica, its link to a relay, its record and its log lines. It has no requests,
+connections to servers, watch on discovery or links to planners.
 
 python -m lilacdyke.scale.hollow --file changes.toml --count 250 --first 0 --seconds 30 --out seen.json
 """
@@ -22,7 +20,7 @@
 
 
 class LatencyRecord(Record):
-    """A record that also notes how late each change came (milliseconds after its writer's time)."""
+    """A record that also keeps the latency of each change, in milliseconds since its writer's time."""
 
     def __init__(self, latest, counted):
         super().__init__()
@@ -43,7 +41,7 @@
 @click.option('--seconds', type=click.FloatRange(1, 600), required=True)
 @click.option('--out', required=True)
 def main(path, count, first, seconds, out):
-    """Run so many hollow nodes for so long, then write what they saw."""
+    """Run hollow nodes for some time, then write their results."""
     from twisted.internet.main import installReactor
 
     logs.begin('error')
@@ -56,7 +54,7 @@
         random = Random(number).random
         node = NodeChanges(reactor, System.elapsed, random, 'n%d' % number, number, settings, record)
         nodes.append(node)
-        # They start within a second, as a front would let them.
+        # Spread the starts over a second.
         reactor.callLater(random(), node.begin)
     started = time.monotonic()
     reactor.callLater(seconds, reactor.stop)
@@ -82,7 +80,7 @@
 
 
 def positions(node):
-    """Where a node's logs are."""
+    """Return the position of each log of a node."""
     return [(origin, log.position.epoch, log.position.sequence) for origin, log in node.replica.logs.items()]
 
 
