--- a/lilacdyke/scale/page.py
+++ b/lilacdyke/scale/page.py
@@ -1,6 +1,6 @@
-"""The tables of docs/CAPACITY.md, made from recorded rows.
+"""Writes the tables of docs/CAPACITY.md from recorded rows.
 
-Owns the marks between which a table stands, and its words. Must never touch what stands outside of them.
+Only the text between the markers of a table is replaced.
 """
 
 import re
@@ -12,23 +12,23 @@
 MARKER = '<!-- scale: %s -->'
 END_MARKER = '<!-- end -->'
 OVER_BUDGET = '**red, x %.3g**'
-KILLED_SUFFIX = '-relay-killed'  # behind the names of a run's figures
+KILLED_SUFFIX = '-relay-killed'  # suffix of a run's figures
 
 
 def markdown_table(head, rows):
-    """Lines of a Markdown table."""
+    """Return a Markdown table."""
     return '\n'.join('| %s |' % ' | '.join(row) for row in (head, ['---'] * len(head), *rows))
 
 
 def format_number(value):
-    """A number with three places that count."""
+    """Return a number with three significant digits, or with all integer digits from 1,000 on."""
     if value == 0:
         return '0'
     return '{:,.0f}'.format(value) if abs(value) >= 1_000 else '%.3g' % value
 
 
 def measured_table(rows):
-    """The medians, by measurement and size, with the spread of their repeats."""
+    """Return the table of medians by measurement and size, with the spread of their repeats."""
     found = []
     for name, measure in slopes.MEASURES.items():
         measure_rows = [row for row in rows if row.measure == name]
@@ -53,7 +53,7 @@
 
 
 def roles_table(rows):
-    """Each claim at the named size, against its budget."""
+    """Return the table of claims at the reference size, against their budgets."""
     lines = {
         name: slopes.fit_line(rows, name) for name in {name for claim in CLAIMS for name in claim.measures}
     }
@@ -87,7 +87,7 @@
 
 
 def bounds_table(_):
-    """The bounds of the code against the named size."""
+    """Return the table of limits in the code, against the reference size."""
     found = [
         [
             row.subject,
@@ -102,7 +102,7 @@
 
 
 def runs_table(rows):
-    """Figures of scale runs, by run."""
+    """Return the table of figures by scale run."""
     commands = list(dict.fromkeys(row.command for row in rows if row.measure not in slopes.MEASURES))
     if not commands:
         return 'None is recorded.'
@@ -123,7 +123,7 @@
 
 
 def provenance(rows):
-    """By what the rows were made."""
+    """Return a line with the number, repeats, seeds and machines of the rows."""
     machines = sorted({row.machine for row in rows})
     repeats = sorted({len(row.values) for row in rows})
     return '%d rows, %s repeats each, seed %s, on %s.' % (
@@ -144,11 +144,11 @@
 
 
 def fill(text, rows):
-    """The page with its tables made anew; a BadLine names a mark that is missing or unknown."""
+    """Return the page with new tables. Raise BadLine if a marker is missing or appears twice."""
     for name, make in TABLES.items():
         marker = MARKER % name
         if text.count(marker) != 1:
-            raise BadLine('%s: stands there %d times' % (marker, text.count(marker)))
+            raise BadLine('%s: found %d times, expected once' % (marker, text.count(marker)))
         pattern = re.compile(re.escape(marker) + r'.*?' + re.escape(END_MARKER), re.DOTALL)
         body = '%s\n\n%s\n\n%s' % (marker, make(rows), END_MARKER)
         text, count = pattern.subn(lambda _, body=body: body, text)
