--- a/lilacdyke/scale/rows.py
+++ b/lilacdyke/scale/rows.py
@@ -1,6 +1,6 @@
-"""Measured rows: one measurement at one size, with what it takes to make it again.
+"""Measured rows: one measurement at one size, with the command that repeats it.
 
-Owns the form of the recorded files: a JSON object a line. Must never hold a figure that no run gave.
+A recorded file has one JSON object per line, and only figures that a run produced.
 """
 
 import os
@@ -13,29 +13,29 @@
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One measurement, repeated."""
+    """One repeated measurement at one size."""
 
-    measure: str  # its name, see slopes.MEASURES
-    size: int  # what is varied: servers, forwarders, limits, ...
+    measure: str  # a key of slopes.MEASURES, or the name of a figure of a run
+    size: int  # servers, forwarders, limits, ...
     unit: str
-    values: list[float]  # one for each repeat
-    command: str  # that gives the row again
+    values: list[float]  # one per repeat
+    command: str  # repeats the measurement
     seed: int
     machine: str
 
     @property
     def median(self):
-        """The middle of its repeats."""
+        """The median of the repeats."""
         return median(self.values)
 
     @property
     def spread(self):
-        """How far its repeats lie apart, as a part of their median."""
+        """The range of the repeats as a fraction of their median."""
         return (max(self.values) - min(self.values)) / self.median if self.median else 0.0
 
 
 def machine():
-    """What machine this is, without its name."""
+    """Return a description of this machine, without its name."""
     return '%s, %d processors, Python %s' % (
         platform.machine(),
         os.cpu_count() or 0,
@@ -44,14 +44,14 @@
 
 
 def write(path, rows, append=False):
-    """Record rows, in place of what the file held or behind it."""
+    """Write rows to a file, replacing its content or appending to it."""
     with open(path, 'ab' if append else 'wb') as file:
         for row in rows:
             file.write(msgspec.json.encode(row) + b'\n')
 
 
 def read(path):
-    """The recorded rows; a BadLine names the line that is none."""
+    """Return the recorded rows. Raise BadLine naming a line that is invalid."""
     found = []
     try:
         with open(path, 'rb') as file:
@@ -61,7 +61,7 @@
                 except msgspec.MsgspecError as err:
                     raise BadLine('line %d: %s' % (number, err)) from None
                 if not row.values:
-                    raise BadLine('line %d: values: there are none' % number)
+                    raise BadLine('line %d: values: is empty' % number)
                 found.append(row)
     except OSError as err:
         raise BadLine(str(err)) from None
