--- a/lilacdyke/scale/slopes.py
+++ b/lilacdyke/scale/slopes.py
@@ -1,7 +1,6 @@
-"""Which measurements there are, how they are run, and the line through the medians of one.
+"""The measurements by size, and the line fitted through the medians of each.
 
-Owns the sizes that each is taken at. Must never extrapolate by itself: whoever asks a line for a size beyond
-those measured says that the figure is worked out.
+A caller that evaluates a line beyond its measured sizes has to label the figure as extrapolated.
 """
 
 from typing import NamedTuple
@@ -13,10 +12,10 @@
 
 
 class Measure(NamedTuple):
-    """One measurement: prepare(size, seed) gives a function of which each call is one value."""
+    """One measurement. prepare(size, seed): returns a function that measures one value per call."""
 
     description: str
-    dimension: str  # what size counts
+    dimension: str  # the unit of sizes
     unit: str
     sizes: tuple
     prepare: object
@@ -60,7 +59,7 @@
 
 
 def run(names, repeats, largest, on_row=lambda row: None):
-    """Take these measurements; their rows. largest: no size beyond it."""
+    """Take these measurements up to the largest size. Return their rows; on_row is called with each."""
     rows = []
     for name in names:
         measure = MEASURES[name]
@@ -81,7 +80,7 @@
 
 
 class FittedLine(NamedTuple):
-    """base + slope x size, by least squares through the medians, each counted by its relative error."""
+    """base + slope x size, by least squares through the medians, weighted by relative error."""
 
     base: float
     slope: float
@@ -89,20 +88,20 @@
     largest: int
 
     def at(self, size):
-        """Its value there."""
+        """Return the value at a size."""
         return self.base + self.slope * size
 
     def covers(self, size):
-        """Whether that size lies among those measured."""
+        """Return whether a size is within the measured range."""
         return self.smallest <= size <= self.largest
 
 
 def fit_line(rows, name):
-    """The line of one measurement's rows."""
+    """Fit a line to the rows of one measurement. Raise ValueError if it has fewer than two sizes."""
     points = sorted((row.size, row.median) for row in rows if row.measure == name)
     if len(points) < 2:
-        raise ValueError('%s: %d sizes measured, two are wanted' % (name, len(points)))
-    # Relative weights: the largest size would else decide alone, and the base would be noise.
+        raise ValueError('%s: %d sizes measured, at least two are required' % (name, len(points)))
+    # Without relative weights the largest size would dominate, and the base would be noise.
     weights = [1 / max(value, 1e-9) ** 2 for _, value in points]
     total = sum(weights)
     mean_x = sum(w * x for w, (x, _) in zip(weights, points, strict=True)) / total
