--- a/lilacdyke/changes/settings.py
+++ b/lilacdyke/changes/settings.py
@@ -74,9 +74,9 @@
     except BadLine as err:
         raise BadLine('%saddress: %s' % (where, err)) from None
     if process.role == 'writer' and (process.above or process.folder is None):
-        raise BadLine('%sa writer has a folder and nobody above' % where)
+        raise BadLine('%sa writer requires folder and must not have above' % where)
     if process.role == 'relay' and (not process.above or process.folder is not None):
-        raise BadLine('%sa relay has somebody above and no folder' % where)
+        raise BadLine('%sa relay requires above and must not have folder' % where)
     unknown = [name for name in process.above if name not in roles]
     if unknown:
         raise BadLine('%sabove: no %s' % (where, unknown[0]))
