--- a/lilacdyke/changes/search.py
+++ b/lilacdyke/changes/search.py
@@ -44,8 +44,8 @@
         self.replicas, self.writer, self.lease_held = {}, None, True
         for name in self.names:
             self.start(name)
-        for upper, lower in tree:
-            self.link(upper, lower)
+        for parent, child in tree:
+            self.link(parent, child)
 
     def clock(self, name):
         """Return the time on a process's clock."""
@@ -60,7 +60,7 @@
     def start(self, name):
         """Start a process with empty memory. The writer reads its file."""
         is_writer = name == ORIGIN
-        # LeaseHeld is a class, since worlds are copied by pickle.
+        # LeaseHeld is a class so that pickle can copy worlds.
         self.replicas[name] = replica = Replica(name, ORIGIN if is_writer else None, LeaseHeld(self), TAIL)
         if is_writer:
             self.epoch += 1
@@ -70,24 +70,24 @@
     def restart(self, name):
         """Kill and start a process. Its links are lost and opened again."""
         self.in_flight = [each for each in self.in_flight if name not in each[:2]]
-        for upper, lower in self.tree:
-            if name in (upper, lower):
-                self.unlink(upper, lower)
+        for parent, child in self.tree:
+            if name in (parent, child):
+                self.unlink(parent, child)
         self.start(name)
-        for upper, lower in self.tree:
-            if name in (upper, lower):
-                self.link(upper, lower)
+        for parent, child in self.tree:
+            if name in (parent, child):
+                self.link(parent, child)
 
-    def link(self, upper, lower):
+    def link(self, parent, child):
         """Open a link."""
-        self.replicas[upper].linked(self.clock(upper), lower, True)
-        self.replicas[lower].linked(self.clock(lower), upper, False)
+        self.replicas[parent].linked(self.clock(parent), child, True)
+        self.replicas[child].linked(self.clock(child), parent, False)
 
-    def unlink(self, upper, lower):
+    def unlink(self, parent, child):
         """Close a link and lose its messages."""
-        self.in_flight = [each for each in self.in_flight if set(each[:2]) != {upper, lower}]
-        self.replicas[upper].unlinked(self.clock(upper), lower)
-        self.replicas[lower].unlinked(self.clock(lower), upper)
+        self.in_flight = [each for each in self.in_flight if set(each[:2]) != {parent, child}]
+        self.replicas[parent].unlinked(self.clock(parent), child)
+        self.replicas[child].unlinked(self.clock(child), parent)
 
     def put(self, value):
         """Put a change of two keys if the writer holds its lease."""
@@ -183,15 +183,15 @@
 
     def check_complete(self):
         """Check that each child once reached the position that its parent reports as complete."""
-        for upper, lower in self.tree:
-            replica = self.replicas[upper]
-            neighbour = replica.neighbours.get(lower)
+        for parent, child in self.tree:
+            replica = self.replicas[parent]
+            neighbour = replica.neighbours.get(child)
             if neighbour is None or ORIGIN not in replica.logs:
                 continue
             complete = replica.complete(ORIGIN)
-            if complete > self.furthest.get(lower, Position()):
+            if complete > self.furthest.get(child, Position()):
                 raise InvariantError(
-                    '%s reports %s as complete, but %s never reached it' % (upper, complete, lower)
+                    '%s reports %s as complete, but %s never reached it' % (parent, complete, child)
                 )
 
 
@@ -249,7 +249,7 @@
 
 
 def search_random(seed, steps=400, tree=FULL_TREE):
-    """Run random steps in one world. Return the number of deliveries; raise InvariantError on a violation."""
+    """Run random steps in one world and return the number of deliveries. Raise InvariantError if violated."""
     rng = Random('changes/%d' % seed)
     world, delivered = World(tree, draw_rates(tree, rng)), 0
     kinds, weights = list(STEPS), list(STEPS.values())
