--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -46,9 +46,9 @@
         self.clock_origin = elapsed() - 1
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.counts = Counter()
-        # links by neighbour; accepted connections that have not sent Hello
+        # links by name of neighbour; accepted connections that have not sent Hello
         self.links, self.unidentified = {}, []
-        # index of the next parent to dial
+        # next_parent: index of the parent to dial, modulo their number
         self.parent_link, self.dial_failures, self.next_parent = None, 0, 0
         self.wake_at, self.settling, self.port, self.writer = None, False, None, None
         self.wall_ms = None  # set beside writer: function that returns Unix time in milliseconds
@@ -71,9 +71,9 @@
 
     def dial(self, _):
         """Dial the next parent."""
-        name, where = self.parents[self.next_parent % len(self.parents)]
+        name, endpoint = self.parents[self.next_parent % len(self.parents)]
         link = self.parent_link = ParentLink(self, name)
-        connect(self.reactor, where, link).addCallbacks(self.parent_linked, lambda _: self.link_lost(link))
+        connect(self.reactor, endpoint, link).addCallbacks(self.parent_linked, lambda _: self.link_lost(link))
         self.deadlines.at(self.clock() + DIAL_TIMEOUT, self.dial_timed_out, link)
 
     def dial_timed_out(self, link):
@@ -137,10 +137,10 @@
             link.close()
         self.deadlines.at(now + IDLE_CHECK_INTERVAL, self.end_idle_links, 0)
 
-    def blocked(self, link, is_blocked):
+    def set_blocked(self, link, is_blocked):
         """Note whether data sent on a link still waits in the send buffer."""
         if link.peer is not None and self.links.get(link.peer) is link:
-            self.replica.blocked(link.peer, is_blocked)
+            self.replica.set_blocked(link.peer, is_blocked)
             self.settle()
 
     # --- messages -----------------------------------------------------------------------------------------
--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -81,10 +81,10 @@
     # --- producer of the transport ------------------------------------------------------------------------
 
     def pauseProducing(self):
-        self.host.blocked(self, True)
+        self.host.set_blocked(self, True)
 
     def resumeProducing(self):
-        self.host.blocked(self, False)
+        self.host.set_blocked(self, False)
 
     def stopProducing(self):
         """Do nothing: connectionLost() follows."""
--- a/lilacdyke/changes/replica.py
+++ b/lilacdyke/changes/replica.py
@@ -98,7 +98,7 @@
         neighbour = self.neighbours[name]
         neighbour.linked, neighbour.unlinked_at = False, now
 
-    def blocked(self, name, is_blocked):
+    def set_blocked(self, name, is_blocked):
         """Note whether a neighbour's send buffer is full. Nothing is sent while it is."""
         neighbour = self.neighbours.get(name)
         if neighbour is not None:
