--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -48,8 +48,8 @@
             (Span(2, 3, [change(4)]), []),
             (Span(1, 3, [change(4), change(6)]), [4]),
         ]
-        for span, taken in spans:
-            self.assertEqual([each.sequence for each in made.apply_span(span)], taken)
+        for span, applied in spans:
+            self.assertEqual([each.sequence for each in made.apply_span(span)], applied)
         self.assertEqual(made.position, Position(1, 4))
 
     def test_span_after_position_is_none_beyond_the_tail(self):
@@ -114,8 +114,8 @@
             ('later', (('k', ''),)): 'later',
         }
         writer = self.writer()
-        for (kind, items), told in cases.items():
-            with self.subTest(told=told), self.assertRaisesRegex(RefusedError, told):
+        for (kind, items), message in cases.items():
+            with self.subTest(message=message), self.assertRaisesRegex(RefusedError, message):
                 writer.put(kind, items, 1)
         self.assertEqual((self.replica.log('w').position, len(self.kept)), (Position(1, 0), 1))
 
@@ -146,8 +146,8 @@
         writer.take_back(2, 2)
         self.assertEqual(self.replica.log('w').configuration, {'limit': '1', 'banner': '1', 'open': 'true'})
         self.assertEqual(self.replica.log('w').position, Position(1, 4))
-        for sequence, told in ((1, 'limit: change'), (9, 'no change')):
-            with self.assertRaisesRegex(RefusedError, told):
+        for sequence, message in ((1, 'limit: change'), (9, 'no change')):
+            with self.assertRaisesRegex(RefusedError, message):
                 writer.take_back(sequence, 3)
 
     def test_restarted_writer_replays_its_lines_in_a_new_epoch(self):
@@ -235,8 +235,8 @@
         encode = messages.msgspec.msgpack.encode
         with self.assertRaises(UnsupportedVersionError):
             messages.unpack(encode((2, 0, {'type': 'status'})))
-        told = {'type': 'sync', 'name': 'x', 'stamp': 1, 'mood': 'new'}
-        self.assertEqual(messages.unpack(encode((1, 9, told))), Sync('x', 1))
+        fields = {'type': 'sync', 'name': 'x', 'stamp': 1, 'mood': 'new'}
+        self.assertEqual(messages.unpack(encode((1, 9, fields))), Sync('x', 1))
 
 
 class Files(unittest.TestCase):
@@ -280,8 +280,8 @@
             self.TEXT.replace('above = ["w0"]', 'above = ["r0"]'): 'above itself',
             '[[': 'nvalid',
         }
-        for text, told in cases.items():
-            with self.subTest(told=told), self.assertRaisesRegex(BadLine, told) as caught:
+        for text, message in cases.items():
+            with self.subTest(message=message), self.assertRaisesRegex(BadLine, message) as caught:
                 self.read(text)
             self.assertNotIn('\n', str(caught.exception))
 
--- a/tests/changes/test_processes.py
+++ b/tests/changes/test_processes.py
@@ -115,8 +115,8 @@
 
     def complete(self, position):
         """Return whether the writer reports this position as complete."""
-        told = self.status('w0')
-        return told is not None and told.complete['w0'] >= position and not told.behind
+        status = self.status('w0')
+        return status is not None and status.complete['w0'] >= position and not status.behind
 
     def start_nodes(self, count, seconds):
         """Start hollow nodes in one process. Return a function that waits for their results."""
@@ -134,8 +134,8 @@
 
     def joined(self, count):
         """Return whether the writer reports this many nodes and both relays as descendants."""
-        told = self.status('w0')
-        return told is not None and told.below == count + 2
+        status = self.status('w0')
+        return status is not None and status.below == count + 2
 
     def test_changes_reach_all_nodes_and_become_complete(self):
         results = self.start_nodes(20, 9)
@@ -143,10 +143,10 @@
         self.put('config', ('limit', '5'), ('banner', 'hi'))
         position = self.put('purge', ('k1',))
         self.wait_until(lambda: self.complete(position))
-        told = results()
-        self.assertEqual((told['positions'], set(told['counted'].values())), ([['w0', 1, 2]], {20}))
-        self.assertLess(max(told['latest'].values()), 3_900)
-        self.assertLess(max(told['ages_ms']), 5_000)
+        report = results()
+        self.assertEqual((report['positions'], set(report['counted'].values())), ([['w0', 1, 2]], {20}))
+        self.assertLess(max(report['latest'].values()), 3_900)
+        self.assertLess(max(report['ages_ms']), 5_000)
 
     def test_changes_reach_all_nodes_across_a_relay_restart(self):
         results = self.start_nodes(20, 14)
@@ -158,11 +158,11 @@
         self.start('r0')
         self.wait_until(lambda: self.status('r0').positions.get('w0') == position)
         position = self.put('config', ('limit', '2'))
-        told = results()
-        self.assertEqual(told['positions'], [['w0', position.epoch, position.sequence]])
+        report = results()
+        self.assertEqual(report['positions'], [['w0', position.epoch, position.sequence]])
         # The nodes of the killed relay received this purge through the other relay.
-        self.assertEqual(told['counted']['purge/w0/2'], 20)
-        self.assertLess(max(told['latest'].values()), 6_000)
+        self.assertEqual(report['counted']['purge/w0/2'], 20)
+        self.assertLess(max(report['latest'].values()), 6_000)
 
     def test_stopped_relay_is_reported_as_behind(self):
         results = self.start_nodes(10, 16)
@@ -182,8 +182,8 @@
             self.put('config', ('limit', str(number)))
         self.kill('w0')
         self.start('w0')
-        told = self.status('w0')
-        self.assertEqual((told.configuration, told.positions['w0'].epoch), ({'limit': '4'}, 2))
+        status = self.status('w0')
+        self.assertEqual((status.configuration, status.positions['w0'].epoch), ({'limit': '4'}, 2))
         position = self.put('purge', ('after',))
         self.wait_until(lambda: self.status('r1').positions['w0'] == position)
         self.assertEqual(results()['positions'], [['w0', 2, 1]])
@@ -191,30 +191,32 @@
     def test_one_hundred_nodes_join_at_once(self):
         for number in range(200):
             self.put('config', ('limit', str(number)))
-        told = self.start_nodes(100, 7)()
-        self.assertEqual((told['positions'], told['snapshots']), ([['w0', 1, 200]], 100))
-        self.assertLess(told['bytes_in'] / told['seconds'] / 100, 21_000)
+        report = self.start_nodes(100, 7)()
+        self.assertEqual((report['positions'], report['snapshots']), ([['w0', 1, 200]], 100))
+        self.assertLess(report['bytes_in'] / report['seconds'] / 100, 21_000)
 
     def test_change_commands(self):
-        def told(*words):
+        def run_change(*words):
             done = CliRunner().invoke(main, ['change', words[0], '--file', self.path, *words[1:]])
             return done.exit_code, done.output
 
-        self.assertEqual(told('put', 'config', 'limit=5', 'banner=hi'), (0, 'epoch 1, sequence 1\n'))
-        self.assertEqual(told('put', 'config', 'limit=x'), (1, 'lilacdyke: refused: limit: no number: x\n'))
-        self.assertEqual(told('put', 'config', 'limit')[0], 2)
-        self.assertEqual(told('put', 'purge', 'k=v')[0], 2)
-        self.assertEqual(told('list'), (0, 'banner=hi\nlimit=5\n'))
-        self.assertEqual(told('take-back', '1'), (0, 'epoch 1, sequence 2\n'))
-        self.assertEqual(told('list'), (0, ''))
-        self.assertEqual(told('put', '--name', 'r0', 'purge', 'k')[0], 1)
-        self.assertEqual(told('put', '--name', 'r9', 'purge', 'k')[0], 2)
+        self.assertEqual(run_change('put', 'config', 'limit=5', 'banner=hi'), (0, 'epoch 1, sequence 1\n'))
+        self.assertEqual(
+            run_change('put', 'config', 'limit=x'), (1, 'lilacdyke: refused: limit: no number: x\n')
+        )
+        self.assertEqual(run_change('put', 'config', 'limit')[0], 2)
+        self.assertEqual(run_change('put', 'purge', 'k=v')[0], 2)
+        self.assertEqual(run_change('list'), (0, 'banner=hi\nlimit=5\n'))
+        self.assertEqual(run_change('take-back', '1'), (0, 'epoch 1, sequence 2\n'))
+        self.assertEqual(run_change('list'), (0, ''))
+        self.assertEqual(run_change('put', '--name', 'r0', 'purge', 'k')[0], 1)
+        self.assertEqual(run_change('put', '--name', 'r9', 'purge', 'k')[0], 2)
         self.wait_until(lambda: self.complete(self.status('w0').positions['w0']))
-        code, text = told('status', '--name', 'w0')
+        code, text = run_change('status', '--name', 'w0')
         self.assertEqual(code, 0)
         self.assertRegex(text, r'w0: w0 at 1\.2, 0 ms old, complete below to 1\.2, 2 below, behind: nobody')
         self.kill('r1')
-        self.assertEqual(told('status', '--name', 'r1')[0], 1)
+        self.assertEqual(run_change('status', '--name', 'r1')[0], 1)
 
     def test_malformed_bytes_close_only_their_link(self):
         host, _, port = self.settings.named('r0').address.rpartition(':')
@@ -244,9 +246,9 @@
                 file.write(FILE % (ports[0], folder, relay.getsockname()[1], ports[1]))
             page = os.path.join(folder, 'page.json')
             with open(page, 'w', encoding='utf-8') as file:
-                told = json.loads(self.page(self.agent))
-                told.update(installation='here', listen='127.0.0.1:%d' % free_ports(1)[0])
-                json.dump(told, file)
+                settings_page = json.loads(self.page(self.agent))
+                settings_page.update(installation='here', listen='127.0.0.1:%d' % free_ports(1)[0])
+                json.dump(settings_page, file)
             command = (sys.executable, '-m', 'lilacdyke', 'serve', '--config', page, '--changes', path)
             running = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
             try:
