--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -92,33 +92,35 @@
 
 def measure_round(forwarders, limits, seed, metric):
     """Return a function that runs a round and returns this metric per forwarder."""
-    made = PlannerRound(forwarders, limits, seed)
+    planner_round = PlannerRound(forwarders, limits, seed)
 
     def value():
-        made.run()
-        return metric(made) / forwarders
+        planner_round.run()
+        return metric(planner_round) / forwarders
 
     return value
 
 
 def planner_digest(forwarders, seed):
     """Microseconds of processor time at a planner for one digest and its plan, by forwarders."""
-    return measure_round(forwarders, LIMITS, seed, lambda made: made.planner_s * 1e6)
+    return measure_round(forwarders, LIMITS, seed, lambda planner_round: planner_round.planner_s * 1e6)
 
 
 def planner_digest_by_limits(limits, seed):
     """Microseconds of processor time at a planner for one digest and its plan, by limits."""
-    return measure_round(FORWARDERS, limits, seed, lambda made: made.planner_s * 1e6)
+    return measure_round(FORWARDERS, limits, seed, lambda planner_round: planner_round.planner_s * 1e6)
 
 
 def forwarder_digest(limits, seed):
     """Microseconds of processor time at a forwarder for one digest and its plan, by limits."""
-    return measure_round(FORWARDERS, limits, seed, lambda made: made.forwarders_s * 1e6)
+    return measure_round(FORWARDERS, limits, seed, lambda planner_round: planner_round.forwarders_s * 1e6)
 
 
 def link_bytes(limits, seed):
     """Bytes of one digest and its plan, by limits."""
-    return measure_round(FORWARDERS, limits, seed, lambda made: made.digest_bytes + made.plan_bytes)
+    return measure_round(
+        FORWARDERS, limits, seed, lambda planner_round: planner_round.digest_bytes + planner_round.plan_bytes
+    )
 
 
 def voter_message(tasks, seed):
