--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -31,16 +31,16 @@
 
 
 def log(count=0, tail=8):
-    made = ChangeLog(tail)
-    made.begin_epoch(1)
+    changes_log = ChangeLog(tail)
+    changes_log.begin_epoch(1)
     for sequence in range(1, count + 1):
-        made.append(change(sequence, value=str(sequence), at=sequence))
-    return made
+        changes_log.append(change(sequence, value=str(sequence), at=sequence))
+    return changes_log
 
 
 class Logs(unittest.TestCase):
     def test_span_is_applied_once_and_without_gaps(self):
-        made = log(2)
+        changes_log = log(2)
         spans = [
             (Span(1, 3, [change(4)]), []),
             (Span(1, 1, [change(2), change(3)]), [3]),
@@ -49,50 +49,55 @@
             (Span(1, 3, [change(4), change(6)]), [4]),
         ]
         for span, applied in spans:
-            self.assertEqual([each.sequence for each in made.apply_span(span)], applied)
-        self.assertEqual(made.position, Position(1, 4))
+            self.assertEqual([each.sequence for each in changes_log.apply_span(span)], applied)
+        self.assertEqual(changes_log.position, Position(1, 4))
 
     def test_span_after_position_is_none_beyond_the_tail(self):
-        made = log(10, tail=4)
-        self.assertIsNone(made.span_after(Position(1, 5)))
-        self.assertEqual([each.sequence for each in made.span_after(Position(1, 6)).changes], [7, 8, 9, 10])
-        self.assertEqual([each.sequence for each in made.span_after(Position(1, 6), 2).changes], [7, 8])
-        self.assertIsNone(made.span_after(Position(0, 6)))
-        self.assertIsNone(made.span_after(Position(1, 11)))
+        changes_log = log(10, tail=4)
+        self.assertIsNone(changes_log.span_after(Position(1, 5)))
+        self.assertEqual(
+            [each.sequence for each in changes_log.span_after(Position(1, 6)).changes], [7, 8, 9, 10]
+        )
+        self.assertEqual(
+            [each.sequence for each in changes_log.span_after(Position(1, 6), 2).changes], [7, 8]
+        )
+        self.assertIsNone(changes_log.span_after(Position(0, 6)))
+        self.assertIsNone(changes_log.span_after(Position(1, 11)))
 
     def test_span_size_is_limited_to_one_message(self):
-        made = log()
+        changes_log = log()
         for sequence in range(1, 9):
-            made.append(change(sequence, value='x' * 60_000))
-        self.assertEqual(len(made.span_after(Position(1, 0)).changes), 4)
+            changes_log.append(change(sequence, value='x' * 60_000))
+        self.assertEqual(len(changes_log.span_after(Position(1, 0)).changes), 4)
 
     def test_snapshot_is_applied_only_if_ahead(self):
-        made = log(5)
-        self.assertFalse(made.apply_snapshot(Snapshot(Position(1, 5), {}, 9)))
-        self.assertFalse(made.apply_snapshot(Snapshot(Position(0, 99), {}, 9)))
-        self.assertTrue(made.apply_snapshot(Snapshot(Position(2, 1), {'limit': '7'}, 9)))
+        changes_log = log(5)
+        self.assertFalse(changes_log.apply_snapshot(Snapshot(Position(1, 5), {}, 9)))
+        self.assertFalse(changes_log.apply_snapshot(Snapshot(Position(0, 99), {}, 9)))
+        self.assertTrue(changes_log.apply_snapshot(Snapshot(Position(2, 1), {'limit': '7'}, 9)))
         self.assertEqual(
-            (made.configuration, made.purged_before, made.snapshot().purged_before), ({'limit': '7'}, 9, 9)
+            (changes_log.configuration, changes_log.purged_before, changes_log.snapshot().purged_before),
+            ({'limit': '7'}, 9, 9),
         )
-        self.assertEqual(made.span_after(Position(2, 1)).changes, [])
+        self.assertEqual(changes_log.span_after(Position(2, 1)).changes, [])
 
     def test_snapshot_history_fills_the_tail_unless_it_has_gaps(self):
-        made, fresh = log(6, tail=4), ChangeLog(8)
-        self.assertTrue(fresh.apply_snapshot(made.snapshot(with_history=True)))
+        changes_log, fresh = log(6, tail=4), ChangeLog(8)
+        self.assertTrue(fresh.apply_snapshot(changes_log.snapshot(with_history=True)))
         self.assertEqual([each.sequence for each in fresh.span_after(Position(1, 2)).changes], [3, 4, 5, 6])
         self.assertIsNone(fresh.span_after(Position(1, 1)))
         other = ChangeLog(8)
         spoilt = Span(1, 3, [change(4), change(6)])
         other.apply_snapshot(Snapshot(Position(1, 6), {}, 0, spoilt))
         self.assertIsNone(other.span_after(Position(1, 3)))
-        self.assertIsNone(made.snapshot().history)
+        self.assertIsNone(changes_log.snapshot().history)
 
     def test_change_of_unknown_kind_is_passed_on_and_counted(self):
-        made = log(1)
-        made.apply_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
-        self.assertEqual((made.position.sequence, made.skipped), (3, 1))
+        changes_log = log(1)
+        changes_log.apply_span(Span(1, 1, [change(2, 'of-later'), change(3)]))
+        self.assertEqual((changes_log.position.sequence, changes_log.skipped), (3, 1))
         self.assertEqual(
-            [each.kind for each in made.span_after(Position(1, 1)).changes], ['of-later', 'config']
+            [each.kind for each in changes_log.span_after(Position(1, 1)).changes], ['of-later', 'config']
         )
 
 
@@ -173,18 +178,18 @@
         self.path = os.path.join(self.folder.name, store.NAME)
 
     def kept(self, *lines):
-        made = store.Store(self.folder.name)
+        opened = store.Store(self.folder.name)
         for line in lines:
-            made.keep(line)
-        made.close()
+            opened.keep(line)
+        opened.close()
 
     def test_stored_lines_are_read_and_truncated_last_line_is_dropped(self):
         self.kept(Begun(1), Put(change(1)))
         with open(self.path, 'ab') as file:
             file.write(b'{"type":"put","chan')
-        made = store.Store(self.folder.name)
-        made.close()
-        self.assertEqual(made.lines, [Begun(1), Put(change(1))])
+        opened = store.Store(self.folder.name)
+        opened.close()
+        self.assertEqual(opened.lines, [Begun(1), Put(change(1))])
         self.kept(Put(change(2)))
         self.assertEqual(len(store.read(self.folder.name)), 3)
 
@@ -264,8 +269,8 @@
             return settings.read(file.name)
 
     def test_valid_file_is_read(self):
-        made = self.read(self.TEXT)
-        self.assertEqual(([each.name for each in made.relays], made.keys), (['r0'], {'limit': 'number'}))
+        loaded = self.read(self.TEXT)
+        self.assertEqual(([each.name for each in loaded.relays], loaded.keys), (['r0'], {'limit': 'number'}))
 
     def test_invalid_file_is_reported_in_one_line_with_the_key(self):
         cases = {
@@ -286,8 +291,8 @@
             self.assertNotIn('\n', str(caught.exception))
 
     def test_file_must_be_enabled_for_this_installation(self):
-        made = self.read(self.TEXT)
-        self.assertIs(settings.enabled(made, 'here'), made)
+        loaded = self.read(self.TEXT)
+        self.assertIs(settings.enabled(loaded, 'here'), loaded)
         for text, name in (
             (self.TEXT, 'there'),
             (self.TEXT, None),
