--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -95,37 +95,47 @@
         self.assertEqual(router.total_out, 0)
 
     def test_forwarders_borrow_in_planner_rounds(self):
-        made = control.PlannerRound(4, 2, 1)
+        planner_round = control.PlannerRound(4, 2, 1)
         for _ in range(3):
-            made.run()
-        lent = [forwarder.purse.borrowed(made.now, 'limit-0') for forwarder in made.forwarders]
+            planner_round.run()
+        lent = [
+            forwarder.purse.borrowed(planner_round.now, 'limit-0') for forwarder in planner_round.forwarders
+        ]
         self.assertGreater(max(lent), 0)
-        self.assertGreater(min(made.digest_bytes, made.plan_bytes, made.planner_s, made.forwarders_s), 0)
+        self.assertGreater(
+            min(
+                planner_round.digest_bytes,
+                planner_round.plan_bytes,
+                planner_round.planner_s,
+                planner_round.forwarders_s,
+            ),
+            0,
+        )
 
     def test_voter_accepts_each_renewal(self):
-        heard = []
+        answers = []
         usual = control.Voter.told
 
-        def recording_told(self, now, message):
+        def record_answer(self, now, message):
             answer = usual(self, now, message)
-            heard.append(answer[0]['yes'])
+            answers.append(answer[0]['yes'])
             return answer
 
-        control.Voter.told = recording_told
+        control.Voter.told = record_answer
         try:
             control.voter_message(3, 1)()
         finally:
             control.Voter.told = usual
-        self.assertEqual(set(heard), {True})
-        self.assertGreater(len(heard), control.RENEWALS_PER_VALUE)
+        self.assertEqual(set(answers), {True})
+        self.assertGreater(len(answers), control.RENEWALS_PER_VALUE)
 
 
 class Page(unittest.TestCase):
     def test_only_text_between_markers_is_replaced(self):
-        made = page.fill(TEXT, all_rows())
-        self.assertNotIn('PLACEHOLDER', made)
-        self.assertTrue(made.startswith('# x\n') and made.endswith('# y\n'))
-        self.assertEqual(page.fill(made, all_rows()), made)
+        filled = page.fill(TEXT, all_rows())
+        self.assertNotIn('PLACEHOLDER', filled)
+        self.assertTrue(filled.startswith('# x\n') and filled.endswith('# y\n'))
+        self.assertEqual(page.fill(filled, all_rows()), filled)
 
     def test_only_claims_over_budget_are_red(self):
         cheap, dear = (page.roles_table(all_rows(slope)) for slope in (1e-9, 1e9))
@@ -142,9 +152,11 @@
                 page.fill(text, all_rows())
 
     def test_runs_are_shown_in_columns(self):
-        made = [rows.Row('purge-everywhere-most', 9, 'ms', [5.0], 'one', 0, 'here')]
-        made.append(rows.Row('purge-everywhere-most' + page.KILLED_SUFFIX, 9, 'ms', [7.0], 'two', 0, 'here'))
-        self.assertIn('| purge everywhere most | ms | 5 | 7 |', page.runs_table(made))
+        run_rows = [rows.Row('purge-everywhere-most', 9, 'ms', [5.0], 'one', 0, 'here')]
+        run_rows.append(
+            rows.Row('purge-everywhere-most' + page.KILLED_SUFFIX, 9, 'ms', [7.0], 'two', 0, 'here')
+        )
+        self.assertIn('| purge everywhere most | ms | 5 | 7 |', page.runs_table(run_rows))
         self.assertEqual(page.runs_table(all_rows()), 'None is recorded.')
 
     def test_bounds_match_the_code(self):
