--- a/lilacdyke/changes/cli.py
+++ b/lilacdyke/changes/cli.py
@@ -1,6 +1,7 @@
-"""The command `lilacdyke change`: run a writer or a relay, put, take back, list, status.
+"""The command `lilacdyke change`: run a writer or relay, put and take back changes, list, status.
 
-Owns staff's words and exit codes: 0 done, 1 refused or not reached, 2 wrong words or a bad file.
+Exit codes: 0 on success, 1 if the request was refused or the process is unreachable, 2 on a usage error or a
+bad changes file.
 """
 
 import socket
@@ -10,10 +11,10 @@
 
 from ..decode import address
 from ..values import BadLine
-from . import settings as files
+from . import settings as settings_file
 from .messages import (
     LENGTH,
-    MOST_BYTES,
+    MAX_FRAME_BYTES,
     BadFrameError,
     Item,
     PutAnswer,
@@ -25,24 +26,24 @@
     unpack,
 )
 
-PATIENCE_S = 3.0  # for an answer
+ANSWER_TIMEOUT_S = 3.0
 KINDS = ('config', 'purge')
 
 file_option = click.option('--file', 'path', type=click.Path(), required=True, help='The changes file.')
 
 
-def settings_of(path):
-    """The file's settings; what is wrong with it ends the command with one line."""
+def load_settings(path):
+    """Return the settings in this file, or exit with code 2 if it is invalid."""
     try:
-        settings = files.read(path)
-        return files.enabled(settings, settings.installation)
+        settings = settings_file.read(path)
+        return settings_file.enabled(settings, settings.installation)
     except BadLine as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
 
-def process_of(settings, path, name, role=None):
-    """A process by its name; by default the first of a role."""
+def find_process(settings, path, name, role=None):
+    """Return the process with this name, or by default the first with this role."""
     try:
         if name is not None:
             return settings.named(name)
@@ -53,22 +54,24 @@
 
 
 def read_frame(connection):
-    """The body of the next frame."""
+    """Return the body of the next frame. Raise BadFrameError if the connection ends before it."""
     data = b''
-    while len(data) < LENGTH.size or len(data) < LENGTH.size + min(MOST_BYTES, LENGTH.unpack_from(data)[0]):
-        more = connection.recv(65_536)
-        if not more:
-            raise BadFrameError('the connection ended')
-        data += more
+    while len(data) < LENGTH.size or len(data) < LENGTH.size + min(
+        MAX_FRAME_BYTES, LENGTH.unpack_from(data)[0]
+    ):
+        chunk = connection.recv(65_536)
+        if not chunk:
+            raise BadFrameError('connection closed before the answer')
+        data += chunk
     (size,) = LENGTH.unpack_from(data)
     return data[LENGTH.size : LENGTH.size + size]
 
 
-def ask(process, request, kind):
-    """A process's answer to a request; what keeps it from that ends the command with one line."""
+def send_request(process, request, kind):
+    """Send a request to a process and return its answer, or exit with code 1 if there is none."""
     try:
-        with socket.create_connection(address(process.address), PATIENCE_S) as connection:
-            connection.settimeout(PATIENCE_S)
+        with socket.create_connection(address(process.address), ANSWER_TIMEOUT_S) as connection:
+            connection.settimeout(ANSWER_TIMEOUT_S)
             connection.sendall(pack(request))
             return unpack(read_frame(connection), kind)
     except (OSError, BadFrameError) as err:
@@ -76,8 +79,8 @@
         sys.exit(1)
 
 
-def said(answer):
-    """Tell where a change stands, or why it was refused."""
+def print_answer(answer):
+    """Print the position of a change, or exit with code 1 if it was refused."""
     if answer.position is None:
         click.echo('lilacdyke: refused: %s' % answer.refused, err=True)
         sys.exit(1)
@@ -86,12 +89,12 @@
 
 @click.group()
 def change():
-    """Changes of configuration, and purges, for all nodes."""
+    """Distribute configuration changes and purges to all nodes."""
 
 
 @change.command()
 @file_option
-@click.option('--name', required=True, help='Which process of the file this is.')
+@click.option('--name', required=True, help='The process of the file to run.')
 @click.option('--log-level', default='info', type=click.Choice(['info', 'warning', 'error']))
 def run(path, name, log_level):
     """Run a writer or a relay until SIGTERM."""
@@ -99,8 +102,8 @@
     from . import process
 
     logs.begin(log_level)
-    settings = settings_of(path)
-    process_of(settings, path, name)
+    settings = load_settings(path)
+    find_process(settings, path, name)
     try:
         sys.exit(process.run(settings, name))
     except BadLine as err:
@@ -114,16 +117,18 @@
 @click.argument('kind', type=click.Choice(KINDS))
 @click.argument('items', nargs=-1, required=True, metavar='KEY=VALUE... or KEY...')
 def put(path, name, kind, items):
-    """Put a change: keys with values for config, which all take effect together, keys for purge."""
-    settings = settings_of(path)
+    """Put a change: KEY=VALUE pairs for config, which take effect together, or KEYs for purge."""
+    settings = load_settings(path)
     pairs = [item.partition('=') for item in items]
     if any(bool(equals) != (kind == 'config') for _, equals, _ in pairs):
         click.echo(
-            'lilacdyke: %s: %s' % (kind, 'KEY=VALUE' if kind == 'config' else 'a KEY without value'), err=True
+            'lilacdyke: %s: %s'
+            % (kind, 'expected KEY=VALUE' if kind == 'config' else 'expected KEY without a value'),
+            err=True,
         )
         sys.exit(2)
     request = PutRequest(kind, [Item(key, value) for key, _, value in pairs])
-    said(ask(process_of(settings, path, name, 'writer'), request, PutAnswer))
+    print_answer(send_request(find_process(settings, path, name, 'writer'), request, PutAnswer))
 
 
 @change.command('take-back')
@@ -131,18 +136,20 @@
 @click.option('--name', help='The writer; the first of the file by default.')
 @click.argument('sequence', type=click.IntRange(1))
 def take_back(path, name, sequence):
-    """Put what a change of the configuration replaced, as a new change."""
-    settings = settings_of(path)
-    said(ask(process_of(settings, path, name, 'writer'), TakeBackRequest(sequence), PutAnswer))
+    """Restore the values that a configuration change replaced, as a new change."""
+    settings = load_settings(path)
+    print_answer(
+        send_request(find_process(settings, path, name, 'writer'), TakeBackRequest(sequence), PutAnswer)
+    )
 
 
 @change.command('list')
 @file_option
-@click.option('--name', help='Whom to ask; the first writer by default.')
+@click.option('--name', help='The process to ask; the first writer by default.')
 def list_(path, name):
-    """The configuration in force at a process."""
-    settings = settings_of(path)
-    status = ask(process_of(settings, path, name, 'writer'), StatusRequest(), Status)
+    """Print the configuration in force at a process."""
+    settings = load_settings(path)
+    status = send_request(find_process(settings, path, name, 'writer'), StatusRequest(), Status)
     for key, value in sorted(status.configuration.items()):
         if value:
             click.echo('%s=%s' % (key, value))
@@ -150,26 +157,26 @@
 
 @change.command()
 @file_option
-@click.option('--name', help='Whom to ask; all processes of the file by default.')
+@click.option('--name', help='The process to ask; all processes of the file by default.')
 def status(path, name):
-    """How far processes are, and who below them is behind."""
-    settings = settings_of(path)
-    asked = [process_of(settings, path, name)] if name else settings.process
-    for process in asked:
-        told = ask(process, StatusRequest(), Status)
-        for origin, position in sorted(told.positions.items()):
-            complete, age = told.complete[origin], told.ages.get(origin)
+    """Print the position of each process and which processes below it lag behind."""
+    settings = load_settings(path)
+    processes = [find_process(settings, path, name)] if name else settings.process
+    for process in processes:
+        reply = send_request(process, StatusRequest(), Status)
+        for origin, position in sorted(reply.positions.items()):
+            complete, age = reply.complete[origin], reply.ages.get(origin)
             click.echo(
                 '%s: %s at %d.%d, %s old, complete below to %d.%d, %d below, behind: %s'
                 % (
-                    told.name,
+                    reply.name,
                     origin,
                     position.epoch,
                     position.sequence,
                     'of unknown age' if age is None else '%d ms' % (age // 10),
                     complete.epoch,
                     complete.sequence,
-                    told.below,
-                    ', '.join(told.behind) or 'nobody',
+                    reply.below,
+                    ', '.join(reply.behind) or 'nobody',
                 )
             )
--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -1,7 +1,7 @@
-"""Links between replicas, and staff's connections, as Twisted protocols.
+"""Links between replicas, and operators' connections, as Twisted protocols.
 
-Owns the bytes: frames in, frames out. A link that reads nothing is not written to; bytes out of form end that
-link and nothing else. Must never decide: that is replica.py's.
+Reads and writes frames. A link whose peer does not read is not written to, and a malformed frame closes only
+its own link. Decisions are made in replica.py.
 """
 
 from twisted.internet.protocol import Factory, Protocol
@@ -20,78 +20,78 @@
     unpack,
 )
 
-BUFFERED = 65_536  # bytes with the transport from which nothing more is sent
+SEND_BUFFER_BYTES = 65_536  # of the transport; nothing is sent while it is full
 
 
 class Link(Protocol):
-    """One end of a link. host: see host.py."""
+    """One end of a link. host: a Host."""
 
     def __init__(self, host):
-        self.host, self.frames, self.ended = host, frame_reader(), False
-        self.peer = None  # the neighbour's name, once it is known
-        self.heard = host.clock()  # when something last came
+        self.host, self.frames, self.closed = host, frame_reader(), False
+        self.peer = None  # the neighbour's name, or None before its Hello
+        self.last_received = host.clock()
 
     def connectionMade(self):
         no_delay(self.transport)
-        self.transport.bufferSize = BUFFERED
+        self.transport.bufferSize = SEND_BUFFER_BYTES
         self.transport.registerProducer(self, True)
 
     def dataReceived(self, data):
-        self.heard = self.host.clock()
+        self.last_received = self.host.clock()
         self.host.counts['bytes_in'] += len(data)
         try:
             for body in self.frames.feed(data):
-                if not self.ended:
-                    self.took(unpack(body))
+                if not self.closed:
+                    self.message_received(unpack(body))
         except BadFrameError as err:
             self.host.counts['bad_frames'] += 1
             peer = self.transport.getPeer()
             warn('link ended', peer=self.peer or '%s:%d' % (peer.host, peer.port), reason=err)
-            self.end()
+            self.close()
         except Exception:
             LOG.exception('fault')
-            self.end()
+            self.close()
 
-    def took(self, message):
-        """A message has come."""
+    def message_received(self, message):
+        """Handle a message. Raise BadFrameError if it is not expected on this link."""
         if isinstance(message, Sync) and self.peer is not None:
-            self.host.told(self, message)
+            self.host.receive_sync(self, message)
         else:
-            raise BadFrameError('a message that is not expected here: %s' % type(message).__name__)
+            raise BadFrameError('unexpected message: %s' % type(message).__name__)
 
-    def say(self, message):
-        """Send a message."""
-        if not self.ended:
+    def send(self, message):
+        """Send a message, unless the link is closed."""
+        if not self.closed:
             data = pack(message)
             self.host.counts['bytes_out'] += len(data)
             self.host.counts['messages_out'] += 1
             self.transport.write(data)
 
-    def end(self):
-        """Nothing more is said or heard."""
-        if not self.ended:
-            self.ended = True
+    def close(self):
+        """Abort the connection."""
+        if not self.closed:
+            self.closed = True
             if self.transport:
                 self.transport.abortConnection()
 
     def connectionLost(self, reason=None):
-        self.ended = True
+        self.closed = True
         self.host.link_lost(self)
 
-    # --- as the transport's producer ----------------------------------------------------------------------
+    # --- producer of the transport ------------------------------------------------------------------------
 
     def pauseProducing(self):
-        self.host.blocked(self, True)
+        self.host.set_blocked(self, True)
 
     def resumeProducing(self):
-        self.host.blocked(self, False)
+        self.host.set_blocked(self, False)
 
     def stopProducing(self):
-        """The connection has ended: connectionLost tells."""
+        """Do nothing: connectionLost() follows."""
 
 
-class LinkAbove(Link, Outgoing):
-    """The end that dialled."""
+class ParentLink(Link, Outgoing):
+    """The dialling end of a link, to a parent."""
 
     def __init__(self, host, peer):
         super().__init__(host)
@@ -99,36 +99,36 @@
 
     def connectionMade(self):
         super().connectionMade()
-        self.say(Hello(self.host.name, self.host.installation))
+        self.send(Hello(self.host.name, self.host.installation))
 
 
-class LinkBelow(Link):
-    """The end that was dialled: a neighbour's, or a connection of staff's."""
+class ChildLink(Link):
+    """The accepting end of a link to a child, or of an operator's connection."""
 
     def connectionMade(self):
         super().connectionMade()
         self.host.accepted(self)
 
-    def took(self, message):
+    def message_received(self, message):
         if isinstance(message, Hello) and self.peer is None:
-            self.greeted(message)
+            self.hello_received(message)
         elif isinstance(message, (StatusRequest, PutRequest, TakeBackRequest)) and self.peer is None:
-            self.say(self.host.asked(message))
+            self.send(self.host.handle_request(message))
         else:
-            super().took(message)
+            super().message_received(message)
 
-    def greeted(self, hello):
-        """Who is below."""
+    def hello_received(self, hello):
+        """Register the child. Raise BadFrameError if it belongs to another installation."""
         if hello.installation != self.host.installation:
             raise BadFrameError(
                 'installation: %s here, %s there' % (self.host.installation, hello.installation)
             )
         self.peer = hello.name
-        self.host.linked_below(self)
+        self.host.child_linked(self)
 
 
 class Listener(Factory):
-    """The listening side of a host."""
+    """Creates a link for each connection that a host accepts."""
 
     noisy = False
 
@@ -136,4 +136,4 @@
         self.host = host
 
     def buildProtocol(self, addr):
-        return LinkBelow(self.host)
+        return ChildLink(self.host)
--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -1,6 +1,6 @@
-"""A writer's or a relay's process: its address, its signals, its file.
+"""The process of a writer or relay: its listening address, signals and file.
 
-Owns the process. Must never end for what a peer sends.
+Nothing that a peer sends ends the process.
 """
 
 import gc
@@ -21,58 +21,60 @@
 from .store import DiskError, Store
 from .writer import NotKeptError, Writer
 
-FIGURES_EVERY = 10 * SECOND
-START_TRIES, START_PAUSE_S = 20, 0.25
+STATS_INTERVAL = 10 * SECOND
+START_ATTEMPTS, START_RETRY_DELAY_S = 20, 0.25
 
 
-def patiently(call):
-    """What a call gives that writes or reads the file. Guards against a start that fails because the disk
-    does for a moment. Raises BadLine."""
-    for tries_left in reversed(range(START_TRIES)):
+def retry_disk(call):
+    """Return the result of a call that reads or writes the file, retrying transient disk errors at a start.
+
+    Raise BadLine if it keeps failing.
+    """
+    for attempts_left in reversed(range(START_ATTEMPTS)):
         try:
             return call()
         except (DiskError, NotKeptError) as err:
-            if not tries_left:
+            if not attempts_left:
                 raise
             warn('disk failed at the start', reason=err)
-            time.sleep(START_PAUSE_S)
+            time.sleep(START_RETRY_DELAY_S)
 
 
-def writer_of(settings, process, replica):
-    """The writer of a process of the file. Raises BadLine."""
-    store = patiently(lambda: Store(process.folder))
+def make_writer(settings, process, replica):
+    """Return the writer of this process. Raise BadLine if its file cannot be read or written."""
+    store = retry_disk(lambda: Store(process.folder))
     writer = Writer(
-        replica, settings.keys, lambda line: patiently(lambda: store.keep(line)), store.lines
-    )  # it writes down its epoch
+        replica, settings.keys, lambda line: retry_disk(lambda: store.keep(line)), store.lines
+    )  # stores its epoch
     writer.keep = store.keep
     return writer
 
 
-def host_of(settings, process, reactor, system=System):
-    """The host of one process of the file. Raises BadLine where a writer's file cannot be read."""
-    writes = process.role == 'writer'
-    replica = Replica(process.name, process.name if writes else None)
-    above = [(name, address(settings.named(name).address)) for name in process.above]
-    chance = Random(os.urandom(8)).random
-    # A relay's neighbours below that are relays too are not held to a node's rate.
+def make_host(settings, process, reactor, system=System):
+    """Return the host of this process. Raise BadLine if a writer's file cannot be read or written."""
+    is_writer = process.role == 'writer'
+    replica = Replica(process.name, process.name if is_writer else None)
+    parents = [(name, address(settings.named(name).address)) for name in process.above]
+    random = Random(os.urandom(8)).random
+    # The rate limit of nodes does not apply to children that are relays.
     relays = frozenset(each.name for each in settings.process)
     host = Host(
         reactor,
         system.elapsed,
-        chance,
+        random,
         replica,
         settings.installation,
-        above,
+        parents,
         node_rate=lambda name: None if name in relays else settings.node_rate,
     )
-    if writes:
-        host.writer = writer_of(settings, process, replica)
-        host.put_at = lambda: int(System.wall() * 1_000)
+    if is_writer:
+        host.writer = make_writer(settings, process, replica)
+        host.wall_ms = lambda: int(System.wall() * 1_000)
     return host
 
 
-def figures(host, system=System):
-    """A line of counts, again and again."""
+def log_counts(host, system=System):
+    """Log the counts periodically."""
     replica = host.replica
     status = host.status()
     say(
@@ -85,11 +87,11 @@
         **replica.counts,
         **host.counts,
     )
-    host.deadlines.at(host.clock() + FIGURES_EVERY, lambda _: figures(host, system), 0)
+    host.deadlines.at(host.clock() + STATS_INTERVAL, lambda _: log_counts(host, system), 0)
 
 
 def run(settings, name):
-    """Run one process of the file until SIGTERM; the exit code. Raises BadLine."""
+    """Run the process with this name until SIGTERM and return its exit code. Raise BadLine if it fails."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
@@ -97,7 +99,7 @@
     reactor = Reactor()
     installReactor(reactor)
     process = settings.named(name)
-    host = host_of(settings, process, reactor)
+    host = make_host(settings, process, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
     try:
@@ -105,8 +107,8 @@
     except CannotListenError as err:
         warn('cannot listen', reason=err)
         return 1
-    host.begin()
-    figures(host)
+    host.start()
+    log_counts(host)
     say('serves', name=name, role=process.role, address=process.address)
     gc.collect()
     gc.freeze()
--- a/lilacdyke/scale/budgets.py
+++ b/lilacdyke/scale/budgets.py
@@ -1,7 +1,7 @@
-"""What the measured lines come to at the size of two years from now, against what each role may cost.
+"""Projected cost of each role at the reference size, expected in two years, against its budget.
 
-Owns the named size, the budgets, and each claim: a role, a formula over measured lines, its budget. Must
-never hold a measured figure: those come from the recorded rows.
+Holds the reference size, the budgets and the claims (a role, a formula over fitted lines, a budget). Measured
+figures come from the recorded rows only.
 """
 
 from typing import NamedTuple
@@ -9,93 +9,99 @@
 from ..plan.forwarder import SAYS
 from ..plan.limits import FORWARDERS_PER_SEAT
 
-# The named size.
+# The reference size.
 NODES, SITES, SERVERS, REGIONS, ZONES = 10_000, 550, 4_600, 20, 54
-REQUESTS, PURGES = 6_900_000, 55  # a second, at the peak
-CONFIGURATIONS, RESTARTS, FAILURES = 5_300, 3_100, 29  # a day
+REQUEST_RATE, PURGE_RATE = 6_900_000, 55  # per second, at the peak
+CONFIGURATIONS_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 5_300, 3_100, 29
 CONTROL_MACHINES = 40
-PURGE_WITHIN_S, CONFIGURATION_WITHIN_S = 3.9, 15.0
-# What a node may spend for control.
-NODE_CORE, NODE_MB, NODE_BYTES = 0.03, 64, 21_000  # part of a core; MB; bytes a second
-CORE = 1.0  # of a planner's one thread, and of a node's for requests
-DAY = 86_400
-LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; planners: the most it takes
-ENTRY_CHANGES = 3  # of the list for one restart: it drains, it is gone or starts, it serves
-PURGE_BYTES = 64  # worked out: a key, a time, a number and their framing
-REQUESTS_PER_NODE = REQUESTS / NODES
+PURGE_DEADLINE_S, CONFIGURATION_DEADLINE_S = 3.9, 15.0
+# A node's budget for control traffic: fraction of a core, MB, bytes per second.
+NODE_CONTROL_CORE, NODE_CONTROL_MB, NODE_CONTROL_BYTES = 0.03, 64, 21_000
+FULL_CORE = 1.0  # budget of a planner's thread, and of a node's for requests
+SECONDS_PER_DAY = 86_400
+LIMITS, LEASE_S, PLANNERS, TASKS = 8, 2.0, 9, 100  # of a fleet file at that size; PLANNERS is its maximum
+LIST_CHANGES_PER_RESTART = 3  # draining, gone or starting, serving
+PURGE_BYTES = 64  # calculated: a key, a time, a number and their framing
+REQUESTS_PER_NODE = REQUEST_RATE / NODES
 ZONE_SERVERS, REGION_SERVERS = SERVERS / ZONES, SERVERS / REGIONS
 
 
 class Claim(NamedTuple):
-    """One figure of the page."""
+    """One projected figure of the page."""
 
     role: str
-    what: str
+    subject: str
     formula: str
-    value: object  # of a dictionary of lines by measurement
+    compute: object  # function of the fitted lines by measurement
     budget: float
     unit: str
-    scale: float  # the value and budget are shown times this
-    lines: tuple  # the measurements that it rests on
-    sizes: tuple  # the size that each is taken at
-    carried_by: str
-    proved_by: str
+    display_factor: float  # factor of the displayed value and budget
+    measures: tuple  # names of the measurements used
+    sizes: tuple  # the size at which each is evaluated
+    implemented_by: str
+    verified_by: str
 
 
-def reads(servers):
-    """Processor time of decisions, as a part of a core, at a node that lists so many servers."""
+def decisions_core(servers):
+    """Return the cost of decisions at a node that lists this many servers, as a fraction of a core."""
     return lambda lines: REQUESTS_PER_NODE * lines['decision'].at(servers) / 1e6
 
 
-def digests_a_second(forwarders):
-    """Digests that a planner hears."""
+def digests_per_second(forwarders):
+    """Return the digests per second that a planner receives."""
     return forwarders * SAYS / LEASE_S
 
 
-def whole_list_s(servers):
-    """Seconds of a node's bytes that a whole list takes."""
-    return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_BYTES
+def list_transfer_s(servers):
+    """Return the seconds that a whole list takes at a node's control bandwidth."""
+    return lambda lines: lines['list-bytes'].at(servers) * 1_024 / NODE_CONTROL_BYTES
 
 
 def list_megabytes(servers):
-    """MB that a list holds in the module."""
+    """Return the memory of a list in MB."""
     return lambda lines: lines['list-memory'].at(servers) / 1_024
 
 
-def entry_changes_core(lines):
-    """A part of a core for changed entries of the list."""
-    return RESTARTS * ENTRY_CHANGES / DAY * lines['changed-entry'].at(SERVERS) / 1e3
+def changed_entries_core(lines):
+    """Return the cost of changed list entries, as a fraction of a core."""
+    return (
+        RESTARTS_PER_DAY
+        * LIST_CHANGES_PER_RESTART
+        / SECONDS_PER_DAY
+        * lines['changed-entry'].at(SERVERS)
+        / 1e3
+    )
 
 
-def bunched_restarts_core(lines):
-    """The same while a tenth of a day's restarts come within a minute."""
-    return RESTARTS / 10 * ENTRY_CHANGES / 60 * lines['changed-entry'].at(SERVERS) / 1e3
+def burst_changed_entries_core(lines):
+    """Return the same while a tenth of a day's restarts occur within a minute."""
+    return RESTARTS_PER_DAY / 10 * LIST_CHANGES_PER_RESTART / 60 * lines['changed-entry'].at(SERVERS) / 1e3
 
 
 def planner_core(forwarders):
-    """A part of a core for digests at one planner."""
+    """Return the cost of digests at one planner, as a fraction of a core."""
 
-    def value(lines):
+    def compute(lines):
         by_limits = lines['planner-digest-by-limits']
-        # The measurement by forwarders has two limits; what eight cost more is in proportion.
+        # The measurement by forwarders uses two limits: scale it to LIMITS.
         factor = by_limits.at(LIMITS) / by_limits.at(2)
-        return digests_a_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
+        return digests_per_second(forwarders) * lines['planner-digest'].at(forwarders) * factor / 1e6
 
-    return value
+    return compute
 
 
-def links_core(lines):
-    """A part of a node's core for its links to all planners."""
+def planner_links_core(lines):
+    """Return the cost of a node's links to all planners, as a fraction of a core."""
     return PLANNERS * SAYS / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
 
 
-def links_bytes(lines):
-    """Bytes a second of a node's links to all planners, both ways."""
+def planner_links_bytes(lines):
+    """Return the bytes per second on a node's links to all planners, in both directions."""
     return PLANNERS * SAYS / LEASE_S * lines['link-bytes'].at(LIMITS)
 
 
 def voter_core(lines):
-    """A part of a core for renewals: each task renewed three times in a lease of 5 s."""
+    """Return the cost of renewals at three per task in a lease of 5 s, as a fraction of a core."""
     return TASKS * 3 / 5 * lines['voter-message'].at(TASKS) / 1e6
 
 
@@ -104,8 +110,8 @@
         'node, ordinary second',
         'decisions, all servers listed',
         'requests a node x decision(%d servers)' % SERVERS,
-        reads(SERVERS),
-        CORE,
+        decisions_core(SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -117,8 +123,8 @@
         'node, ordinary second',
         'decisions, its region listed',
         'requests a node x decision(%.0f servers)' % REGION_SERVERS,
-        reads(REGION_SERVERS),
-        CORE,
+        decisions_core(REGION_SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -130,8 +136,8 @@
         'node, ordinary second',
         'decisions, its zone listed',
         'requests a node x decision(%.0f servers)' % ZONE_SERVERS,
-        reads(ZONE_SERVERS),
-        CORE,
+        decisions_core(ZONE_SERVERS),
+        FULL_CORE,
         '% of a core',
         100,
         ('decision',),
@@ -143,8 +149,8 @@
         'node, start',
         'bytes of a whole list, all servers',
         'list-bytes(%d) / bytes of control a second' % SERVERS,
-        whole_list_s(SERVERS),
-        CONFIGURATION_WITHIN_S,
+        list_transfer_s(SERVERS),
+        CONFIGURATION_DEADLINE_S,
         's',
         1,
         ('list-bytes',),
@@ -156,8 +162,8 @@
         'node, start',
         'bytes of a whole list, its region',
         'list-bytes(%.0f) / bytes of control a second' % REGION_SERVERS,
-        whole_list_s(REGION_SERVERS),
-        CONFIGURATION_WITHIN_S,
+        list_transfer_s(REGION_SERVERS),
+        CONFIGURATION_DEADLINE_S,
         's',
         1,
         ('list-bytes',),
@@ -170,7 +176,7 @@
         'memory of the list, all servers',
         'list-memory(%d)' % SERVERS,
         list_megabytes(SERVERS),
-        NODE_MB,
+        NODE_CONTROL_MB,
         'MB',
         1,
         ('list-memory',),
@@ -181,9 +187,9 @@
     Claim(
         'node, 3,100 restarts spread over a day',
         'changed entries, all servers listed',
-        'restarts x %d a day x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
-        entry_changes_core,
-        NODE_CORE,
+        'restarts x %d a day x changed-entry(%d)' % (LIST_CHANGES_PER_RESTART, SERVERS),
+        changed_entries_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('changed-entry',),
@@ -194,9 +200,9 @@
     Claim(
         'node, a tenth of them within a minute',
         'changed entries, all servers listed',
-        'restarts / 10 x %d / 60 s x changed-entry(%d)' % (ENTRY_CHANGES, SERVERS),
-        bunched_restarts_core,
-        NODE_CORE,
+        'restarts / 10 x %d / 60 s x changed-entry(%d)' % (LIST_CHANGES_PER_RESTART, SERVERS),
+        burst_changed_entries_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('changed-entry',),
@@ -208,8 +214,8 @@
         'node, peak',
         'bytes of purges alone',
         'purges a second x %d B (worked out; see the scale runs)' % PURGE_BYTES,
-        lambda lines: PURGES * PURGE_BYTES,
-        NODE_BYTES,
+        lambda lines: PURGE_RATE * PURGE_BYTES,
+        NODE_CONTROL_BYTES,
         'B/s',
         1,
         (),
@@ -221,8 +227,8 @@
         'node',
         'links to %d planners, processor time' % PLANNERS,
         'planners x %d / lease x forwarder-digest(%d limits)' % (SAYS, LIMITS),
-        links_core,
-        NODE_CORE,
+        planner_links_core,
+        NODE_CONTROL_CORE,
         '% of a core',
         100,
         ('forwarder-digest',),
@@ -234,8 +240,8 @@
         'node',
         'links to %d planners, bytes' % PLANNERS,
         'planners x %d / lease x link-bytes(%d limits)' % (SAYS, LIMITS),
-        links_bytes,
-        NODE_BYTES,
+        planner_links_bytes,
+        NODE_CONTROL_BYTES,
         'B/s',
         1,
         ('link-bytes',),
@@ -248,7 +254,7 @@
         'digests of all nodes',
         'nodes x %d / lease x planner-digest(%d forwarders) x %d limits over 2' % (SAYS, NODES, LIMITS),
         planner_core(NODES),
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('planner-digest', 'planner-digest-by-limits'),
@@ -262,7 +268,7 @@
         'nodes / regions x %d / lease x planner-digest(%d forwarders) x %d limits over 2'
         % (SAYS, NODES // REGIONS, LIMITS),
         planner_core(NODES // REGIONS),
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('planner-digest', 'planner-digest-by-limits'),
@@ -275,7 +281,7 @@
         'renewals of %d tasks' % TASKS,
         'tasks x 3 / 5 s x voter-message(%d)' % TASKS,
         voter_core,
-        CORE,
+        FULL_CORE,
         '% of a core',
         100,
         ('voter-message',),
@@ -287,16 +293,16 @@
 
 
 class Bound(NamedTuple):
-    """A bound that stands in the code, against what the named size wants."""
+    """A limit in the code, against what the reference size requires."""
 
-    what: str
-    bound: float
-    wanted: float
-    where: str
+    subject: str
+    limit: float
+    required: float
+    location: str
 
 
 def bounds():
-    """The bounds of the code, read off it."""
+    """Return the limits, read from the code."""
     from typing import get_args, get_type_hints
 
     from ..plan.limits import Fleet
--- a/lilacdyke/scale/datapath.py
+++ b/lilacdyke/scale/datapath.py
@@ -1,7 +1,7 @@
-"""What a node's decisions and its list cost, by the number of servers in the list.
+"""Cost of a node's decisions and server list, by the number of servers in the list.
 
-Owns the bare router that is measured: the program's own module, with nothing around it. A measurement
-prepares its state, then gives one value a call. Must never measure what it prepares.
+Measures the router alone, without I/O. Each measurement prepares its state outside the measured time, and
+returns a function that measures one value per call.
 """
 
 import json
@@ -14,15 +14,15 @@
 from ..terms import IDEMPOTENT, Profile, SiteTerms
 from ..values import SECOND
 
-GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the one profile
-READS = 400  # decisions that one value is the mean of
-ENTRIES = 20  # changed entries that one value is the mean of
+GOAL, LIMIT = SECOND // 2, 2 * SECOND  # of the only profile
+READS_PER_VALUE = 400  # one value is their mean
+ENTRIES_PER_VALUE = 20  # one value is their mean
 KEYS = 5_000
-ANSWERED_AFTER = 100  # ticks until a cache answers
+ANSWER_TICKS = 100  # latency of a cache
 
 
 def site_terms(nodes):
-    """The terms of an installation without an origin of its own kind, and with reads alone."""
+    """Return the terms of an installation without an origin, which serves reads only."""
     return SiteTerms(
         profiles=[Profile('read', IDEMPOTENT, 'all', 0, GOAL, 0, LIMIT)],
         tenants=[],
@@ -46,19 +46,19 @@
 
 
 def list_rows(servers):
-    """A list's rows as the module takes them."""
+    """Return the rows of a server list, as the router takes them."""
     return [(Server('s-%08x' % number, False), 'ready', 1.0, None, 0, 0) for number in range(servers)]
 
 
 def bare_router(servers, seed):
-    """A router that has been told a list."""
+    """Return a router that has received a list."""
     router = Router(site_terms(10_000), seed, 0)
     router.list_replaced(SECOND, list_rows(servers))
     return router
 
 
-def entry(number):
-    """One server as discovery words it."""
+def list_entry(number):
+    """Return one server, as in a list from discovery."""
     return {
         'instanceId': 's-%08x' % number,
         'hostPort': '10.%d.%d.%d:8000' % (number >> 16 & 255, number >> 8 & 255, number & 255),
@@ -71,14 +71,14 @@
     }
 
 
-def one_read(router, now, key):
-    """A read from its start to its answer; the time then."""
+def run_read(router, now, key):
+    """Run a read from its start to its answer, and return the time of the answer."""
     transaction = router.take(now, 0, key, now + LIMIT, False, now)
     while (decision := router.decide(now)) is not None:
         if decision[0] == 'send':
             hop = decision[1]
-    now += ANSWERED_AFTER
-    router.hop_ended(now, hop, 'committed', ANSWERED_AFTER, True, 1)
+    now += ANSWER_TICKS
+    router.hop_ended(now, hop, 'committed', ANSWER_TICKS, True, 1)
     while router.decide(now) is not None:
         pass
     assert transaction.done
@@ -87,29 +87,29 @@
 
 def decision(servers, seed):
     """Microseconds of processor time for a read, from its start to its answer."""
-    router, chance, now = bare_router(servers, seed), Random(seed), 2 * SECOND
+    router, rng, now = bare_router(servers, seed), Random(seed), 2 * SECOND
 
     def value():
         nonlocal now
-        begun = time.process_time()
-        for _ in range(READS):
-            now = one_read(router, now, 'k%d' % chance.randrange(KEYS))
-        return (time.process_time() - begun) / READS * 1e6
+        started = time.process_time()
+        for _ in range(READS_PER_VALUE):
+            now = run_read(router, now, 'k%d' % rng.randrange(KEYS))
+        return (time.process_time() - started) / READS_PER_VALUE * 1e6
 
-    value()  # what is known of servers begins with the first reads
+    value()  # warm-up: the first reads initialise the state of servers
     return value
 
 
 def whole_list(servers, seed):
-    """Milliseconds of processor time for a whole list: read off its JSON and taken by the router."""
-    text = json.dumps({'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]})
+    """Milliseconds of processor time to parse a whole list and apply it to the router."""
+    text = json.dumps({'generation': 5, 'reset': True, 'instances': [list_entry(n) for n in range(servers)]})
 
     def value():
         router = Router(site_terms(10_000), seed, 0)
-        begun = time.process_time()
+        started = time.process_time()
         read_list(json.loads(text))
         router.list_replaced(SECOND, list_rows(servers))
-        return (time.process_time() - begun) * 1e3
+        return (time.process_time() - started) * 1e3
 
     return value
 
@@ -117,22 +117,22 @@
 def changed_entry(servers, seed):
     """Milliseconds of processor time for one changed entry of the list."""
     router = bare_router(servers, seed)
-    known, chance = list(router.known.values()), Random(seed)
+    known, rng = list(router.known.values()), Random(seed)
 
     def value():
-        begun = time.process_time()
-        for number in range(ENTRIES):
-            server = chance.choice(known)
+        started = time.process_time()
+        for number in range(ENTRIES_PER_VALUE):
+            server = rng.choice(known)
             router.list_changed(
                 2 * SECOND, [(server, 'draining' if number % 2 else 'ready', 1.0, None, 0, 0)]
             )
-        return (time.process_time() - begun) / ENTRIES * 1e3
+        return (time.process_time() - started) / ENTRIES_PER_VALUE * 1e3
 
     return value
 
 
 def list_memory(servers, seed):
-    """KB that a list of servers holds in the module."""
+    """KB of memory that a list of servers takes in the router."""
 
     def value():
         tracemalloc.start()
@@ -149,5 +149,5 @@
 
 def list_bytes(servers, seed):
     """KB of a whole list on the wire, as compact JSON."""
-    whole = {'generation': 5, 'reset': True, 'instances': [entry(n) for n in range(servers)]}
+    whole = {'generation': 5, 'reset': True, 'instances': [list_entry(n) for n in range(servers)]}
     return lambda: len(json.dumps(whole, separators=(',', ':'))) / 1_024
--- a/lilacdyke/scale/hollow.py
+++ b/lilacdyke/scale/hollow.py
@@ -1,9 +1,7 @@
-"""A process of hollow nodes: each is a node's own part in the distribution of changes, without clients,
-servers or a list.
+"""A process of hollow nodes: each is only a node's part in the distribution of changes.
 
-Owns the nodes and what they saw. What a hollow node leaves out: requests, connections to servers, the watch
-on discovery, planners' links; it holds a node's replica, its link with all its frames, its record and its log
-lines of both.
+A hollow node has a node's replica, its link to a relay, its record and its log lines. It has no requests,
+connections to servers, watch on discovery or links to planners.
 
 python -m lilacdyke.scale.hollow --file changes.toml --count 250 --first 0 --seconds 30 --out seen.json
 """
@@ -14,25 +12,25 @@
 
 import click
 
-from ..changes import settings as files
+from ..changes import settings as settings_file
 from ..changes.node import NodeChanges, Record
 from ..net import logs
 from ..net.sockets import Reactor
 from ..net.system import System
 
 
-class Seen(Record):
-    """A record that also notes how late each change came (milliseconds after its writer's time)."""
+class LatencyRecord(Record):
+    """A record that also keeps the latency of each change, in milliseconds since its writer's time."""
 
     def __init__(self, latest, counted):
         super().__init__()
         self.latest, self.counted = latest, counted
 
-    def take(self, origin, change):
-        super().take(origin, change)
-        late = int(System.wall() * 1_000) - change.at
+    def apply(self, origin, change):
+        super().apply(origin, change)
+        latency = int(System.wall() * 1_000) - change.at
         key = '%s/%s/%d' % (change.kind, origin, change.sequence)
-        self.latest[key] = max(self.latest.get(key, 0), late)
+        self.latest[key] = max(self.latest.get(key, 0), latency)
         self.counted[key] = self.counted.get(key, 0) + 1
 
 
@@ -43,30 +41,30 @@
 @click.option('--seconds', type=click.FloatRange(1, 600), required=True)
 @click.option('--out', required=True)
 def main(path, count, first, seconds, out):
-    """Run so many hollow nodes for so long, then write what they saw."""
+    """Run hollow nodes for some time, then write their results."""
     from twisted.internet.main import installReactor
 
     logs.begin('error')
     reactor = Reactor()
     installReactor(reactor)
-    settings = files.read(path)
+    settings = settings_file.read(path)
     latest, counted, nodes = {}, {}, []
     for number in range(first, first + count):
-        record = Seen(latest, counted)
-        chance = Random(number).random
-        node = NodeChanges(reactor, System.elapsed, chance, 'n%d' % number, number, settings, record)
+        record = LatencyRecord(latest, counted)
+        random = Random(number).random
+        node = NodeChanges(reactor, System.elapsed, random, 'n%d' % number, number, settings, record)
         nodes.append(node)
-        # They start within a second, as a front would let them.
-        reactor.callLater(chance(), node.begin)
-    begun = time.monotonic()
+        # Spread the starts over a second.
+        reactor.callLater(random(), node.begin)
+    started = time.monotonic()
     reactor.callLater(seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
-    took = time.monotonic() - begun
+    elapsed = time.monotonic() - started
     with open(out, 'w', encoding='utf-8') as file:
         json.dump(
             {
                 'nodes': count,
-                'seconds': took,
+                'seconds': elapsed,
                 'processor_s': time.process_time(),
                 'bytes_in': sum(node.host.counts['bytes_in'] for node in nodes),
                 'bytes_out': sum(node.host.counts['bytes_out'] for node in nodes),
@@ -82,7 +80,7 @@
 
 
 def positions(node):
-    """Where a node's logs are."""
+    """Return the position of each log of a node."""
     return [(origin, log.position.epoch, log.position.sequence) for origin, log in node.replica.logs.items()]
 
 
--- a/tests/changes/test_processes.py
+++ b/tests/changes/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: a writer, relays and nodes' parts; killed, stopped and started anew."""
+"""Writer, relay and node processes on loopback, which are killed, stopped and restarted."""
 
 import contextlib
 import json
@@ -29,7 +29,7 @@
 
 from ..crossings import Crossing
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 FILE = """
 enabled = true
 installation = "here"
@@ -56,7 +56,7 @@
 
 
 class Processes(unittest.TestCase):
-    """A writer and two relays. Each test ends what it started by its id."""
+    """A writer and two relays."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -78,17 +78,17 @@
             process.wait()
 
     def start(self, name):
-        """Start a process of the file and wait until it answers."""
+        """Start a process of the changes file and wait until it answers."""
         command = (sys.executable, '-m', 'lilacdyke', 'change', 'run', '--file', self.path, '--name', name)
         self.running[name] = subprocess.Popen(command, stderr=subprocess.DEVNULL)
-        self.until(lambda: self.status(name) is not None)
+        self.wait_until(lambda: self.status(name) is not None)
 
     def kill(self, name):
         self.running[name].kill()
         self.running[name].wait()
 
     def ask(self, name, request, kind):
-        """An answer, or None if nobody gives one."""
+        """Return the answer of a process, or None if it cannot be reached."""
         host, _, port = self.settings.named(name).address.rpartition(':')
         try:
             with socket.create_connection((host, int(port)), 1.0) as connection:
@@ -106,136 +106,138 @@
         self.assertIsNotNone(answer.position, answer.refused)
         return answer.position
 
-    def until(self, true):
-        """Wait until something is so."""
-        end = time.monotonic() + PATIENCE_S
-        while not true():
+    def wait_until(self, condition):
+        """Wait until the condition holds."""
+        end = time.monotonic() + TIMEOUT_S
+        while not condition():
             self.assertLess(time.monotonic(), end)
             time.sleep(0.05)
 
     def complete(self, position):
-        """Whether the writer says that all below it have that."""
-        told = self.status('w0')
-        return told is not None and told.complete['w0'] >= position and not told.behind
+        """Return whether the writer reports this position as complete."""
+        status = self.status('w0')
+        return status is not None and status.complete['w0'] >= position and not status.behind
 
-    def nodes(self, count, seconds):
-        """So many nodes' own parts, as one process; what they saw, once they have ended."""
+    def start_nodes(self, count, seconds):
+        """Start hollow nodes in one process. Return a function that waits for their results."""
         out = os.path.join(self.folder, 'seen-%d.json' % len(self.running))
         command = (sys.executable, '-m', 'lilacdyke.scale.hollow', '--file', self.path, '--out', out)
         sizes = ('--count', str(count), '--seconds', str(seconds))
         process = self.running[out] = subprocess.Popen(command + sizes, stderr=subprocess.DEVNULL)
 
-        def seen():
-            process.wait(seconds + PATIENCE_S)
+        def results():
+            process.wait(seconds + TIMEOUT_S)
             with open(out, encoding='utf-8') as file:
                 return json.load(file)
 
-        return seen
+        return results
 
-    def below(self, count):
-        """Whether so many nodes and both relays are below the writer."""
-        told = self.status('w0')
-        return told is not None and told.below == count + 2
+    def joined(self, count):
+        """Return whether the writer reports this many nodes and both relays as descendants."""
+        status = self.status('w0')
+        return status is not None and status.below == count + 2
 
-    def test_changes_reach_all_nodes_and_are_known_to(self):
-        seen = self.nodes(20, 9)
-        self.until(lambda: self.below(20))
+    def test_changes_reach_all_nodes_and_become_complete(self):
+        results = self.start_nodes(20, 9)
+        self.wait_until(lambda: self.joined(20))
         self.put('config', ('limit', '5'), ('banner', 'hi'))
         position = self.put('purge', ('k1',))
-        self.until(lambda: self.complete(position))
-        told = seen()
-        self.assertEqual((told['positions'], set(told['counted'].values())), ([['w0', 1, 2]], {20}))
-        self.assertLess(max(told['latest'].values()), 3_900)
-        self.assertLess(max(told['ages_ms']), 5_000)
-
-    def test_a_relay_is_killed_and_comes_back_with_an_empty_memory(self):
-        seen = self.nodes(20, 14)
-        self.until(lambda: self.below(20))
+        self.wait_until(lambda: self.complete(position))
+        report = results()
+        self.assertEqual((report['positions'], set(report['counted'].values())), ([['w0', 1, 2]], {20}))
+        self.assertLess(max(report['latest'].values()), 3_900)
+        self.assertLess(max(report['ages_ms']), 5_000)
+
+    def test_changes_reach_all_nodes_across_a_relay_restart(self):
+        results = self.start_nodes(20, 14)
+        self.wait_until(lambda: self.joined(20))
         first = self.put('config', ('limit', '1'))
-        self.until(lambda: self.complete(first))
+        self.wait_until(lambda: self.complete(first))
         self.kill('r0')
         position = self.put('purge', ('while-away',))
         self.start('r0')
-        self.until(lambda: self.status('r0').positions.get('w0') == position)
+        self.wait_until(lambda: self.status('r0').positions.get('w0') == position)
         position = self.put('config', ('limit', '2'))
-        told = seen()
-        self.assertEqual(told['positions'], [['w0', position.epoch, position.sequence]])
-        # Nobody missed the one that came while the relay was away: its nodes asked the other.
-        self.assertEqual(told['counted']['purge/w0/2'], 20)
-        self.assertLess(max(told['latest'].values()), 6_000)
-
-    def test_a_relay_is_stopped_and_the_writer_says_who_is_behind(self):
-        seen = self.nodes(10, 16)
-        self.until(lambda: self.below(10))
+        report = results()
+        self.assertEqual(report['positions'], [['w0', position.epoch, position.sequence]])
+        # The nodes of the killed relay received this purge through the other relay.
+        self.assertEqual(report['counted']['purge/w0/2'], 20)
+        self.assertLess(max(report['latest'].values()), 6_000)
+
+    def test_stopped_relay_is_reported_as_behind(self):
+        results = self.start_nodes(10, 16)
+        self.wait_until(lambda: self.joined(10))
         self.running['r0'].send_signal(signal.SIGSTOP)
         position = self.put('config', ('limit', '1'))
-        self.until(lambda: 'r0' in self.status('w0').behind)
+        self.wait_until(lambda: 'r0' in self.status('w0').behind)
         self.assertLess(self.status('w0').complete['w0'], position)
         self.running['r0'].send_signal(signal.SIGCONT)
-        self.until(lambda: self.status('r0').positions['w0'] == position)
-        self.assertEqual(seen()['positions'], [['w0', position.epoch, position.sequence]])
+        self.wait_until(lambda: self.status('r0').positions['w0'] == position)
+        self.assertEqual(results()['positions'], [['w0', position.epoch, position.sequence]])
 
-    def test_the_writer_is_killed_and_what_it_said_yes_to_stays(self):
-        seen = self.nodes(10, 14)
-        self.until(lambda: self.below(10))
+    def test_accepted_changes_survive_a_writer_restart(self):
+        results = self.start_nodes(10, 14)
+        self.wait_until(lambda: self.joined(10))
         for number in range(5):
             self.put('config', ('limit', str(number)))
         self.kill('w0')
         self.start('w0')
-        told = self.status('w0')
-        self.assertEqual((told.configuration, told.positions['w0'].epoch), ({'limit': '4'}, 2))
+        status = self.status('w0')
+        self.assertEqual((status.configuration, status.positions['w0'].epoch), ({'limit': '4'}, 2))
         position = self.put('purge', ('after',))
-        self.until(lambda: self.status('r1').positions['w0'] == position)
-        self.assertEqual(seen()['positions'], [['w0', 2, 1]])
+        self.wait_until(lambda: self.status('r1').positions['w0'] == position)
+        self.assertEqual(results()['positions'], [['w0', 2, 1]])
 
-    def test_a_hundred_nodes_come_at_once(self):
+    def test_one_hundred_nodes_join_at_once(self):
         for number in range(200):
             self.put('config', ('limit', str(number)))
-        told = self.nodes(100, 7)()
-        self.assertEqual((told['positions'], told['snapshots']), ([['w0', 1, 200]], 100))
-        self.assertLess(told['bytes_in'] / told['seconds'] / 100, 21_000)
+        report = self.start_nodes(100, 7)()
+        self.assertEqual((report['positions'], report['snapshots']), ([['w0', 1, 200]], 100))
+        self.assertLess(report['bytes_in'] / report['seconds'] / 100, 21_000)
 
-    def test_staff_put_take_back_list_and_ask(self):
-        def told(*words):
+    def test_change_commands(self):
+        def run_change(*words):
             done = CliRunner().invoke(main, ['change', words[0], '--file', self.path, *words[1:]])
             return done.exit_code, done.output
 
-        self.assertEqual(told('put', 'config', 'limit=5', 'banner=hi'), (0, 'epoch 1, sequence 1\n'))
-        self.assertEqual(told('put', 'config', 'limit=x'), (1, 'lilacdyke: refused: limit: no number: x\n'))
-        self.assertEqual(told('put', 'config', 'limit')[0], 2)
-        self.assertEqual(told('put', 'purge', 'k=v')[0], 2)
-        self.assertEqual(told('list'), (0, 'banner=hi\nlimit=5\n'))
-        self.assertEqual(told('take-back', '1'), (0, 'epoch 1, sequence 2\n'))
-        self.assertEqual(told('list'), (0, ''))
-        self.assertEqual(told('put', '--name', 'r0', 'purge', 'k')[0], 1)
-        self.assertEqual(told('put', '--name', 'r9', 'purge', 'k')[0], 2)
-        self.until(lambda: self.complete(self.status('w0').positions['w0']))
-        code, text = told('status', '--name', 'w0')
+        self.assertEqual(run_change('put', 'config', 'limit=5', 'banner=hi'), (0, 'epoch 1, sequence 1\n'))
+        self.assertEqual(
+            run_change('put', 'config', 'limit=x'), (1, 'lilacdyke: refused: limit: no number: x\n')
+        )
+        self.assertEqual(run_change('put', 'config', 'limit')[0], 2)
+        self.assertEqual(run_change('put', 'purge', 'k=v')[0], 2)
+        self.assertEqual(run_change('list'), (0, 'banner=hi\nlimit=5\n'))
+        self.assertEqual(run_change('take-back', '1'), (0, 'epoch 1, sequence 2\n'))
+        self.assertEqual(run_change('list'), (0, ''))
+        self.assertEqual(run_change('put', '--name', 'r0', 'purge', 'k')[0], 1)
+        self.assertEqual(run_change('put', '--name', 'r9', 'purge', 'k')[0], 2)
+        self.wait_until(lambda: self.complete(self.status('w0').positions['w0']))
+        code, text = run_change('status', '--name', 'w0')
         self.assertEqual(code, 0)
         self.assertRegex(text, r'w0: w0 at 1\.2, 0 ms old, complete below to 1\.2, 2 below, behind: nobody')
         self.kill('r1')
-        self.assertEqual(told('status', '--name', 'r1')[0], 1)
+        self.assertEqual(run_change('status', '--name', 'r1')[0], 1)
 
-    def test_bytes_out_of_form_end_their_link_and_nothing_else(self):
+    def test_malformed_bytes_close_only_their_link(self):
         host, _, port = self.settings.named('r0').address.rpartition(':')
-        strange = [socket.create_connection((host, int(port)), 1.0) for _ in range(3)]
-        strange[0].sendall(b'\xff' * 64)
-        strange[1].sendall(LENGTH.pack(5) + b'noise')
-        strange[2].sendall(pack(StatusRequest())[:6])  # and no more
-        for each in strange[:2]:
-            each.settimeout(5)
+        connections = [socket.create_connection((host, int(port)), 1.0) for _ in range(3)]
+        connections[0].sendall(b'\xff' * 64)
+        connections[1].sendall(LENGTH.pack(5) + b'noise')
+        connections[2].sendall(pack(StatusRequest())[:6])  # an incomplete frame
+        for connection in connections[:2]:
+            connection.settimeout(5)
             with contextlib.suppress(ConnectionResetError):
-                self.assertEqual(each.recv(1), b'')
+                self.assertEqual(connection.recv(1), b'')
         self.assertIsNotNone(self.status('r0'))
-        for each in strange:
-            each.close()
+        for connection in connections:
+            connection.close()
 
 
 class Node(Crossing):
-    """A node of the program with a changes file, whose relay is the test."""
+    """A node with a changes file. The test acts as its relay."""
 
-    def test_it_says_hello_serves_all_the_same_and_says_that_it_is_stale(self):
-        # Without --changes in this class's start: the file is given to a second process of the program.
+    def test_node_sends_hello_and_logs_stale_changes(self):
+        # The class's own process has no --changes, so this starts a second one.
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, 'changes.toml')
             relay = socket.create_server(('127.0.0.1', 0))
@@ -244,15 +246,15 @@
                 file.write(FILE % (ports[0], folder, relay.getsockname()[1], ports[1]))
             page = os.path.join(folder, 'page.json')
             with open(page, 'w', encoding='utf-8') as file:
-                told = json.loads(self.page(self.agent))
-                told.update(installation='here', listen='127.0.0.1:%d' % free_ports(1)[0])
-                json.dump(told, file)
+                settings_page = json.loads(self.page(self.agent))
+                settings_page.update(installation='here', listen='127.0.0.1:%d' % free_ports(1)[0])
+                json.dump(settings_page, file)
             command = (sys.executable, '-m', 'lilacdyke', 'serve', '--config', page, '--changes', path)
             running = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
             try:
-                relay.settimeout(PATIENCE_S)
+                relay.settimeout(TIMEOUT_S)
                 link = relay.accept()[0]
-                link.settimeout(PATIENCE_S)
+                link.settimeout(TIMEOUT_S)
                 hello = unpack(cli.read_frame(link))
                 self.assertEqual((hello.name, hello.installation), ('n0', 'here'))
                 lines = iter(running.stderr.readline, '')
@@ -264,7 +266,7 @@
                 link.close()
                 relay.close()
 
-    def test_a_file_of_another_installation_is_refused(self):
+    def test_changes_file_of_another_installation_is_refused(self):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
             file.write(FILE % (1, '/tmp', 2, 3))
             file.flush()
