--- a/lilacdyke/lab/cli.py
+++ b/lilacdyke/lab/cli.py
@@ -10,10 +10,10 @@
 
 import click
 
-from .scenario import BadScenario, load, named
+from .scenario import BadScenario, load, shipped_names
 
 
-def scenario(name):
+def load_scenario(name):
     """The scenario by this name or path; what is wrong with it ends the program with one line."""
     try:
         return load(name)
@@ -59,7 +59,7 @@
         self.bar.update(self.task, completed=done, **({'description': what} if what else {}))
 
 
-def table(title, columns, rows):
+def print_table(title, columns, rows):
     """Print a table."""
     from rich.console import Console
     from rich.table import Table
@@ -72,30 +72,33 @@
     Console(width=None if sys.stdout.isatty() else 140).print(made)
 
 
-def show(outcome):
+def print_outcome(outcome):
     """Print what came of one run."""
-    told = outcome.figures
-    table(
+    figures = outcome.figures
+    print_table(
         '%s, seed %s' % (outcome.name, outcome.seed),
         ('figure', 'value'),
         [
-            ('G', '%.3f' % told['G']),
-            ('revenue in goal', '%.3f' % told['whole']),
-            ('worst 10 s', '%.3f' % told['worst_10s']),
-            ('worst profile', '%.3f' % told['worst_profile']),
-            ('transactions', told['transactions']),
-            ('tries', told['tries']),
-            ('hops', told['hops']),
-            *[(name, count) for name, count in told['outcomes'].items()],
-            ('p50, p95, p99 ms', '%.0f, %.0f, %.0f' % (told['p50_ms'], told['p95_ms'], told['p99_ms'])),
-            ('extra work', '%.3f' % told['extra_work']),
-            ('connections', told['connections']),
+            ('G', '%.3f' % figures['G']),
+            ('revenue in goal', '%.3f' % figures['whole']),
+            ('worst 10 s', '%.3f' % figures['worst_10s']),
+            ('worst profile', '%.3f' % figures['worst_profile']),
+            ('transactions', figures['transactions']),
+            ('tries', figures['tries']),
+            ('hops', figures['hops']),
+            *[(name, count) for name, count in figures['outcomes'].items()],
+            (
+                'p50, p95, p99 ms',
+                '%.0f, %.0f, %.0f' % (figures['p50_ms'], figures['p95_ms'], figures['p99_ms']),
+            ),
+            ('extra work', '%.3f' % figures['extra_work']),
+            ('connections', figures['connections']),
         ],
     )
-    breaches(outcome.broken)
+    print_violations(outcome.broken)
 
 
-def breaches(broken, most=10):
+def print_violations(broken, most=10):
     """Print what was broken."""
     for rule, when, text in broken[:most]:
         click.echo('broken: %s at %.3f s: %s' % (rule, when / 1e6, text))
@@ -111,7 +114,7 @@
 @lab.command()
 def scenarios():
     """List the scenarios that ship with the lab."""
-    table(None, ('name', 'about'), [(name, load(name).about) for name in named()])
+    print_table(None, ('name', 'about'), [(name, load(name).about) for name in shipped_names()])
 
 
 @lab.command()
@@ -127,7 +130,7 @@
     """Play one scenario, judge it, print its figures."""
     from . import runs, witness
 
-    given = scenario(name)
+    given = load_scenario(name)
     patch = None
     if baseline:
         from .baselines import BASELINES
@@ -154,7 +157,7 @@
     if as_json:
         click.echo(json.dumps(outcome.plain()))
     else:
-        show(outcome)
+        print_outcome(outcome)
         click.echo(
             '%d transactions in %.1f s, %d a second; record %s; %d rules broken'
             % (
@@ -212,7 +215,7 @@
     for seed, broken in tally.broken:
         rule = broken[0][0]
         click.echo('seed %d:' % seed)
-        breaches(broken, 3)
+        print_violations(broken, 3)
         if tries and whole and rule not in kept:
             kept.add(rule)
             try:
@@ -257,7 +260,7 @@
     begun = time.perf_counter()
     with Progress(len(picked), 'hunting') as bar:
         caught = hunt.hunt(picked, seeds, runs.cores(jobs), bar.at)
-    table(
+    print_table(
         None,
         ('mutant', 'rule', 'seed', 'runs', 'seconds', 'seen'),
         [
@@ -296,14 +299,14 @@
     from . import compare as comparing
     from . import runs
 
-    given = [scenario(name) for name in names]
+    given = [load_scenario(name) for name in names]
     try:
         with Progress(2 * seeds * len(given), 'comparing') as bar:
             rows, about, whole = comparing.compare(given, against, seeds, runs.cores(jobs), bar.at)
     except comparing.CannotCompare as err:
         click.echo('lilacdyke: %s' % err, err=True)
         sys.exit(2)
-    table(
+    print_table(
         'this tree against %s' % about,
         ('scenario', 'pairs', 'here', 'there', 'difference', '95 % interval', 'broken'),
         [
@@ -336,7 +339,7 @@
     from . import runs
     from . import sweep as sweeping
 
-    given = scenario(name)
+    given = load_scenario(name)
     try:
         points = sweeping.points(given, field, values)
     except BadScenario as err:
@@ -344,7 +347,7 @@
         sys.exit(2)
     with Progress(len(points) * seeds, 'sweeping') as bar:
         rows, whole = sweeping.sweep(points, seeds, runs.cores(jobs), bar.at)
-    table(
+    print_table(
         '%s, %s varied' % (name, field),
         (field, 'G', 'worst', 'p99 ms', 'hops a tx', 'extra work', 'a second', 'broken'),
         [
@@ -434,4 +437,4 @@
     """Real nodes on loopback, with discovery, caches, an origin and a little load, until Ctrl-C."""
     from . import loopback
 
-    sys.exit(loopback.up(scenario(name), seconds, rate))
+    sys.exit(loopback.up(load_scenario(name), seconds, rate))
--- a/lilacdyke/lab/draw.py
+++ b/lilacdyke/lab/draw.py
@@ -13,10 +13,10 @@
     Bound,
     Caches,
     Clients,
+    Discovery,
     Event,
     Kind,
     Limits,
-    Listing,
     Load,
     Net,
     Origin,
@@ -94,43 +94,43 @@
 STEPS_S = (-3_600.0, -20.0, -3.0, -0.5, 3.0, 20.0, 3_600.0)
 
 
-def profiles(shape, chance):
+def profiles(shape, rng):
     """The profiles of a shape."""
-    work = chance.uniform(12, 30)
-    goal = chance.uniform(0.4, 0.9)
+    work = rng.uniform(12, 30)
+    goal = rng.uniform(0.4, 0.9)
     read = Profile(
         name='read',
         effect='free',
         goal_s=goal,
-        limit_s=chance.uniform(1.5, 3.0),
+        limit_s=rng.uniform(1.5, 3.0),
         work_ms=work,
-        cv=chance.uniform(0.2, 0.8),
+        cv=rng.uniform(0.2, 0.8),
         share=0.9,
         revenue=1.0,
-        late_revenue=chance.choice([0.0, 0.25]),
+        late_revenue=rng.choice([0.0, 0.25]),
     )
     note = Profile(
         name='note',
         effect='guarded',
         write=True,
-        group='all' if shape != 'through' else chance.choice(['all', 'zone', 'cell']),
-        window_s=chance.uniform(0.4, 2.5),
+        group='all' if shape != 'through' else rng.choice(['all', 'zone', 'cell']),
+        window_s=rng.uniform(0.4, 2.5),
         goal_s=goal,
-        limit_s=chance.uniform(1.0, 3.0),
+        limit_s=rng.uniform(1.0, 3.0),
         work_ms=work * 1.5,
         cv=0.5,
         share=0.08,
         revenue=4.0,
     )
     found = [read, note]
-    if shape == 'shared' or chance.random() < 0.3:
+    if shape == 'shared' or rng.random() < 0.3:
         found.append(
             Profile(
                 name='commit',
                 effect='single_shot',
                 write=True,
                 goal_s=goal,
-                limit_s=chance.uniform(1.0, 2.0),
+                limit_s=rng.uniform(1.0, 2.0),
                 work_ms=work,
                 cv=0.5,
                 share=0.05,
@@ -142,120 +142,120 @@
 
 def scenario(seed, kinds=None, most=4):
     """The scenario of a seed. kinds: what its timeline is drawn from; most: troubles in it."""
-    chance = Random('draw/%d' % seed)
-    shape = chance.choice(SHAPES)
-    rows = profiles(shape, chance)
-    count, cores = chance.randint(3, 8), chance.choice([1, 2, 4])
+    rng = Random('draw/%d' % seed)
+    shape = rng.choice(SHAPES)
+    rows = profiles(shape, rng)
+    count, cores = rng.randint(3, 8), rng.choice([1, 2, 4])
     fleet = [
         Kind(
             name='std',
             count=count,
             cores=cores,
-            speed=chance.uniform(0.7, 1.4),
-            queue=chance.randint(8, 40) * cores,
-            error_rate=chance.choice([0.0, 0.003]),
-            connections=chance.choice([4000, 600, 100]),
+            speed=rng.uniform(0.7, 1.4),
+            queue=rng.randint(8, 40) * cores,
+            error_rate=rng.choice([0.0, 0.003]),
+            connections=rng.choice([4000, 600, 100]),
         )
     ]
-    if chance.random() < 0.4:
+    if rng.random() < 0.4:
         fleet.append(
             Kind(
                 name='low',
-                count=chance.randint(1, 3),
+                count=rng.randint(1, 3),
                 cores=cores,
-                speed=chance.uniform(0.5, 0.8),
-                queue=chance.randint(8, 40) * cores,
+                speed=rng.uniform(0.5, 0.8),
+                queue=rng.randint(8, 40) * cores,
             )
         )
     capacity = sum(kind.count * kind.cores * kind.speed for kind in fleet)
     total = sum(profile.share for profile in rows)
     mean = sum(profile.share * profile.work_ms for profile in rows) / total / 1_000
-    rate = min(140.0, chance.uniform(0.25, 0.75) * capacity / mean)
-    length = chance.uniform(5, 8)
-    hits = chance.uniform(0.86, 0.95)
-    back = rate * mean * ((1 - hits) * 1.5 + 0.15)
+    rate = min(140.0, rng.uniform(0.25, 0.75) * capacity / mean)
+    length = rng.uniform(5, 8)
+    hit_rate = rng.uniform(0.86, 0.95)
+    origin_load = rate * mean * ((1 - hit_rate) * 1.5 + 0.15)
     made = Scenario(
         name='drawn-%d' % seed,
         about='drawn from seed %d, shape %s' % (seed, shape),
         seed=seed,
         length_s=round(length, 2),
-        nodes=chance.randint(2, 4),
-        zones=chance.randint(1, 3),
+        nodes=rng.randint(2, 4),
+        zones=rng.randint(1, 3),
         kinds=fleet,
         profiles=rows,
         caches=Caches(
             mode='through' if shape == 'through' else 'aside',
-            work_goes_on=chance.random() < 0.3,
-            warm_share=hits,
-            idle_s=chance.choice([2.0, 15.0]),
-            handshake_ms=chance.uniform(0.3, 8),
-            pause_every_s=chance.choice([0.0, 0.0, 3.0]),
-            pause_ms=chance.uniform(100, 300),
+            work_goes_on=rng.random() < 0.3,
+            warm_share=hit_rate,
+            idle_s=rng.choice([2.0, 15.0]),
+            handshake_ms=rng.uniform(0.3, 8),
+            pause_every_s=rng.choice([0.0, 0.0, 3.0]),
+            pause_ms=rng.uniform(100, 300),
             reports=shape == 'through',
-            ahead=chance.choice([0.0, 0.05]),
+            ahead=rng.choice([0.0, 0.05]),
         ),
-        origin=Origin(cores=max(2, round(back * chance.uniform(2.0, 3.1))), queue=chance.randint(20, 300)),
+        origin=Origin(cores=max(2, round(origin_load * rng.uniform(2.0, 3.1))), queue=rng.randint(20, 300)),
         net=Net(
-            same_ms=chance.uniform(0.1, 0.5),
-            cross_ms=chance.uniform(0.4, 3),
-            client_ms=chance.uniform(0.5, 1.2),
-            jitter=chance.uniform(0.05, 0.4),
+            same_ms=rng.uniform(0.1, 0.5),
+            cross_ms=rng.uniform(0.4, 3),
+            client_ms=rng.uniform(0.5, 1.2),
+            jitter=rng.uniform(0.05, 0.4),
         ),
         tenants=[Tenant(name='big', share=0.5, asks=3.0), Tenant(name='small', share=0.5)]
         if shape == 'shared'
         else [],
         load=Load(
             rate=round(rate, 1),
-            keys=chance.choice([200, 2000]),
-            zipf=chance.uniform(0.8, 1.2),
-            value_bytes=chance.choice([50, 500, 5000]),
+            keys=rng.choice([200, 2000]),
+            zipf=rng.uniform(0.8, 1.2),
+            value_bytes=rng.choice([50, 500, 5000]),
         ),
         clients=Clients(
-            retries=chance.randint(0, 3),
-            wait_ms=chance.choice([0.0, 60.0, 200.0]),
-            try_share=chance.uniform(0.4, 0.8),
-            leave=chance.choice([0.0, 0.02]),
-            fresh=chance.choice([0.0, 0.05, 0.3]),
-            slow_read=chance.choice([0.0, 0.01]),
-            rude=chance.choice([0.0, 0.0, 2.0]),
+            retries=rng.randint(0, 3),
+            wait_ms=rng.choice([0.0, 60.0, 200.0]),
+            try_share=rng.uniform(0.4, 0.8),
+            leave=rng.choice([0.0, 0.02]),
+            fresh=rng.choice([0.0, 0.05, 0.3]),
+            slow_read=rng.choice([0.0, 0.01]),
+            rude=rng.choice([0.0, 0.0, 2.0]),
         ),
-        discovery=Listing(
-            mode='pushed' if shape == 'aside' else chance.choice(['pushed', 'on_request']),
-            lag_s=[0.1, chance.uniform(0.2, 2.5)],
+        discovery=Discovery(
+            mode='pushed' if shape == 'aside' else rng.choice(['pushed', 'on_request']),
+            lag_s=[0.1, rng.uniform(0.2, 2.5)],
         ),
         rules=Rules(
-            drain_grace_ms=chance.choice([250.0, 400.0, 1500.0]),
-            fall_multiple=chance.choice([3.0, 4.0]),
-            fall_s=chance.choice([1.0, 1.5, 2.0]),
-            cold_from=chance.uniform(0.13, 0.3),
-            warm_s=chance.uniform(5, 20),
-            may_cancel=chance.random() < 0.9,
-            may_copy=chance.random() < 0.9,
-            retry_after_s=chance.choice([0.0, 1.0]),
+            drain_grace_ms=rng.choice([250.0, 400.0, 1500.0]),
+            fall_multiple=rng.choice([3.0, 4.0]),
+            fall_s=rng.choice([1.0, 1.5, 2.0]),
+            cold_from=rng.uniform(0.13, 0.3),
+            warm_s=rng.uniform(5, 20),
+            may_cancel=rng.random() < 0.9,
+            may_copy=rng.random() < 0.9,
+            retry_after_s=rng.choice([0.0, 1.0]),
         ),
-        prices=Prices(connection=chance.choice([0.0, 0.02]) if shape == 'shared' else 0.0),
-        limits=Limits(sockets=chance.choice([1024, 256])),
-        events=timeline(chance, length, kinds or KINDS, most),
+        prices=Prices(connection=rng.choice([0.0, 0.02]) if shape == 'shared' else 0.0),
+        limits=Limits(sockets=rng.choice([1024, 256])),
+        events=timeline(rng, length, kinds or KINDS, most),
     )
-    return check(with_failing_machines(with_large_bodies(made, seed), seed))
+    return check(with_machine_faults(with_large_bodies(made, seed), seed))
 
 
-def with_failing_machines(made, seed):
+def with_machine_faults(made, seed):
     """In one fleet of three the machines of some nodes fail: wall clocks are stepped, calls fail for a
     moment. Drawn apart, so that the rest of a seed's scenario stays what it was."""
-    chance = Random('machines/%d' % seed)
-    if chance.random() >= 1 / 3:
+    rng = Random('machines/%d' % seed)
+    if rng.random() >= 1 / 3:
         return made
     found = []
-    for _ in range(chance.randint(1, 3)):
-        kind = chance.choice(('step', 'calls'))
-        size = chance.choice(STEPS_S) if kind == 'step' else chance.randint(1, len(OWN_FAILURES))
+    for _ in range(rng.randint(1, 3)):
+        kind = rng.choice(('step', 'calls'))
+        size = rng.choice(STEPS_S) if kind == 'step' else rng.randint(1, len(OWN_FAILURES))
         found.append(
             Event(
-                at_s=round(chance.uniform(0, made.length_s * 0.7), 3),
+                at_s=round(rng.uniform(0, made.length_s * 0.7), 3),
                 kind=kind,
-                count=chance.choice([1, 1, 2, 3]),
-                for_s=round(chance.uniform(0.02, 0.4), 3),
+                count=rng.choice([1, 1, 2, 3]),
+                for_s=round(rng.uniform(0.02, 0.4), 3),
                 size=size,
             )
         )
@@ -265,19 +265,19 @@
 def with_large_bodies(made, seed):
     """In one fleet of four some values, or all writes, are large; answers of all sizes come in all the forms
     of HTTP/1.1. Drawn apart, so that the rest of a seed's scenario stays what it was."""
-    chance = Random('bodies/%d' % seed)
-    if chance.random() >= 0.25:
+    rng = Random('bodies/%d' % seed)
+    if rng.random() >= 0.25:
         return made
     caches = replace(
         made.caches,
-        untold=chance.choice([0.2, 0.5, 1.0]),
-        give_ms=chance.choice([0.0, 200.0, 900.0, 2_400.0]),
+        untold=rng.choice([0.2, 0.5, 1.0]),
+        give_ms=rng.choice([0.0, 200.0, 900.0, 2_400.0]),
     )
     load = replace(
         made.load,
-        large_share=chance.choice([0.0, 0.05, 0.2]),
-        large_bytes=chance.choice([70_000, 150_000, 300_000]),
-        write_bytes=chance.choice([100, 100, 100_000]),
+        large_share=rng.choice([0.0, 0.05, 0.2]),
+        large_bytes=rng.choice([70_000, 150_000, 300_000]),
+        write_bytes=rng.choice([100, 100, 100_000]),
     )
     return replace(made, caches=caches, load=load)
 
@@ -317,26 +317,25 @@
 
 def planned(seed, kinds=None, most=5):
     """The scenario of a seed with planners and limits in it: more asks than some of them let through."""
-    chance = Random('planned/%d' % seed)
+    rng = Random('planned/%d' % seed)
     made = scenario(seed, kinds or PLANNED, most)
     rate, read = made.load.rate, made.profiles[0].name
     bounds = [
-        Bound(name='reads', what='requests', most=round(rate * chance.uniform(0.3, 0.9), 1), profile=read),
-        Bound(name='open', what='open', most=chance.randint(2, 12), floor=chance.choice([None, None, 2.0])),
+        Bound(name='reads', what='requests', most=round(rate * rng.uniform(0.3, 0.9), 1), profile=read),
+        Bound(name='open', what='open', most=rng.randint(2, 12), floor=rng.choice([None, None, 2.0])),
     ]
     if made.caches.mode == 'aside':
         bounds.append(
-            Bound(name='fetches', what='fetches', most=round(max(2.0, rate * chance.uniform(0.05, 0.3)), 1))
+            Bound(name='fetches', what='fetches', most=round(max(2.0, rate * rng.uniform(0.05, 0.3)), 1))
         )
-    bounds.append(Bound(name='cold', what='cold', most=round(chance.uniform(2, 12), 1)))
-    bounds.append(Bound(name='links', what='links', most=chance.randint(4, 20) * made.nodes))
+    bounds.append(Bound(name='cold', what='cold', most=round(rng.uniform(2, 12), 1)))
+    bounds.append(Bound(name='links', what='links', most=rng.randint(4, 20) * made.nodes))
     planning = Planning(
-        planners=chance.choice([1, 2, 3, 3]),
-        lease_s=chance.choice([0.4, 0.8]),
-        seats=made.nodes - chance.choice([0, 0, 0, 1]),
+        planners=rng.choice([1, 2, 3, 3]),
+        lease_s=rng.choice([0.4, 0.8]),
+        seats=made.nodes - rng.choice([0, 0, 0, 1]),
         bounds=[
-            bounds[index]
-            for index in sorted(chance.sample(range(len(bounds)), chance.randint(1, len(bounds))))
+            bounds[index] for index in sorted(rng.sample(range(len(bounds)), rng.randint(1, len(bounds))))
         ],
     )
     return check(replace(without_large_bodies(made), name='planned-%d' % seed, planning=planning))
@@ -372,20 +371,20 @@
 def watched(seed, kinds=None, most=5):
     """The scenario of a seed with planners and verdicts in it: sites of several nodes, and traffic that shows
     what is bad."""
-    chance = Random('watched/%d' % seed)
+    rng = Random('watched/%d' % seed)
     made = scenario(seed, kinds or WATCHED, most)
     work = sum(p.share * p.work_ms for p in made.profiles) / sum(p.share for p in made.profiles) / 1_000
-    servers = chance.choice([5, 8, 12])
-    rate = min(250.0, chance.uniform(0.2, 0.7) * servers * 2 / work)
-    lease = chance.choice([0.4, 0.8])
-    bounds = [Bound(name='tries', what='tries', most=2.0)] if chance.random() < 0.3 else []
+    servers = rng.choice([5, 8, 12])
+    rate = min(250.0, rng.uniform(0.2, 0.7) * servers * 2 / work)
+    lease = rng.choice([0.4, 0.8])
+    bounds = [Bound(name='tries', what='tries', most=2.0)] if rng.random() < 0.3 else []
     planning = Planning(
-        planners=chance.choice([1, 2, 3, 3]),
+        planners=rng.choice([1, 2, 3, 3]),
         lease_s=lease,
-        span_s=round(lease * chance.uniform(2, 4), 2),
+        span_s=round(lease * rng.uniform(2, 4), 2),
         bounds=bounds,
     )
-    zones = chance.choice([1, 2, 2, 3])
+    zones = rng.choice([1, 2, 2, 3])
     events = [replace(event, what=[], count=min(event.count, 2)) for event in made.events]
     made = without_large_bodies(made)
     return check(
@@ -393,7 +392,7 @@
             made,
             name='watched-%d' % seed,
             length_s=max(made.length_s, 8.0),
-            nodes=chance.randint(3, 6),
+            nodes=rng.randint(3, 6),
             zones=zones,
             planning=planning,
             events=events,
@@ -403,21 +402,21 @@
     )
 
 
-def timeline(chance, length, kinds, most):
+def timeline(rng, length, kinds, most):
     """Some troubles, at drawn times; they overlap as they come."""
     names = sorted(kinds)
     weights = [kinds[name] for name in names]
     found = []
-    for _ in range(chance.randint(1, most)):
-        kind = chance.choices(names, weights)[0]
+    for _ in range(rng.randint(1, most)):
+        kind = rng.choices(names, weights)[0]
         low, high = SIZES.get(kind, (4, 4))
         found.append(
             Event(
-                at_s=round(chance.uniform(0, length * 0.7), 3),
+                at_s=round(rng.uniform(0, length * 0.7), 3),
                 kind=kind,
-                count=chance.choice([1, 1, 1, 2, 3]),
-                for_s=round(chance.uniform(0.5, 5), 3),
-                size=round(chance.uniform(low, high), 3),
+                count=rng.choice([1, 1, 1, 2, 3]),
+                for_s=round(rng.uniform(0.5, 5), 3),
+                size=round(rng.uniform(low, high), 3),
             )
         )
     return sorted(found, key=lambda event: event.at_s)
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -25,11 +25,11 @@
 from .stage import EPOCH_MS, Stage
 from .world import World
 
-LOCAL = 40  # to the agent on the same machine, microseconds
+AGENT_DELAY_US = 40  # to the agent on the same machine, microseconds
 ADDRESS = re.compile(r'0x[0-9a-f]+')
 
 
-class Machine:
+class SimulatedSystem:
     """What a simulated node is told of its machine; as net/system.System."""
 
     def __init__(self, reactor, process):
@@ -49,7 +49,7 @@
 
     def hold(self, name):
         """A name on this machine: held until the process ends."""
-        held = self.process.net.names
+        held = self.process.net.held_names
         owner = held.get((self.process.address, name))
         if owner is not None and owner.alive:
             return None
@@ -58,7 +58,7 @@
 
     def let_go(self, name):
         """Another process may have it."""
-        del self.process.net.names[self.process.address, name]
+        del self.process.net.held_names[self.process.address, name]
 
     @staticmethod
     def memory_kb():
@@ -66,7 +66,7 @@
         return 0
 
 
-class Running:
+class NodeProcess:
     """One node process."""
 
     def __init__(self, ground, place, text):
@@ -77,16 +77,16 @@
         self.reactor = SimReactor(
             ground.world, self.process, self.ended, (limits.turn_us, limits.event_us), ground.error
         )
-        self.system = Machine(self.reactor, self.process)
+        self.system = SimulatedSystem(self.reactor, self.process)
         self.write(text)
-        before, ground.world.current = ground.world.current, self.reactor
+        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
         self.node = Node(page(self.path), self.reactor, self.system)
         if ground.stage.offices:
             self.node.fleet = Share(
                 self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
             )
         self.node.start()
-        ground.world.current = before
+        ground.world.current_reactor = before
 
     def write(self, tree):
         with open(self.path, 'w', encoding='utf-8') as file:
@@ -118,7 +118,7 @@
             descriptors=len(self.process.open)
             - node.desk.holds
             - (len(node.fleet.links) if getattr(node, 'fleet', None) else 0),
-            most=self.process.most,
+            most=self.process.peak_open,
             waits=sum(len(pool.waiting) for pool in node.caches.pools.values()),
             hops=sum(server.out for server in node.router.known.values()),
         )
@@ -128,7 +128,7 @@
         self.ground.stage.exited(self.place, self.counts())
 
 
-class Planning:
+class PlannerProcess:
     """One planner's process."""
 
     def __init__(self, ground, office):
@@ -138,15 +138,15 @@
             ground.world,
             self.process,
             cost=(ground.scenario.limits.turn_us, ground.scenario.limits.event_us),
-            raised=ground.error,
+            on_error=ground.error,
         )
-        before, ground.world.current = ground.world.current, self.reactor
+        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
         life = '%s-%d' % (office.name, ground.stage.number())
         self.office = planning.Office(
-            self.file(), office.number, self.reactor, Machine(self.reactor, self.process), life
+            self.file(), office.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
         )
         self.office.begin(*office.address)
-        ground.world.current = before
+        ground.world.current_reactor = before
 
     def file(self):
         return fleets.check(msgspec.convert(self.ground.stage.fleet_file(), fleets.Fleet))
@@ -161,7 +161,7 @@
         self.reactor.freeze(self.ground.world.now + span)
 
 
-class Watcher(logging.Handler):
+class ErrorHandler(logging.Handler):
     """What nodes log as errors, by node."""
 
     def __init__(self, ground):
@@ -183,31 +183,31 @@
     def __init__(self, scenario, seed):
         self.scenario, self.world = scenario, World(seed)
         self.later, self.drop, self.chance = self.world.later, self.world.cancel, self.world.chance
-        self.slower, self.bases = {}, {}
-        self.jitter, self.spread = self.chance('network').random, scenario.net.jitter
+        self.slower, self.base_delays = {}, {}
+        self.jitter, self.jitter_share = self.chance('network').random, scenario.net.jitter
         self.network = Network(self.world, self.delay)
-        self.rig = SimReactor(self.world, Process(self.network, 'rig', '127.9.0.1'), cost=(0, 0))
+        self.stand_in_reactor = SimReactor(self.world, Process(self.network, 'rig', '127.9.0.1'), cost=(0, 0))
         self.stage, self.folder = None, None
-        self.swapped = []  # what a patch put aside: (owner, name, value)
+        self.patched = []  # what a patch put aside: (owner, name, value)
 
     def clock(self):
         return self.world.now
 
     def delay(self, here, there):
         """How long bytes travel, microseconds."""
-        base = self.bases.get((here, there))
-        if base is None:
-            base = self.bases[here, there] = self.base(here, there)
-        wait = base * (1 + self.spread * (2 * self.jitter() - 1))
+        base_delay = self.base_delays.get((here, there))
+        if base_delay is None:
+            base_delay = self.base_delays[here, there] = self.base_delay(here, there)
+        wait = base_delay * (1 + self.jitter_share * (2 * self.jitter() - 1))
         if self.slower:
             wait += self.slower.get(here, 0) + self.slower.get(there, 0)
         return int(wait) + 1
 
-    def base(self, here, there):
+    def base_delay(self, here, there):
         hosts, net = self.stage.hosts, self.scenario.net
         one, other = hosts.get(here, ('', '', '')), hosts.get(there, ('', '', ''))
         if 'agent' in (one[0], other[0]):
-            return LOCAL
+            return AGENT_DELAY_US
         if 'client' in (one[0], other[0]):
             return net.client_ms * 1_000
         return (net.same_ms if one[1] == other[1] else net.cross_ms) * 1_000
@@ -223,67 +223,67 @@
 
     def node_of(self, transport):
         """Whose hop it is: by the address that it came from."""
-        return self.stage.who(transport.getPeer().host)
+        return self.stage.name_of(transport.getPeer().host)
 
     def listen(self, factory, address):
-        return self.rig.listenTCP(address[1], factory, 1024, address[0])
+        return self.stand_in_reactor.listenTCP(address[1], factory, 1024, address[0])
 
     def connect(self, address, factory, bind):
-        self.rig.connectTCP(*address, factory, timeout=None, bindAddress=bind)
+        self.stand_in_reactor.connectTCP(*address, factory, timeout=None, bindAddress=bind)
 
     def start_node(self, place, text):
-        return Running(self, place, text)
+        return NodeProcess(self, place, text)
 
     def start_planner(self, office):
-        return Planning(self, office)
+        return PlannerProcess(self, office)
 
     def put(self, owner, name, value):
         """Something in place of an attribute until the run is over, in the class that has it."""
         if isinstance(owner, type):
             owner = next(kind for kind in owner.__mro__ if name in kind.__dict__)
-        self.swapped.append((owner, name, owner.__dict__[name]))
+        self.patched.append((owner, name, owner.__dict__[name]))
         setattr(owner, name, value)
 
-    def saw(self, kind, *fields):
+    def record(self, kind, *fields):
         """What forwarders saw, and what acts there."""
         self.stage.see(kind, *fields)
 
     def error(self, text):
         """A fault that somebody logged."""
-        current = self.world.current
-        name = current.process.name if current is not None else 'lab'
+        current_reactor = self.world.current_reactor
+        name = current_reactor.process.name if current_reactor is not None else 'lab'
         self.stage.see('error', name, ADDRESS.sub('0x', text)[:300])
 
 
-_BEGUN = []
+_ACTIVE = []
 
 
-def observe(event):
+def on_log_event(event):
     """Twisted's log, its old form too: only failures matter."""
     failure = event.get('log_failure') or event.get('isError') and event.get('failure')
-    if failure and _BEGUN:
-        _BEGUN[-1].error('raised: %s: %s' % (failure.type.__name__, failure.value))
+    if failure and _ACTIVE:
+        _ACTIVE[-1].error('raised: %s: %s' % (failure.type.__name__, failure.value))
 
 
 def play(scenario, seed, patch=None, progress=None):
     """Play a scenario on simulated ground; its Stage, with all that was seen. patch: called with the ground
     before anything is built; progress: called with the part of the run that is over."""
-    if not _BEGUN:
-        globalLogBeginner.beginLoggingTo([observe], discardBuffer=True, redirectStandardIO=False)
+    if not _ACTIVE:
+        globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
     log, ground = logging.getLogger('lilacdyke'), Ground(scenario, seed)
-    handler, level, spreads = Watcher(ground), log.level, log.propagate
+    handler, level, propagates = ErrorHandler(ground), log.level, log.propagate
     log.addHandler(handler)
     log.propagate = False
     log.setLevel(logging.ERROR)
-    _BEGUN.append(ground)
+    _ACTIVE.append(ground)
     try:
         with tempfile.TemporaryDirectory() as ground.folder:
             if scenario.planning.span_s:
-                eyes.open_up(ground.put, ground.saw)
+                eyes.open_up(ground.put, ground.record)
             if patch is not None:
                 patch(ground)
             ground.stage = stage = Stage(scenario, seed, ground)
-            stop, leave, end = stage.spans
+            stop, leave, end = stage.end_times
             ground.later(stop, stage.stop_clients)
             ground.later(leave, stage.finish)
             stage.begin()
@@ -296,10 +296,10 @@
                     stage.see('node', place.name, 'hangs')
                     stage.see('counters', place.name, place.running.counts())
     finally:
-        for owner, name, value in reversed(ground.swapped):
+        for owner, name, value in reversed(ground.patched):
             setattr(owner, name, value)
-        _BEGUN.pop()
+        _ACTIVE.pop()
         log.removeHandler(handler)
-        log.propagate = spreads
+        log.propagate = propagates
         log.setLevel(level)
     return stage
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -29,10 +29,10 @@
 from .witness import digest
 
 SLACK_MS = 400.0  # real machines are late: the rules' slack is at least this
-KEPT, TRIMMED = 60_000, 20_000  # rows that `up` keeps, and lets go at a time
+MAX_ROWS, TRIMMED_ROWS = 60_000, 20_000  # rows that `up` keeps, and lets go at a time
 
 
-class Child:
+class ChildProcess:
     """A process of the program's that this one has started: in popen."""
 
     def signal(self, number):
@@ -48,7 +48,7 @@
         self.ground.later(span, self.signal, signal.SIGCONT)
 
 
-class Running(Child):
+class NodeProcess(ChildProcess):
     """One node process."""
 
     def __init__(self, ground, place, page):
@@ -63,7 +63,7 @@
                 stderr=log,
                 start_new_session=True,
             )
-        self.look()
+        self.poll_exit()
 
     def write(self, page):
         with open(self.path + '.new', 'w', encoding='utf-8') as file:
@@ -80,10 +80,10 @@
         )
         return ['--fleet', path]
 
-    def look(self):
+    def poll_exit(self):
         """Whether it has ended."""
         if self.popen.poll() is None:
-            self.ground.later(100_000, self.look)
+            self.ground.later(100_000, self.poll_exit)
         elif self.place.running is self:
             self.ground.stage.exited(self.place, self.counts())
 
@@ -113,7 +113,7 @@
         self.signal(signal.SIGHUP)
 
 
-class Planning(Child):
+class Planning(ChildProcess):
     """One planner process."""
 
     def __init__(self, ground, office):
@@ -169,20 +169,20 @@
         self.zero = time.monotonic()
         self.epoch_ms = int(System.wall() * 1_000)
         self.stage, self.folder = None, None
-        self.shift, self.kept = self.free()
-        self.installation = 'lab-%d' % self.shift  # two labs on one machine share no seats
+        self.port_offset, self.port_lock = self.reserve_ports()
+        self.installation = 'lab-%d' % self.port_offset  # two labs on one machine share no seats
 
     @staticmethod
-    def free():
+    def reserve_ports():
         """How far the ports are moved, so that two labs on one machine do not meet; and what keeps others
         from the same."""
         while True:
             with socket.socket() as probe:
                 probe.bind(('127.0.0.1', 0))
-                shift = probe.getsockname()[1] // 2 % 9_000 * 2 + 20_000 - staging.PORT
-            kept = System.hold('lilacdyke-lab/%d' % shift)
-            if kept is not None:
-                return shift, kept
+                port_offset = probe.getsockname()[1] // 2 % 9_000 * 2 + 20_000 - staging.NODE_PORT
+            port_lock = System.hold('lilacdyke-lab/%d' % port_offset)
+            if port_lock is not None:
+                return port_offset, port_lock
 
     def clock(self):
         return int((time.monotonic() - self.zero) * 1e6)
@@ -199,7 +199,7 @@
         return Random('%s/%s' % (self.seed, name))
 
     def port(self, number):
-        return number + self.shift
+        return number + self.port_offset
 
     def seen_as(self, node, address):
         """A server's address as that node has it: 127.2.x.y becomes one of its own."""
@@ -220,7 +220,7 @@
         self.reactor.connectTCP(address[0], self.port(address[1]), factory, timeout=5, bindAddress=bind)
 
     def start_node(self, place, page):
-        return Running(self, place, page)
+        return NodeProcess(self, place, page)
 
     def start_planner(self, office):
         return Planning(self, office)
@@ -249,24 +249,24 @@
     return replace(scenario, rules=replace(scenario.rules, slack_ms=max(SLACK_MS, scenario.rules.slack_ms)))
 
 
-def play(scenario, seed, watch=None, seconds=None, strangers=False, build=None, around=None):
+def play(scenario, seed, watch=None, seconds=None, serve_unknown=False, build=None, around=None):
     """Play on loopback; its Stage. watch: called with the stage each second; seconds: the most that it goes
     on, None: the scenario's own length. build, around: another ground than this one, and what watches the
     machine meanwhile."""
     from twisted.logger import globalLogBeginner
 
-    from .ground import observe
+    from .ground import on_log_event
 
-    globalLogBeginner.beginLoggingTo([observe], discardBuffer=True, redirectStandardIO=False)
+    globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
     reactor = Reactor()
     ground = (build or Ground)(scenario, seed, reactor)
     with tempfile.TemporaryDirectory() as ground.folder:
         ground.stage = stage = staging.Stage(scenario, seed, ground)
-        stage.strangers = strangers
+        stage.serve_unknown = serve_unknown
         watching = around and around(ground.folder)
-        stop, leave, end = stage.spans
+        stop, leave, end = stage.end_times
         if seconds is not None:
-            extra = int(seconds * 1e6) + staging.SETTLE - stop
+            extra = int(seconds * 1e6) + staging.SETTLE_US - stop
             stop, leave, end = stop + extra, leave + extra, end + extra
         ground.later(stop, stage.stop_clients)
         ground.later(leave, stage.finish)
@@ -318,12 +318,12 @@
     """The live table of `lab up`."""
 
     def __init__(self, live):
-        self.live, self.at, self.total = live, 0, Counter()
+        self.live, self.next_row, self.total = live, 0, Counter()
 
     def update(self, stage):
         """Count what came since the last time, and show it."""
         rows = stage.witness.rows
-        new, recent = rows[self.at :], Counter()
+        new, recent = rows[self.next_row :], Counter()
         servers, nodes, latencies = Counter(), Counter(), []
         for row in new:
             if row[0] == 'over':
@@ -337,25 +337,25 @@
                 nodes[row[4]] += 1
             elif row[0] == 'fault':
                 self.total['troubles'] += 1
-        self.at = len(rows)
+        self.next_row = len(rows)
         self.trim(stage)
-        self.live.update(self.drawn(stage, recent, servers, nodes, sorted(latencies)))
+        self.live.update(self.render(stage, recent, servers, nodes, sorted(latencies)))
 
     def trim(self, stage):
         """Guards against growing for as long as somebody looks."""
         rows = stage.witness.rows
-        if len(rows) > KEPT:
-            del rows[:TRIMMED]
-            self.at -= TRIMMED
-        for held in (stage.asked, stage.bodies):
-            while len(held) > KEPT:
+        if len(rows) > MAX_ROWS:
+            del rows[:TRIMMED_ROWS]
+            self.next_row -= TRIMMED_ROWS
+        for held in (stage.work_of, stage.body_digests):
+            while len(held) > MAX_ROWS:
                 del held[next(iter(held))]
 
-    def drawn(self, stage, recent, servers, nodes, latencies):
+    def render(self, stage, recent, servers, nodes, latencies):
         from rich.console import Group
-        from rich.table import Table as Made
+        from rich.table import Table as RichTable
 
-        top = Made(
+        top = RichTable(
             box=None,
             title='%.0f s, %s'
             % (
@@ -370,7 +370,7 @@
         for place in stage.places:
             address = '%s:%d' % (place.address[0], stage.ground.port(place.address[1]))
             top.add_row(place.name, address if place.running else 'down', str(nodes[place.name]))
-        below = Made(box=None)
+        below = RichTable(box=None)
         for column in ('server', 'kind', 'hops a second', 'running', 'waiting', 'kept', 'warm'):
             below.add_column(column, justify='left' if column in ('server', 'kind') else 'right')
         for name, server in list(stage.servers.items())[:40]:
@@ -382,15 +382,15 @@
                 str(len(model.running)),
                 str(len(model.waiting)),
                 str(len(model.kept)),
-                '%d %%' % (100 * model.presence()),
+                '%d %%' % (100 * model.capacity_share()),
             )
-        told = (
+        summary = (
             'latency ms: p50 %.0f, p99 %.0f'
             % (latencies[len(latencies) // 2] / 1e3, latencies[len(latencies) * 99 // 100] / 1e3)
             if latencies
             else ''
         )
-        return Group(top, below, told)
+        return Group(top, below, summary)
 
 
 def up(scenario, seconds=None, rate=None):
@@ -422,7 +422,7 @@
             table.update(stage)
 
         gc.collect()
-        stage = play(scenario, scenario.seed, watch, seconds or 7 * 86_400, strangers=True)
+        stage = play(scenario, scenario.seed, watch, seconds or 7 * 86_400, serve_unknown=True)
     counts = table.total
     console.print(
         '%d served, %d refused, %d failed' % (counts['served'], counts['refused'], counts['failed'])
--- a/lilacdyke/lab/network.py
+++ b/lilacdyke/lab/network.py
@@ -23,13 +23,13 @@
 from struct import pack
 
 WINDOW = 262_144  # bytes that a direction holds, sent and not yet read
-SYN_WAITS = (
+SYN_RETRY_US = (
     1_000_000,
     2_000_000,
     4_000_000,
     8_000_000,
 )  # until an unanswered connect asks again, microseconds
-DEFERRED = 1_000_000  # what TCP_DEFER_ACCEPT keeps a silent connection from its queue
+DEFER_ACCEPT_US = 1_000_000  # what TCP_DEFER_ACCEPT keeps a silent connection from its queue
 ESTABLISHED, CLOSED, CLOSE_WAIT = 1, 7, 8  # as tcp_info tells
 
 
@@ -51,18 +51,18 @@
         'error',
         'fin_sent',
         'outstanding',
-        'arrives',
-        'heard',
+        'last_arrival',
+        'last_received',
         'linger',
         'poller',
         'backlog',
         'queue',
-        'pending',
+        'awaiting_accept',
         'defer',
-        'dead',
+        'is_closed',
         'listener',
-        'asked',
-        'snapped',
+        'syn_retries',
+        'resetting',
     )
 
     def __init__(self, net, process):
@@ -70,10 +70,10 @@
         self.local = self.remote = self.peer = self.poller = self.listener = None
         self.state = 'new'  # new, listening, connecting, open, failed, closed
         self.inbox, self.unread = deque(), 0
-        self.eof = self.reset = self.fin_sent = self.linger = self.dead = self.defer = False
-        self.error, self.outstanding, self.arrives, self.heard, self.asked = 0, 0, 0, 0, 0
-        self.snapped = False  # whether a fault is resetting it: nothing more leaves, no end either
-        self.backlog, self.queue, self.pending = 0, None, 0
+        self.eof = self.reset = self.fin_sent = self.linger = self.is_closed = self.defer = False
+        self.error, self.outstanding, self.last_arrival, self.last_received, self.syn_retries = 0, 0, 0, 0, 0
+        self.resetting = False  # whether a fault is resetting it: nothing more leaves, no end either
+        self.backlog, self.queue, self.awaiting_accept = 0, None, 0
 
     # --- calls ------------------------------------------------------------------------------------------
 
@@ -83,7 +83,7 @@
     def setblocking(self, flag):
         """It never blocks."""
 
-    def size_for(self, call):
+    def check_call(self, call):
         """The most bytes that a call may move; None: all. Raises the OSError that it fails with, if any."""
         calls = self.process.calls
         if calls is None:
@@ -94,7 +94,7 @@
         return None if rule is None else rule.size
 
     def setsockopt(self, level, option, value):
-        self.size_for('setsockopt')
+        self.check_call('setsockopt')
         if level == socket.SOL_SOCKET and option == socket.SO_LINGER:
             self.linger = True  # Twisted asks for that only to reset
         elif level == socket.IPPROTO_TCP and option == socket.TCP_DEFER_ACCEPT:
@@ -102,18 +102,18 @@
 
     def getsockopt(self, level, option, size=0):
         if level == socket.SOL_SOCKET and option == socket.SO_ERROR:
-            return self.failed_with()
-        self.size_for('getsockopt')
+            return self.connect_error()
+        self.check_call('getsockopt')
         if level == socket.IPPROTO_TCP and option == socket.TCP_INFO:
             state = CLOSED if self.reset else CLOSE_WAIT if self.eof else ESTABLISHED
-            waited = (self.net.world.now - self.heard) // 1_000
+            waited = (self.net.world.now - self.last_received) // 1_000
             return pack('=B51xI', state, min(waited, 0xFFFFFFFF))[:size]
         return 0
 
-    def failed_with(self):
+    def connect_error(self):
         """What became of connecting, as SO_ERROR tells: an errno, or 0."""
         try:
-            self.size_for('connected')
+            self.check_call('connected')
         except OSError as err:
             self.state = 'failed'
             return err.errno
@@ -141,13 +141,13 @@
         """The next connection; EMFILE with no descriptor left, as a real one has it."""
         if not self.queue:
             raise BlockingIOError(EAGAIN, 'nobody')
-        self.size_for('accept')
-        if self.process.full():
+        self.check_call('accept')
+        if self.process.at_limit():
             raise OSError(EMFILE, 'too many open files')
-        came = self.queue.popleft()
-        came.listener = None
-        self.process.give(came)
-        return came, came.remote
+        accepted = self.queue.popleft()
+        accepted.listener = None
+        self.process.register(accepted)
+        return accepted, accepted.remote
 
     def connect_ex(self, address):
         if self.state == 'connecting':
@@ -157,13 +157,13 @@
         if self.state == 'failed':
             return self.error or ECONNREFUSED
         try:
-            self.size_for('connect')
+            self.check_call('connect')
         except OSError as err:
             return err.errno
         self.remote, self.state = address, 'connecting'
         if self.local is None:
             self.local = (self.process.address, self.net.port())
-        self.net.ask(self)
+        self.net.send_syn(self)
         return EINPROGRESS
 
     def send(self, data, flags=0):
@@ -172,13 +172,13 @@
             raise OSError(EPIPE if self.fin_sent else ECONNRESET, 'connection is over')
         if self.state != 'open':
             raise OSError(ENOTCONN, 'not connected')
-        size = self.size_for('send')
-        room = min(WINDOW - self.outstanding, self.net.allowed(self), WINDOW if size is None else size)
+        size = self.check_call('send')
+        room = min(WINDOW - self.outstanding, self.net.send_limit(self), WINDOW if size is None else size)
         if room <= 0:
             raise BlockingIOError(EAGAIN, 'full')
         data = bytes(data[:room])
         self.outstanding += len(data)
-        self.net.carry(self, data)
+        self.net.transmit(self, data)
         return len(data)
 
     def recv(self, count, flags=0):
@@ -188,7 +188,7 @@
             if self.eof:
                 return b''
             raise BlockingIOError(EAGAIN, 'nothing')
-        size = self.size_for('recv')
+        size = self.check_call('recv')
         count = count if size is None else min(count, size)
         first = self.inbox[0]
         if flags & socket.MSG_PEEK:
@@ -202,46 +202,46 @@
         self.unread -= len(first)
         peer = self.peer
         if peer is not None:
-            was = peer.outstanding
+            outstanding_before = peer.outstanding
             peer.outstanding -= len(first)
-            if was >= WINDOW:
-                peer.poke()
+            if outstanding_before >= WINDOW:
+                peer.notify_poller()
         return first
 
     def shutdown(self, how):
         if self.state != 'open' or self.reset:
             raise OSError(ENOTCONN, 'not connected')
-        self.size_for('shutdown')
+        self.check_call('shutdown')
         if how >= 1 and not self.fin_sent:
             self.fin_sent = True
-            self.net.carry(self, None)
+            self.net.transmit(self, None)
 
     def close(self):
         """Give the descriptor back. Bytes unread, or a linger of nothing, reset the connection, as on
         Linux."""
-        if self.dead:
+        if self.is_closed:
             return
-        self.dead = True
-        self.process.take_back(self)
+        self.is_closed = True
+        self.process.unregister(self)
         if self.state == 'listening':
             del self.net.listeners[self.local]
             for waiting in self.queue:
-                waiting.abandon()
+                waiting.drop_unaccepted()
             self.queue.clear()
         elif self.state == 'open' and not self.reset:
             if self.linger or self.inbox:
-                self.net.break_off(self)
+                self.net.send_reset(self)
             elif not self.fin_sent:
                 self.fin_sent = True
-                self.net.carry(self, None)
+                self.net.transmit(self, None)
         self.state = 'closed'
 
     # --- the kernel's side ------------------------------------------------------------------------------
 
-    def abandon(self):
+    def drop_unaccepted(self):
         """Nobody accepts it any more."""
-        self.dead = True
-        self.net.break_off(self)
+        self.is_closed = True
+        self.net.send_reset(self)
         self.state = 'closed'
 
     def events(self):
@@ -259,92 +259,92 @@
             mask |= EPOLLHUP
         return mask
 
-    def poke(self):
+    def notify_poller(self):
         """Something has changed: who polls it looks."""
         if self.poller is not None:
-            self.poller.stir(self)
+            self.poller.mark_ready(self)
 
-    def arrived(self, data):
+    def on_data(self, data):
         """Bytes, or the other side's end, have come."""
         if self.reset or self.state == 'closed' and data is None:
             return
-        if self.dead or self.eof:
-            self.net.break_off(self)
+        if self.is_closed or self.eof:
+            self.net.send_reset(self)
             return
         if data is None:
             self.eof = True
         else:
             self.inbox.append(data)
             self.unread += len(data)
-            self.heard = self.net.world.now
-        if self.listener is not None and self.pending:
+            self.last_received = self.net.world.now
+        if self.listener is not None and self.awaiting_accept:
             self.listener.enqueue(self)
-        self.poke()
+        self.notify_poller()
 
-    def broken(self):
+    def on_reset(self):
         """The other side has reset it; what was unread is gone."""
         if not self.reset:
             self.reset = True
             self.inbox.clear()
             self.unread = 0
-            if self.listener is not None and self.pending:
+            if self.listener is not None and self.awaiting_accept:
                 self.listener.enqueue(self)
-            self.poke()
+            self.notify_poller()
 
-    def enqueue(self, came):
+    def enqueue(self, accepted):
         """A connection is ready to be accepted."""
-        if came.pending and not self.dead:
-            came.pending = 0
-            self.queue.append(came)
-            self.poke()
+        if accepted.awaiting_accept and not self.is_closed:
+            accepted.awaiting_accept = 0
+            self.queue.append(accepted)
+            self.notify_poller()
 
-    def late(self, came):
+    def defer_expired(self, accepted):
         """It said nothing for the time that the system waits."""
-        if came.pending:
-            self.enqueue(came)
+        if accepted.awaiting_accept:
+            self.enqueue(accepted)
 
     def fail(self, error):
         """The connection does not come up."""
         if self.state == 'connecting':
             self.state, self.error = 'failed', error
-            self.poke()
+            self.notify_poller()
 
 
 class Process:
     """Who holds descriptors on a machine."""
 
-    __slots__ = ('net', 'name', 'address', 'limit', 'open', 'most', 'calls')
+    __slots__ = ('net', 'name', 'address', 'limit', 'open', 'peak_open', 'calls')
 
     def __init__(self, net, name, address, limit=1 << 30):
         self.net, self.name, self.address, self.limit = net, name, address, limit
-        self.open, self.most = {}, 0  # by descriptor, the oldest first
+        self.open, self.peak_open = {}, 0  # by descriptor, the oldest first
         self.calls = None  # its calls that fail, where some do (callfaults.py)
 
-    def full(self):
+    def at_limit(self):
         return len(self.open) >= self.limit
 
     def socket(self):
         """A new one, with a descriptor."""
         if self.calls is not None:
             self.calls.raise_for('socket')
-        if self.full():
+        if self.at_limit():
             raise OSError(EMFILE, 'too many open files')
-        return self.give(Socket(self.net, self))
+        return self.register(Socket(self.net, self))
 
-    def give(self, made):
-        made.process, made.fd = self, self.net.descriptor()
-        self.open[made.fd] = made
-        self.most = max(self.most, len(self.open))
-        return made
+    def register(self, sock):
+        sock.process, sock.fd = self, self.net.descriptor()
+        self.open[sock.fd] = sock
+        self.peak_open = max(self.peak_open, len(self.open))
+        return sock
 
-    def take_back(self, made):
-        self.open.pop(made.fd, None)
-        made.poller = None
+    def unregister(self, sock):
+        self.open.pop(sock.fd, None)
+        sock.poller = None
 
-    def die(self):
+    def close_all(self):
         """The process ends: its connections are closed by the system, those with bytes unread by a reset."""
-        for held in list(self.open.values()):
-            held.close()
+        for sock in list(self.open.values()):
+            sock.close()
 
 
 class Network:
@@ -352,25 +352,25 @@
 
     def __init__(self, world, delay):
         self.world, self.delay = world, delay  # delay(from, to): microseconds between two addresses
-        self.listeners, self.ports, self.numbers = {}, 20_000, 1_000_000
+        self.listeners, self.last_port, self.last_fd = {}, 20_000, 1_000_000
         self.cuts = {}  # by number: addresses that are cut off from all others
         self.apart = {}  # by number: (an address, those it is cut off from)
-        self.names = {}  # by machine and name: who holds it
+        self.held_names = {}  # by machine and name: who holds it
         self.down = set()  # addresses of machines that are gone without a word
-        self.held = []  # what a cut keeps back: (socket, data)
+        self.held_back = []  # what a cut keeps back: (socket, data)
         self.stuck = {}  # processes whose sends the system takes only so much of at a time: bytes
         self.resets = {}  # by address: (chance of a reset a send, its source of chance)
         self.deaf = set()  # addresses whose accept queue is full
 
     def port(self):
-        self.ports += 1
-        return self.ports
+        self.last_port += 1
+        return self.last_port
 
     def descriptor(self):
-        self.numbers += 1
-        return self.numbers
+        self.last_fd += 1
+        return self.last_fd
 
-    def passes(self, here, there):
+    def can_reach(self, here, there):
         """Whether bytes get from one address to another now."""
         if here in self.down or there in self.down:
             return False
@@ -379,108 +379,110 @@
                 return False
         return not self.cuts or all((here in apart) == (there in apart) for apart in self.cuts.values())
 
-    def allowed(self, sender):
+    def send_limit(self, sender):
         """How much the system takes of one send."""
         return self.stuck.get(sender.process, WINDOW) if self.stuck else WINDOW
 
     # --- connecting -------------------------------------------------------------------------------------
 
-    def ask(self, asking):
+    def send_syn(self, connecting):
         """A connect leaves, for the first time or again."""
-        wait = self.delay(asking.local[0], asking.remote[0])
-        self.world.later(wait, self.asked, asking)
+        wait = self.delay(connecting.local[0], connecting.remote[0])
+        self.world.later(wait, self.receive_syn, connecting)
 
-    def asked(self, asking):
+    def receive_syn(self, connecting):
         """It comes where it should. Guards against a full queue as a real one does: it is not answered."""
-        if asking.dead:
+        if connecting.is_closed:
             return
-        here, there = asking.local[0], asking.remote[0]
-        if not self.passes(here, there):
-            self.again(asking)
+        here, there = connecting.local[0], connecting.remote[0]
+        if not self.can_reach(here, there):
+            self.retry_syn(connecting)
             return
-        listener = self.listeners.get(asking.remote)
-        back = self.delay(there, here)
+        listener = self.listeners.get(connecting.remote)
+        return_delay = self.delay(there, here)
         if listener is None:
-            self.world.later(back, asking.fail, ECONNREFUSED)
+            self.world.later(return_delay, connecting.fail, ECONNREFUSED)
         elif len(listener.queue) > listener.backlog or there in self.deaf:
-            self.again(asking)
+            self.retry_syn(connecting)
         else:
-            self.accept(asking, listener, back)
+            self.establish(connecting, listener, return_delay)
 
-    def again(self, asking):
-        if asking.asked >= len(SYN_WAITS):
-            asking.fail(ETIMEDOUT)
+    def retry_syn(self, connecting):
+        if connecting.syn_retries >= len(SYN_RETRY_US):
+            connecting.fail(ETIMEDOUT)
             return
-        self.world.later(SYN_WAITS[asking.asked], self.ask, asking)
-        asking.asked += 1
+        self.world.later(SYN_RETRY_US[connecting.syn_retries], self.send_syn, connecting)
+        connecting.syn_retries += 1
 
-    def accept(self, asking, listener, back):
+    def establish(self, connecting, listener, return_delay):
         """The system accepts; the program may do so later."""
-        came = Socket(self, listener.process)
-        came.local, came.remote, came.state = asking.remote, asking.local, 'open'
-        came.peer, asking.peer = asking, came
-        came.heard, came.listener, came.pending = self.world.now, listener, 1
-        came.arrives = self.world.now + back  # nothing that it sends comes before its word that it is up
+        accepted = Socket(self, listener.process)
+        accepted.local, accepted.remote, accepted.state = connecting.remote, connecting.local, 'open'
+        accepted.peer, connecting.peer = connecting, accepted
+        accepted.last_received, accepted.listener, accepted.awaiting_accept = self.world.now, listener, 1
+        accepted.last_arrival = (
+            self.world.now + return_delay
+        )  # nothing that it sends comes before its word that it is up
         if listener.defer:
-            self.world.later(DEFERRED, listener.late, came)
+            self.world.later(DEFER_ACCEPT_US, listener.defer_expired, accepted)
         else:
-            listener.enqueue(came)
-        self.world.later(back, self.up, asking)
+            listener.enqueue(accepted)
+        self.world.later(return_delay, self.receive_syn_ack, connecting)
 
-    def up(self, asking):
-        if asking.dead:
-            self.break_off(asking)
-        elif asking.state == 'connecting':
-            asking.state, asking.heard = 'open', self.world.now
-            asking.poke()
+    def receive_syn_ack(self, connecting):
+        if connecting.is_closed:
+            self.send_reset(connecting)
+        elif connecting.state == 'connecting':
+            connecting.state, connecting.last_received = 'open', self.world.now
+            connecting.notify_poller()
 
     # --- bytes ------------------------------------------------------------------------------------------
 
-    def carry(self, sender, data):
+    def transmit(self, sender, data):
         """Bytes, or an end (None), leave; on one connection nothing overtakes."""
-        if sender.snapped:
+        if sender.resetting:
             return
         here, there = sender.local[0], sender.remote[0]
         if data and self.resets:
-            chance = self.resets.get(there) or self.resets.get(here)
-            if chance and chance[1].random() < chance[0]:
-                data = data[: chance[1].randrange(len(data) + 1)]
+            fault = self.resets.get(there) or self.resets.get(here)
+            if fault and fault[1].random() < fault[0]:
+                data = data[: fault[1].randrange(len(data) + 1)]
                 if data:
-                    self.ship(sender, data, here, there)
-                sender.snapped = True
-                self.world.later(0, self.snap, sender)
+                    self.schedule_delivery(sender, data, here, there)
+                sender.resetting = True
+                self.world.later(0, self.reset_both, sender)
                 return
-        self.ship(sender, data, here, there)
+        self.schedule_delivery(sender, data, here, there)
 
-    def ship(self, sender, data, here, there):
-        sender.arrives = max(sender.arrives, self.world.now + self.delay(here, there))
-        self.world.at(sender.arrives, self.deliver, sender, data)
+    def schedule_delivery(self, sender, data, here, there):
+        sender.last_arrival = max(sender.last_arrival, self.world.now + self.delay(here, there))
+        self.world.at(sender.last_arrival, self.deliver, sender, data)
 
-    def snap(self, sender):
+    def reset_both(self, sender):
         """A fault resets the connection for both."""
-        self.break_off(sender)
-        self.world.later(self.delay(sender.remote[0], sender.local[0]), sender.broken)
+        self.send_reset(sender)
+        self.world.later(self.delay(sender.remote[0], sender.local[0]), sender.on_reset)
 
     def deliver(self, sender, data):
-        if not self.passes(sender.local[0], sender.remote[0]):
-            self.held.append((sender, data))
+        if not self.can_reach(sender.local[0], sender.remote[0]):
+            self.held_back.append((sender, data))
         elif sender.peer is not None:
-            sender.peer.arrived(data)
+            sender.peer.on_data(data)
 
-    def break_off(self, sender):
+    def send_reset(self, sender):
         """A reset travels to the other side, behind what was sent."""
-        sender.state = 'closed' if sender.dead else sender.state
+        sender.state = 'closed' if sender.is_closed else sender.state
         if sender.peer is not None:
-            sender.arrives = max(
-                sender.arrives, self.world.now + self.delay(sender.local[0], sender.remote[0])
+            sender.last_arrival = max(
+                sender.last_arrival, self.world.now + self.delay(sender.local[0], sender.remote[0])
             )
-            self.world.at(sender.arrives, self.deliver_reset, sender)
+            self.world.at(sender.last_arrival, self.deliver_reset, sender)
 
     def deliver_reset(self, sender):
-        if self.passes(sender.local[0], sender.remote[0]):
-            sender.peer.broken()
+        if self.can_reach(sender.local[0], sender.remote[0]):
+            sender.peer.on_reset()
         else:
-            self.held.append((sender, b''))
+            self.held_back.append((sender, b''))
 
     # --- faults -----------------------------------------------------------------------------------------
 
@@ -503,8 +505,8 @@
         self.release()
 
     def release(self):
-        held, self.held = self.held, []
-        for sender, data in held:
+        held_back, self.held_back = self.held_back, []
+        for sender, data in held_back:
             if data == b'':
                 self.deliver_reset(sender)
             else:
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -9,46 +9,63 @@
 
 from twisted.internet.protocol import ClientFactory
 
-from .wire import LARGE, Talker, digest, request
+from .wire import LARGE_BODY, HttpConnection, digest, request
 
-CROSSED = (
+CROSSING_US = (
     100_000  # a connection that ends so soon after a request was written on it, kept until then, crossed it
 )
 
 
-class Dialled(ClientFactory):
+class SingleConnectionFactory(ClientFactory):
     """Opens one connection for a protocol that is there already."""
 
     noisy = False
 
-    def __init__(self, made):
-        self.made = made
+    def __init__(self, protocol):
+        self.protocol = protocol
 
     def buildProtocol(self, addr):
-        return self.made
+        return self.protocol
 
     def clientConnectionFailed(self, connector, reason):
-        self.made.failed()
+        self.protocol.on_connect_failed()
 
 
-class Tx:
+class Transaction:
     """What a client wants, over all its tries."""
 
-    __slots__ = ('number', 'profile', 'tenant', 'key', 'mark', 'since', 'tries', 'work', 'open', 'first')
-
-    def __init__(self, number, profile, tenant, key, mark, since, work):
-        self.number, self.profile, self.tenant, self.key, self.mark = number, profile, tenant, key, mark
+    __slots__ = (
+        'number',
+        'profile',
+        'tenant',
+        'key',
+        'idempotency_key',
+        'since',
+        'tries',
+        'work',
+        'open',
+        'first',
+    )
+
+    def __init__(self, number, profile, tenant, key, idempotency_key, since, work):
+        self.number, self.profile, self.tenant, self.key, self.idempotency_key = (
+            number,
+            profile,
+            tenant,
+            key,
+            idempotency_key,
+        )
         self.since, self.work, self.tries, self.first = since, work, 0, None
 
 
-class Try:
+class Attempt:
     """One request of a transaction to a node."""
 
-    __slots__ = ('tx', 'id', 'node', 'asked', 'body', 'timer', 'leaver', 'crossed', 'seat')
+    __slots__ = ('tx', 'id', 'node', 'sent_at', 'body', 'timer', 'leave_timer', 'crossed_close', 'connection')
 
     def __init__(self, tx, id_, node):
         self.tx, self.id, self.node = tx, id_, node
-        self.asked, self.body, self.timer, self.leaver, self.crossed, self.seat = (
+        self.sent_at, self.body, self.timer, self.leave_timer, self.crossed_close, self.connection = (
             None,
             b'',
             None,
@@ -58,12 +75,12 @@
         )
 
 
-class Caller(Talker):
+class NodeConnection(HttpConnection):
     """One connection to a node."""
 
     def __init__(self, crowd, node, first):
         super().__init__()
-        self.crowd, self.node, self.wanted, self.try_ = crowd, node, first, None
+        self.crowd, self.node, self.pending, self.attempt = crowd, node, first, None
         self.used, self.ending, self.fresh = 0, False, False
 
     def clock(self):
@@ -71,60 +88,60 @@
 
     def connectionMade(self):
         super().connectionMade()
-        wanted, self.wanted = self.wanted, None
-        if wanted is None or wanted.seat is not self:
-            self.crowd.rest(self)
+        pending, self.pending = self.pending, None
+        if pending is None or pending.connection is not self:
+            self.crowd.mark_idle(self)
         else:
-            self.ask(wanted)
+            self.ask(pending)
 
-    def failed(self):
+    def on_connect_failed(self):
         """No connection: the try goes elsewhere or fails."""
-        wanted, self.wanted = self.wanted, None
-        if wanted is not None and wanted.seat is self:
-            self.crowd.unreached(wanted)
+        pending, self.pending = self.pending, None
+        if pending is not None and pending.connection is self:
+            self.crowd.on_unreachable(pending)
 
-    def ask(self, try_):
+    def ask(self, attempt):
         """Write the request."""
-        self.try_, try_.seat = try_, self
+        self.attempt, attempt.connection = attempt, self
         self.used += 1
-        self.crowd.asked(self, try_)
+        self.crowd.write_request(self, attempt)
 
-    def message(self, begun, words, fields, body):
-        try_, self.try_ = self.try_, None
-        if try_ is None:
+    def on_message(self, begun, start_line, fields, body):
+        attempt, self.attempt = self.attempt, None
+        if attempt is None:
             self.crowd.stage.see('stray', self.node.name, 'an answer to nothing')
             self.transport.abortConnection()
             return
         self.ending = fields.get('connection', '').lower() == 'close'
-        if len(body) > LARGE:
-            self.crowd.stage.see('begun', try_.id, begun)
-        self.crowd.answered(self, try_, words, fields, body)
+        if len(body) > LARGE_BODY:
+            self.crowd.stage.see('begun', attempt.id, begun)
+        self.crowd.answered(self, attempt, start_line, fields, body)
 
-    def bad(self, err):
+    def on_malformed(self, err):
         self.crowd.stage.see('stray', self.node.name, 'not HTTP')
         self.transport.abortConnection()
 
-    def ended(self):
-        self.crowd.ended(self)
+    def on_close(self):
+        self.crowd.connection_closed(self)
 
 
-class Crowd:
+class LoadGenerator:
     """All clients of a run."""
 
     def __init__(self, stage):
         self.stage, scenario = stage, stage.scenario
-        self.given, self.load = scenario.clients, scenario.load
+        self.behaviour, self.load = scenario.clients, scenario.load
         self.chance = stage.chance('clients')
         self.draw = self.chance.random
-        self.numbers, self.open = 0, 0
+        self.last_number, self.open = 0, 0
         self.factor, self.hot = 1.0, None  # bursts; (keys, share) that are hot
         self.profiles = scenario.profiles
-        self.shares = list(accumulate(profile.share for profile in scenario.profiles))
+        self.profile_weights = list(accumulate(profile.share for profile in scenario.profiles))
         self.keys = list(accumulate(1 / (rank + 1) ** self.load.zipf for rank in range(self.load.keys)))
         self.tenants = list(accumulate(t.share * t.asks for t in scenario.tenants))
         self.idle = {}  # node -> connections that rest, the latest used last
         self.replay = iter(self.load.replay_s)
-        self.stopped, self.shift = False, stage.chance('names').getrandbits(32)
+        self.stopped, self.id_prefix = False, stage.chance('names').getrandbits(32)
         self.until = int(scenario.length_s * 1e6)
 
     # --- arrivals ---------------------------------------------------------------------------------------
@@ -133,49 +150,61 @@
         """Start asking."""
         self.origin = self.stage.clock()
         if self.load.arrivals == 'replay':
-            self.next_replayed()
+            self.schedule_replay()
         else:
-            self.stage.later(self.gap(), self.arrive)
-        if self.given.rude:
-            self.stage.later(int(self.chance.expovariate(self.given.rude) * 1e6), self.rude)
+            self.stage.later(self.next_gap(), self.on_arrival)
+        if self.behaviour.rude:
+            self.stage.later(
+                int(self.chance.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving
+            )
 
-    def gap(self):
+    def next_gap(self):
         """Microseconds to the next arrival."""
         rate = self.load.rate * self.factor
         return int(1e6 * (self.chance.expovariate(rate) if self.load.arrivals == 'poisson' else 1 / rate)) + 1
 
-    def next_replayed(self):
+    def schedule_replay(self):
         at = next(self.replay, None)
         if at is not None:
-            self.stage.later(max(1, self.origin + int(at * 1e6) - self.stage.clock()), self.replayed)
+            self.stage.later(max(1, self.origin + int(at * 1e6) - self.stage.clock()), self.replay_next)
 
-    def replayed(self):
+    def replay_next(self):
         if not self.stopped:
-            self.start()
-            self.next_replayed()
+            self.start_transaction()
+            self.schedule_replay()
 
-    def arrive(self):
+    def on_arrival(self):
         """One more, whatever became of those before."""
         if self.stopped:
             return
-        self.stage.later(self.gap(), self.arrive)
-        self.start()
+        self.stage.later(self.next_gap(), self.on_arrival)
+        self.start_transaction()
 
-    def pick(self, sums):
+    def pick_weighted(self, sums):
         return bisect(sums, self.draw() * sums[-1], 0, len(sums) - 1)
 
-    def start(self):
+    def start_transaction(self):
         """A client wants something."""
-        self.numbers += 1
-        profile = self.profiles[self.pick(self.shares)]
-        rank = self.pick(self.keys)
+        self.last_number += 1
+        profile = self.profiles[self.pick_weighted(self.profile_weights)]
+        rank = self.pick_weighted(self.keys)
         if self.hot and self.draw() < self.hot[1]:
             rank = int(self.draw() * self.hot[0])
-        tenant = self.stage.scenario.tenants[self.pick(self.tenants)].name if self.tenants else ''
-        mark = 'm%08x%x' % (self.shift, self.numbers) if profile.effect == 'guarded' else ''
-        tx = Tx(self.numbers, profile, tenant, 'k%d' % rank, mark, self.stage.clock(), self.work(profile))
+        tenant = self.stage.scenario.tenants[self.pick_weighted(self.tenants)].name if self.tenants else ''
+        idempotency_key = (
+            'm%08x%x' % (self.id_prefix, self.last_number) if profile.effect == 'guarded' else ''
+        )
+        tx = Transaction(
+            self.last_number,
+            profile,
+            tenant,
+            'k%d' % rank,
+            idempotency_key,
+            self.stage.clock(),
+            self.work(profile),
+        )
         self.open += 1
-        self.attempt(tx)
+        self.start_attempt(tx)
 
     def work(self, profile):
         """Microseconds of a yardstick core, lognormal about the profile's mean."""
@@ -186,202 +215,210 @@
 
     # --- tries ------------------------------------------------------------------------------------------
 
-    def attempt(self, tx):
+    def start_attempt(self, tx):
         """One more try, at a node that the front believes in."""
-        node = self.stage.front(self.draw)
+        node = self.stage.pick_node(self.draw)
         if node is None:
-            self.over(tx, 'unreached')
+            self.finish(tx, 'unreached')
             return
         tx.tries += 1
-        self.go(Try(tx, '%08x%06x%x' % (self.shift, tx.number, tx.tries), node))
+        self.dispatch(Attempt(tx, '%08x%06x%x' % (self.id_prefix, tx.number, tx.tries), node))
 
-    def go(self, try_):
+    def dispatch(self, attempt):
         """Send it on a connection that rests, or a new one."""
-        idle = self.idle.setdefault(try_.node, [])
-        fresh = self.draw() < self.given.fresh
+        idle = self.idle.setdefault(attempt.node, [])
+        fresh = self.draw() < self.behaviour.fresh
         while idle and not fresh:
-            seat = idle.pop()
-            if seat.up and not seat.ending:
-                seat.ask(try_)
+            connection = idle.pop()
+            if connection.up and not connection.ending:
+                connection.ask(attempt)
                 return
-        seat = Caller(self, try_.node, try_)
-        seat.fresh, try_.seat = fresh, seat
-        try_.timer = self.stage.later(self.wait(try_), self.gave_up, try_)
-        self.stage.connect(try_.node.address, Dialled(seat), self.stage.client_address(try_.node))
+        connection = NodeConnection(self, attempt.node, attempt)
+        connection.fresh, attempt.connection = fresh, connection
+        attempt.timer = self.stage.later(self.wait(attempt), self.on_timeout, attempt)
+        self.stage.connect(
+            attempt.node.address, SingleConnectionFactory(connection), self.stage.client_address(attempt.node)
+        )
 
-    def wait(self, try_):
+    def wait(self, attempt):
         """How long a try is waited for, microseconds."""
-        return int(try_.tx.profile.limit_s * self.given.try_share * 1e6)
+        return int(attempt.tx.profile.limit_s * self.behaviour.try_share * 1e6)
 
-    def asked(self, seat, try_):
+    def write_request(self, connection, attempt):
         """The connection is up: write."""
-        stage, tx = self.stage, try_.tx
-        if try_.timer is not None:
-            stage.drop(try_.timer)
-        wait, profile = self.wait(try_), tx.profile
-        fields = [('Host', 'lab.internal'), ('Req-Id', try_.id), ('Req-Deadline', '%.4f' % (wait / 1e6))]
-        if tx.mark:
-            fields.append(('Idempotency-Key', tx.mark))
+        stage, tx = self.stage, attempt.tx
+        if attempt.timer is not None:
+            stage.drop(attempt.timer)
+        wait, profile = self.wait(attempt), tx.profile
+        fields = [('Host', 'lab.internal'), ('Req-Id', attempt.id), ('Req-Deadline', '%.4f' % (wait / 1e6))]
+        if tx.idempotency_key:
+            fields.append(('Idempotency-Key', tx.idempotency_key))
         if tx.tenant:
             fields.append(('Req-Owner', tx.tenant))
         if profile.write:
-            try_.body = (b'%s ' % try_.id.encode()).ljust(self.load.write_bytes, b'w')
-            stage.bodies[try_.id] = digest(try_.body)
-        stage.asked[try_.id] = tx.work
-        now = try_.asked = stage.clock()
-        if try_.crossed:
-            stage.see('again', try_.id)
+            attempt.body = (b'%s ' % attempt.id.encode()).ljust(self.load.write_bytes, b'w')
+            stage.body_digests[attempt.id] = digest(attempt.body)
+        stage.work_of[attempt.id] = tx.work
+        now = attempt.sent_at = stage.clock()
+        if attempt.crossed_close:
+            stage.see('again', attempt.id)
         else:
             tx.first = now if tx.first is None else tx.first
             stage.see(
                 'ask',
-                try_.id,
+                attempt.id,
                 tx.number,
-                try_.node.name,
+                attempt.node.name,
                 profile.name,
                 tx.tenant,
                 tx.key,
-                tx.mark,
+                tx.idempotency_key,
                 now,
                 wait,
                 tx.tries,
-                int(seat.used == 1),
+                int(connection.used == 1),
+            )
+        connection.put(
+            request(
+                'PUT' if profile.write else 'GET', '/%s/%s' % (profile.name, tx.key), fields, attempt.body
             )
-        seat.put(
-            request('PUT' if profile.write else 'GET', '/%s/%s' % (profile.name, tx.key), fields, try_.body)
         )
-        try_.timer = stage.later(wait + 300_000, self.gave_up, try_)
-        if self.given.leave and self.draw() < self.given.leave:
-            try_.leaver = stage.later(int(wait * self.draw() * 0.3), self.leave, try_)
-        if self.given.slow_read and self.draw() < self.given.slow_read:
-            seat.transport.pauseProducing()
-            stage.later(int(wait * 0.1), self.read_on, seat)
+        attempt.timer = stage.later(wait + 300_000, self.on_timeout, attempt)
+        if self.behaviour.leave and self.draw() < self.behaviour.leave:
+            attempt.leave_timer = stage.later(int(wait * self.draw() * 0.3), self.leave_early, attempt)
+        if self.behaviour.slow_read and self.draw() < self.behaviour.slow_read:
+            connection.transport.pauseProducing()
+            stage.later(int(wait * 0.1), self.resume_reading, connection)
 
     @staticmethod
-    def read_on(seat):
-        if seat.up:
-            seat.transport.resumeProducing()
+    def resume_reading(connection):
+        if connection.up:
+            connection.transport.resumeProducing()
 
-    def quiet(self, try_):
+    def cancel_timers(self, attempt):
         """Its timers are not needed any more."""
-        for timer in (try_.timer, try_.leaver):
+        for timer in (attempt.timer, attempt.leave_timer):
             if timer is not None:
                 self.stage.drop(timer)
-        try_.timer = try_.leaver = None
+        attempt.timer = attempt.leave_timer = None
 
-    def answered(self, seat, try_, words, fields, body):
+    def answered(self, connection, attempt, start_line, fields, body):
         """A whole answer."""
-        stage, tx, status = self.stage, try_.tx, int(words[1]) if words[1].isdigit() else 0
-        self.quiet(try_)
+        stage, tx, status = self.stage, attempt.tx, int(start_line[1]) if start_line[1].isdigit() else 0
+        self.cancel_timers(attempt)
         after = fields.get('retry-after', '')
-        stage.see('answer', try_.id, status, digest(body), after)
-        if seat.ending or seat.fresh:
-            seat.transport.loseConnection()
+        stage.see('answer', attempt.id, status, digest(body), after)
+        if connection.ending or connection.fresh:
+            connection.transport.loseConnection()
         else:
-            self.rest(seat)
+            self.mark_idle(connection)
         if status == 200:
-            self.over(tx, 'served')
+            self.finish(tx, 'served')
         elif status in (429, 503):
-            self.again(tx, 'refused', after)
+            self.retry(tx, 'refused', after)
         elif 400 <= status < 500 and status != 409:
-            self.over(tx, 'rejected')
+            self.finish(tx, 'rejected')
         else:
-            self.again(tx, 'failed', '')
+            self.retry(tx, 'failed', '')
 
-    def rest(self, seat):
-        seat.try_ = None
-        if seat.up and not seat.ending:
-            self.idle.setdefault(seat.node, []).append(seat)
+    def mark_idle(self, connection):
+        connection.attempt = None
+        if connection.up and not connection.ending:
+            self.idle.setdefault(connection.node, []).append(connection)
 
-    def again(self, tx, outcome, after):
+    def retry(self, tx, outcome, after):
         """Try once more, where that does no harm by what the client was told and knows."""
-        given, now = self.given, self.stage.clock()
-        may = tx.tries <= given.retries and not self.stopped
+        behaviour, now = self.behaviour, self.stage.clock()
+        may = tx.tries <= behaviour.retries and not self.stopped
         if outcome != 'refused':
             may = may and tx.profile.effect != 'single_shot'
         if tx.profile.effect == 'guarded' and tx.first is not None:
             # Past that a repeat of the client's own could come outside of the window.
             may = may and now - tx.first < tx.profile.window_s * 1e6 / 4
         if not may:
-            self.over(tx, outcome)
+            self.finish(tx, outcome)
             return
-        wait = given.wait_ms * 1_000 * 2 ** (tx.tries - 1) * (0.5 + self.draw())
-        if after and self.draw() < given.honour:
+        wait = behaviour.wait_ms * 1_000 * 2 ** (tx.tries - 1) * (0.5 + self.draw())
+        if after and self.draw() < behaviour.honour:
             wait = max(wait, float(after) * 1e6)
-        self.stage.later(int(wait) + 1, self.attempt, tx)
+        self.stage.later(int(wait) + 1, self.start_attempt, tx)
 
-    def unreached(self, try_):
+    def on_unreachable(self, attempt):
         """The node took no connection: nothing was sent, unless this was the second try of one that crossed
         with a close. That one may have run: the node is gone, and nobody knows."""
-        self.quiet(try_)
-        if try_.asked is not None:
-            self.stage.see('cut', try_.id)
-        try_.seat = None
-        self.again(try_.tx, 'refused' if try_.asked is None else 'failed', '')
+        self.cancel_timers(attempt)
+        if attempt.sent_at is not None:
+            self.stage.see('cut', attempt.id)
+        attempt.connection = None
+        self.retry(attempt.tx, 'refused' if attempt.sent_at is None else 'failed', '')
 
-    def gave_up(self, try_):
+    def on_timeout(self, attempt):
         """No answer in time; one that has begun is read to its end."""
-        if try_.seat is not None and try_.seat.parser.begun_large:
-            try_.timer = self.stage.later(300_000, self.gave_up, try_)
+        if attempt.connection is not None and attempt.connection.parser.begun_large:
+            attempt.timer = self.stage.later(300_000, self.on_timeout, attempt)
             return
-        seat, try_.seat = try_.seat, None
-        self.quiet(try_)
-        if seat is not None:
-            seat.try_ = seat.wanted = None
-            if seat.up:
-                seat.transport.abortConnection()
-        self.again(try_.tx, 'failed', '')
-
-    def leave(self, try_):
+        connection, attempt.connection = attempt.connection, None
+        self.cancel_timers(attempt)
+        if connection is not None:
+            connection.attempt = connection.pending = None
+            if connection.up:
+                connection.transport.abortConnection()
+        self.retry(attempt.tx, 'failed', '')
+
+    def leave_early(self, attempt):
         """The client goes before its answer."""
-        seat, try_.seat = try_.seat, None
-        if seat is None or seat.try_ is not try_:
+        connection, attempt.connection = attempt.connection, None
+        if connection is None or connection.attempt is not attempt:
             return
-        self.quiet(try_)
-        self.stage.see('left', try_.id)
-        seat.try_ = None
-        seat.transport.loseConnection()
-        self.over(try_.tx, 'left')
+        self.cancel_timers(attempt)
+        self.stage.see('left', attempt.id)
+        connection.attempt = None
+        connection.transport.loseConnection()
+        self.finish(attempt.tx, 'left')
 
-    def ended(self, seat):
+    def connection_closed(self, connection):
         """A connection is over."""
-        idle = self.idle.get(seat.node)
-        if idle and seat in idle:
-            idle.remove(seat)
-        try_, seat.try_ = seat.try_, None
-        if try_ is None:
+        idle = self.idle.get(connection.node)
+        if idle and connection in idle:
+            idle.remove(connection)
+        attempt, connection.attempt = connection.attempt, None
+        if attempt is None:
             return
-        self.quiet(try_)
-        crossed = seat.used > 1 and self.stage.clock() - try_.asked <= CROSSED and not seat.parser.buffer
-        if crossed and not try_.crossed:
-            try_.crossed = True  # the node had closed between requests: once more, on a new one
-            self.go(try_)
+        self.cancel_timers(attempt)
+        crossed_close = (
+            connection.used > 1
+            and self.stage.clock() - attempt.sent_at <= CROSSING_US
+            and not connection.parser.buffer
+        )
+        if crossed_close and not attempt.crossed_close:
+            attempt.crossed_close = True  # the node had closed between requests: once more, on a new one
+            self.dispatch(attempt)
             return
-        self.stage.see('cut', try_.id)
-        self.again(try_.tx, 'failed', '')
+        self.stage.see('cut', attempt.id)
+        self.retry(attempt.tx, 'failed', '')
 
-    def over(self, tx, outcome):
+    def finish(self, tx, outcome):
         """What became of it."""
         self.open -= 1
         self.stage.see('over', tx.number, outcome, self.stage.clock() - tx.since)
 
     # --- bad clients ------------------------------------------------------------------------------------
 
-    def rude(self):
+    def connect_misbehaving(self):
         """Somebody who sends what cannot be read, or nothing."""
         if self.stopped:
             return
-        self.stage.later(int(self.chance.expovariate(self.given.rude) * 1e6), self.rude)
-        node = self.stage.front(self.draw)
+        self.stage.later(int(self.chance.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving)
+        node = self.stage.pick_node(self.draw)
         if node is not None:
-            kinds = sorted(RUDE)
+            kinds = sorted(MISBEHAVIOURS)
             kind = kinds[int(self.draw() * len(kinds))]
-            made = Rude(self, node, kind)
-            self.stage.connect(node.address, Dialled(made), self.stage.client_address(node))
+            made = MisbehavingClient(self, node, kind)
+            self.stage.connect(node.address, SingleConnectionFactory(made), self.stage.client_address(node))
 
 
 HEAD = b'GET /read/k HTTP/1.1\r\nHost: x\r\n'
-RUDE = {
+MISBEHAVIOURS = {
     'silent': b'',
     'noise': b'\x16\x03\x01\x00\xff\x00\r\n\r\n',
     'endless': b'GET /read/k HTTP/1.1\r\n' + b'X-Pad: aaaaaaaaaaaaaaaaaaaaaaaa\r\n' * 700,
@@ -397,12 +434,12 @@
 }
 
 
-class Rude(Talker):
+class MisbehavingClient(HttpConnection):
     """A bad client's connection: it is owed an error or a close."""
 
     def __init__(self, crowd, node, kind):
         super().__init__()
-        self.crowd, self.node, self.kind, self.since, self.told = (
+        self.crowd, self.node, self.kind, self.since, self.reported = (
             crowd,
             node,
             kind,
@@ -415,25 +452,25 @@
 
     def connectionMade(self):
         super().connectionMade()
-        self.put(RUDE[self.kind])
-        self.crowd.stage.later(3_500_000, self.late)
+        self.put(MISBEHAVIOURS[self.kind])
+        self.crowd.stage.later(3_500_000, self.give_up)
 
-    def failed(self):
-        self.say('unreached')
+    def on_connect_failed(self):
+        self.report('unreached')
 
-    def say(self, outcome):
-        if not self.told:
-            self.told = True
+    def report(self, outcome):
+        if not self.reported:
+            self.reported = True
             self.crowd.stage.see('rude', self.kind, self.node.name, outcome, self.clock() - self.since)
 
-    def message(self, begun, words, fields, body):
-        self.say('served' if words[1] == '200' else 'error')
+    def on_message(self, begun, start_line, fields, body):
+        self.report('served' if start_line[1] == '200' else 'error')
         self.transport.loseConnection()
 
-    def ended(self):
-        self.say('closed')
+    def on_close(self):
+        self.report('closed')
 
-    def late(self):
-        if not self.told:
-            self.say('nothing')
+    def give_up(self):
+        if not self.reported:
+            self.report('nothing')
             self.transport.abortConnection()
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -8,9 +8,9 @@
 
 from twisted.internet.protocol import Factory
 
-from .wire import Talker, answer
+from .wire import HttpConnection, answer
 
-LIFE = {'ready': 'SERVING', 'draining': 'DRAINING', 'gone': 'DELETED'}
+LIFECYCLES = {'ready': 'SERVING', 'draining': 'DRAINING', 'gone': 'DELETED'}
 
 
 class Roster:
@@ -29,13 +29,13 @@
         else:
             self.rows[name] = row
         for agent in self.agents:
-            agent.learn(self.version, row, quiet)
+            agent.schedule_change(self.version, row, quiet)
 
     def restarted(self, name, started):
         if name in self.rows:
             self.put(name, 'ready', started=started)
 
-    def whole(self):
+    def snapshot(self):
         """A copy of the list."""
         return {name: dict(row) for name, row in self.rows.items()}
 
@@ -49,22 +49,22 @@
         self.stage, self.node, self.address, self.port = stage, place.name, place.agent, None
         self.number = place.number
         self.roster = stage.roster
-        self.rows, self.version = self.roster.whole(), self.roster.version
-        self.coming, self.ready_at = [], 0  # changes on their way here, in order
+        self.rows, self.version = self.roster.snapshot(), self.roster.version
+        self.coming, self.next_change_at = [], 0  # changes on their way here, in order
         self.log = []  # (version, row) of changes known here
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
         self.chance = stage.chance('agent ' + place.name)
         self.roster.agents.append(self)
-        self.beating = False
+        self.heartbeat_started = False
 
     def buildProtocol(self, addr):
-        return Ask(self)
+        return AgentConnection(self)
 
     def open(self):
         self.port = self.stage.listen(self, self.address)
-        if not self.beating:
-            self.beating = True
-            self.beat()
+        if not self.heartbeat_started:
+            self.heartbeat_started = True
+            self.send_heartbeat()
 
     def move(self, address):
         """The agent is elsewhere: the old address takes nobody new, and closes the open ones in a while."""
@@ -76,18 +76,18 @@
 
     # --- what it knows ----------------------------------------------------------------------------------
 
-    def learn(self, version, row, quiet):
+    def schedule_change(self, version, row, quiet):
         """A change is on its way."""
         low, high = self.stage.scenario.discovery.lag_s
         now = self.stage.clock()
         wait = 0 if quiet else int((low + (high - low) * self.chance.random()) * 1e6) + self.lag
-        self.ready_at = max(now + wait, self.ready_at)
-        if self.ready_at <= now:
-            self.know(version, row)
+        self.next_change_at = max(now + wait, self.next_change_at)
+        if self.next_change_at <= now:
+            self.apply_change(version, row)
         else:
-            self.stage.later(self.ready_at - now, self.know, version, row)
+            self.stage.later(self.next_change_at - now, self.apply_change, version, row)
 
-    def know(self, version, row):
+    def apply_change(self, version, row):
         """It is here, and goes out on the watches."""
         self.stage.see('due', self.node, row['name'], row['state'])
         self.version = version
@@ -100,7 +100,7 @@
             del self.log[:2_500]
         if not self.silent:
             for watch in list(self.watches):
-                watch.tell()
+                watch.send_changes()
 
     def entry(self, row):
         started = row['started']
@@ -110,7 +110,7 @@
             'zone': row['zone'],
             'machineType': row['kind'],
             'cell': row['cell'],
-            'lifecycle': LIFE[row['state']],
+            'lifecycle': LIFECYCLES[row['state']],
             'weight': row['weight'],
             'startedAtMs': self.stage.unix_ms(started) if started else 0,
         }
@@ -123,7 +123,7 @@
             'instances': [self.entry(row) for row in self.rows.values()],
         }
 
-    def since(self, version):
+    def changes_since(self, version):
         """What changed after a version, or the whole list."""
         if (
             version is None
@@ -144,19 +144,19 @@
             'instances': [self.entry(row) for row in latest.values()],
         }
 
-    def beat(self):
+    def send_heartbeat(self):
         """An empty line now and then."""
         if not self.silent:
             for watch in list(self.watches):
                 watch.write(b'\n')
-        self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.beat)
+        self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.send_heartbeat)
 
     def hush(self, on):
         """Discovery is down, or back."""
         self.silent = on
         if not on:
             for watch in list(self.watches):
-                watch.tell()
+                watch.send_changes()
 
     def cut(self, half):
         """Watches end, in the middle of a line if asked."""
@@ -166,7 +166,7 @@
             watch.transport.loseConnection()
 
 
-class Ask(Talker):
+class AgentConnection(HttpConnection):
     """A node's connection to its agent."""
 
     def __init__(self, agent):
@@ -176,13 +176,13 @@
     def clock(self):
         return self.agent.stage.clock()
 
-    def message(self, begun, words, fields, body):
-        path, _, query = words[1].partition('?')
+    def on_message(self, begun, start_line, fields, body):
+        path, _, query = start_line[1].partition('?')
         asked = dict(pair.partition('=')[::2] for pair in query.split('&') if pair)
         if path != '/v1/endpoints':
             self.put(answer(404))
         elif asked.get('stream') != '1':
-            self.told(self.agent.page())
+            self.record_told(self.agent.page())
             self.put(answer(200, json.dumps(self.agent.page()).encode()))
         elif self.agent.silent:
             self.agent.watches[self] = None  # it answers once it is back
@@ -190,23 +190,23 @@
         else:
             self.agent.watches[self] = None
             self.at = int(asked['index']) if 'index' in asked else None
-            self.tell()
+            self.send_changes()
 
-    def tell(self):
+    def send_changes(self):
         """All that this watch has not been told."""
         if not self.watching:
             self.watching = True
             self.put(b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n')
         elif self.at == self.agent.version:
             return
-        page = self.agent.since(self.at)
+        page = self.agent.changes_since(self.at)
         self.at = self.agent.version
-        self.told(page)
+        self.record_told(page)
         self.write(json.dumps(page).encode() + b'\n')
 
-    def told(self, page):
+    def record_told(self, page):
         see, node = self.agent.stage.see, self.agent.node
-        states = {value: key for key, value in LIFE.items()}
+        states = {value: key for key, value in LIFECYCLES.items()}
         if page['reset']:
             see('told', node, '*', ','.join(row['instanceId'] for row in page['instances']))
         for row in page['instances']:
@@ -216,5 +216,5 @@
         if self.watching:
             self.put(b'%x\r\n%s\r\n' % (len(data), data))
 
-    def ended(self):
+    def on_close(self):
         self.agent.watches.pop(self, None)
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -14,7 +14,7 @@
     __slots__ = (
         'hop',
         'id',
-        'mark',
+        'idempotency_key',
         'key',
         'write',
         'effect',
@@ -30,8 +30,15 @@
         'miss',
     )
 
-    def __init__(self, hop, id_, mark, key, profile, work, until, done):
-        self.hop, self.id, self.mark, self.key, self.work, self.until = hop, id_, mark, key, work, until
+    def __init__(self, hop, id_, idempotency_key, key, profile, work, until, done):
+        self.hop, self.id, self.idempotency_key, self.key, self.work, self.until = (
+            hop,
+            id_,
+            idempotency_key,
+            key,
+            work,
+            until,
+        )
         self.write, self.effect = profile.write, profile.effect
         self.group, self.window = profile.group, int(profile.window_s * 1e6)
         self.done = done  # called with the job once: outcome is set
@@ -44,7 +51,7 @@
 
     def __init__(self):
         self.servers, self.origin = {}, None
-        self.marks = {}  # (scope, mark) -> when it first ran
+        self.first_runs = {}  # (scope, mark) -> when it first ran
         self.versions = {}  # key -> how often it was written
         self.missed = {}  # id -> servers that lacked its key
 
@@ -76,7 +83,7 @@
         self.kind, self.caches, self.rules = kind.name, scenario.caches, scenario.rules
         self.cores, self.speed, self.queue_limit = kind.cores, kind.speed, kind.queue
         self.keeps = getattr(kind, 'keeps', 0)
-        self.multiple = scenario.origin.fall_multiple if origin else scenario.rules.fall_multiple
+        self.overload_multiple = scenario.origin.fall_multiple if origin else scenario.rules.fall_multiple
         self.fall_us = int(1e6 * (scenario.origin.fall_s if origin else scenario.rules.fall_s))
         self.down_us = int(1e6 * (scenario.origin.down_s if origin else scenario.caches.down_s))
         self.error_rate = getattr(kind, 'error_rate', 0.0)
@@ -85,12 +92,12 @@
         self.kept = OrderedDict()  # key -> (version, until when)
         self.fetching = {}  # key -> jobs that wait for a fetch of this server's own (mode through)
         self.running, self.waiting = {}, deque()
-        self.sent, self.load = deque(), 0.0  # work that came lately, for falling over
-        self.slow, self.hung, self.draining, self.fallen, self.standing = 1.0, False, False, False, 0
-        self.fell = lambda: None  # told when it falls over
-        self.frozen = deque()  # jobs that a hung server has finished and does not answer
+        self.recent_work, self.load = deque(), 0.0  # work that came lately, for falling over
+        self.slow, self.hung, self.draining, self.fallen, self.stalled_until = 1.0, False, False, False, 0
+        self.on_fall = lambda: None  # told when it falls over
+        self.unanswered = deque()  # jobs that a hung server has finished and does not answer
 
-    def presence(self, at=None):
+    def capacity_share(self, at=None):
         """What it can do of its whole capacity at that time."""
         if not self.started:
             return 1.0
@@ -99,7 +106,7 @@
 
     # --- values -----------------------------------------------------------------------------------------
 
-    def keep(self, key, version=None):
+    def store(self, key, version=None):
         """Take a value in; the one used longest ago makes way."""
         self.kept[key] = (
             self.fleet.versions.get(key, 0) if version is None else version,
@@ -109,7 +116,7 @@
         while len(self.kept) > self.keeps:
             self.kept.popitem(last=False)
 
-    def has(self, key):
+    def has_fresh(self, key):
         """Whether a value is here and good."""
         if self.origin:
             return True
@@ -122,7 +129,7 @@
         self.kept.move_to_end(key)
         return True
 
-    def fetched_now(self, key):
+    def fetch_running(self, key):
         """Whether the origin is at work on a fetch of a key: then a miss is `pending`, where servers tell
         so."""
         origin = self.fleet.origin
@@ -139,31 +146,31 @@
     def offer(self, job):
         """A hop has come whole. False: it is declined, and surely never ran."""
         now = self.clock()
-        self.push(now, job.work)
+        self.track_load(now, job.work)
         if self.fallen:
             return True  # its connections are being reset
         if self.draining or job.until <= now or len(self.waiting) >= self.queue_limit:
             return False
-        if len(self.running) < self.cores and now >= self.standing:
+        if len(self.running) < self.cores and now >= self.stalled_until:
             self.start(job)
         else:
             job.state = 'waiting'
             self.waiting.append(job)
         return True
 
-    def push(self, now, work):
+    def track_load(self, now, work):
         """Guards nobody: a server that is sent more than the multiple of what it can do, for the time, falls
         over."""
         if not self.origin and not self.started:
             return
-        sent = self.sent
-        sent.append((now, work))
+        recent_work = self.recent_work
+        recent_work.append((now, work))
         self.load += work
-        while sent and sent[0][0] <= now - self.fall_us:
-            self.load -= sent.popleft()[1]
-        capacity = self.cores * self.speed * self.presence() * self.fall_us
-        if self.load > 1.15 * self.multiple * capacity + 2 * work and not self.fallen:
-            if self.origin or self.presence() < 1:
+        while recent_work and recent_work[0][0] <= now - self.fall_us:
+            self.load -= recent_work.popleft()[1]
+        capacity = self.cores * self.speed * self.capacity_share() * self.fall_us
+        if self.load > 1.15 * self.overload_multiple * capacity + 2 * work and not self.fallen:
+            if self.origin or self.capacity_share() < 1:
                 self.fallen = True
                 self.see(
                     'server',
@@ -176,44 +183,44 @@
                     self.started,
                     self.origin,
                 )
-                self.fell()
+                self.on_fall()
 
     def start(self, job):
         now = self.clock()
         job.state, job.began = 'running', now
         self.running[job.hop] = job
-        job.miss = not job.write and not self.has(job.key)
+        job.miss = not job.write and not self.has_fresh(job.key)
         if job.write and not self.origin and self.caches.mode == 'aside':
             job.miss = True
         work = job.work * (self.caches.miss_cost if job.miss else 1.0)
-        took = int(work * self.slow / (self.speed * self.presence())) + 1
-        job.timer = self.later(took, self.finish, job)
+        duration = int(work * self.slow / (self.speed * self.capacity_share())) + 1
+        job.timer = self.later(duration, self.finish, job)
 
     def finish(self, job):
         """Its work is done, unless all stands still."""
-        if self.clock() < self.standing:
-            job.timer = self.later(self.standing - self.clock(), self.finish, job)
+        if self.clock() < self.stalled_until:
+            job.timer = self.later(self.stalled_until - self.clock(), self.finish, job)
             return
         job.timer = None
         self.see('worked', job.hop, self.clock() - job.began)
         del self.running[job.hop]
         job.state = 'done'
-        self.settle(job)
-        self.next()
+        self.complete(job)
+        self.start_waiting()
         if self.hung:
-            self.frozen.append(job)
+            self.unanswered.append(job)
         elif job.outcome is not None:
             job.done(job)
 
-    def settle(self, job):
+    def complete(self, job):
         """What came of it, and what it changed."""
         fleet = self.fleet
         if self.chance.random() < self.error_rate:
             job.outcome = 'error'
-            self.run(job)
+            self.apply(job)
             return
         if job.miss:
-            self.see('missed', job.hop, int(self.presence() < 1))
+            self.see('missed', job.hop, int(self.capacity_share() < 1))
             if self.caches.mode == 'through':
                 self.fetch(job)
                 return
@@ -221,23 +228,23 @@
             job.outcome = 'miss'
             return
         job.outcome = 'served'
-        self.run(job)
+        self.apply(job)
         if self.origin and not job.write:
             for name in fleet.missed.pop(job.id, ()):
                 if name in fleet.servers and not fleet.servers[name].fallen:
-                    fleet.servers[name].keep(job.key)
+                    fleet.servers[name].store(job.key)
 
-    def run(self, job):
+    def apply(self, job):
         """It takes effect, unless its mark is known."""
         fleet = self.fleet
-        place, now = (fleet.scope(self, job), job.mark), self.clock()
-        first = fleet.marks.get(place) if job.mark else None
+        dedup_key, now = (fleet.scope(self, job), job.idempotency_key), self.clock()
+        first = fleet.first_runs.get(dedup_key) if job.idempotency_key else None
         if first is not None and now - first <= job.window:
-            self.see('repeat', job.hop, job.id, job.mark)
+            self.see('repeat', job.hop, job.id, job.idempotency_key)
             return
-        if job.mark:
-            fleet.marks[place] = now
-        self.see('effect', job.hop, job.id, job.mark)
+        if job.idempotency_key:
+            fleet.first_runs[dedup_key] = now
+        self.see('effect', job.hop, job.id, job.idempotency_key)
         if job.write:
             fleet.versions[job.key] = fleet.versions.get(job.key, 0) + 1
             for server in fleet.servers.values():
@@ -251,7 +258,7 @@
         self.fetching.setdefault(job.key, []).append(job)
         origin = self.fleet.origin
         asked = Job(
-            '%s/%s' % (self.name, job.hop), job.id, '', job.key, Plain, job.work * 1.5, job.until, None
+            '%s/%s' % (self.name, job.hop), job.id, '', job.key, FetchProfile, job.work * 1.5, job.until, None
         )
         asked.done = lambda _: self.fetched(job.key, True)
         if origin is None or not origin.offer(asked) or origin.fallen:
@@ -261,17 +268,17 @@
         """The origin has answered, or not."""
         jobs = self.fetching.pop(key, [])
         if well:
-            self.keep(key)
+            self.store(key)
         for job in jobs:
             job.outcome = 'served' if well else 'error'
-            self.see('effect', job.hop, job.id, job.mark)
+            self.see('effect', job.hop, job.id, job.idempotency_key)
             if not self.hung:
                 job.done(job)
 
-    def next(self):
+    def start_waiting(self):
         """The one that waited longest; who is over its time, or gone, is dropped unrun."""
         now = self.clock()
-        while self.waiting and len(self.running) < self.cores and now >= self.standing:
+        while self.waiting and len(self.running) < self.cores and now >= self.stalled_until:
             job = self.waiting.popleft()
             if job.state != 'waiting':
                 continue
@@ -293,24 +300,24 @@
             del self.running[job.hop]
             self.see('dropped', job.hop, 1)
             self.see('worked', job.hop, self.clock() - job.began)
-            self.next()
+            self.start_waiting()
 
     # --- troubles ---------------------------------------------------------------------------------------
 
     def thaw(self):
         """A hung server answers again what it has done meanwhile."""
         self.hung = False
-        while self.frozen:
-            job = self.frozen.popleft()
+        while self.unanswered:
+            job = self.unanswered.popleft()
             if job.outcome is not None:
                 job.done(job)
 
-    def stand(self, until):
+    def stall(self, until):
         """All its cores stand still until then."""
-        self.standing = until
-        self.later(max(1, until - self.clock()), self.next)
+        self.stalled_until = until
+        self.later(max(1, until - self.clock()), self.start_waiting)
 
-    def wipe(self):
+    def clear_all(self):
         """The process has ended: what it worked on and kept is gone."""
         for job in self.running.values():
             if job.timer is not None:
@@ -320,14 +327,14 @@
         for job in self.waiting:
             job.state = 'gone'
         self.waiting.clear()
-        self.frozen.clear()
+        self.unanswered.clear()
         self.kept.clear()
         self.fetching.clear()
-        self.sent.clear()
+        self.recent_work.clear()
         self.load = 0.0
 
 
-class Plain:
+class FetchProfile:
     """What a fetch of a server's own is, as a profile."""
 
     write, effect, group, window_s = False, 'free', 'all', 1.0
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -9,20 +9,20 @@
 from twisted.internet.protocol import Factory
 
 from .model import Job
-from .wire import LARGE, Talker, answer, answer_in_chunks, answer_until_the_end, digest
+from .wire import LARGE_BODY, HttpConnection, answer, chunked_answer, close_delimited_answer, digest
 
 FILL = b'lilacdyke-lab-' * 30_000
 PIECES = 8  # in so many a large answer is given, where that takes time
 CHUNK = 16_000  # bytes of one chunk
 
 
-class Seat(Talker):
+class ServerConnection(HttpConnection):
     """One connection at a server."""
 
     def __init__(self, server):
         super().__init__()
         self.server, self.job, self.used = server, None, False
-        self.giving = None  # the hop whose large answer was the last to be given here
+        self.large_job = None  # the hop whose large answer was the last to be given here
 
     def clock(self):
         return self.server.stage.clock()
@@ -30,20 +30,20 @@
     def connectionMade(self):
         super().connectionMade()
         server = self.server
-        server.seats[self] = None
+        server.connections[self] = None
         self.node = server.stage.ground.node_of(self.transport)
         server.stage.see('link', server.name, self.node)
-        if server.stage.mosts:
-            server.stage.see('seats', server.name, len(server.seats))
-        self.quiet()
+        if server.stage.limit_values:
+            server.stage.see('seats', server.name, len(server.connections))
+        self.touch()
 
-    def quiet(self):
+    def touch(self):
         """It ends unless something is asked on it in time."""
         self.last = self.clock()
 
-    def message(self, begun, words, fields, body):
-        self.last, self.giving = self.clock(), None
-        if words[1] in ('/health', '/status/load'):
+    def on_message(self, begun, start_line, fields, body):
+        self.last, self.large_job = self.clock(), None
+        if start_line[1] in ('/health', '/status/load'):
             self.put(answer(200, b'{}'))
         elif self.job is not None:
             self.server.stage.see('error', self.node, 'a second request on a busy connection')
@@ -51,7 +51,7 @@
         elif 'req-id' not in fields:
             self.put(answer(404))
         else:
-            self.server.hop(self, begun, words, fields, body)
+            self.server.hop(self, begun, start_line, fields, body)
 
     def put_piece(self, data):
         """A piece of an answer: the connection does not stand idle."""
@@ -63,8 +63,8 @@
         if self.up:
             self.transport.loseConnection()
 
-    def ended(self):
-        self.server.seats.pop(self, None)
+    def on_close(self):
+        self.server.connections.pop(self, None)
         job, self.job = self.job, None
         if job is not None:
             self.server.model.cancel(job)
@@ -83,78 +83,80 @@
             address,
             number,
         )
-        self.seats, self.port, self.cap = {}, None, 1 << 30
+        self.connections, self.port, self.cap = {}, None, 1 << 30
         self.idle = int(stage.scenario.caches.idle_s * 1e6)
         self.garbled = self.halved = self.extra = 0.0  # shares of answers
         self.refusing = False
         self.handshake = int(stage.scenario.caches.handshake_ms * 1_000)
         self.chance = stage.chance('server ' + self.name)
-        model.fell = self.fall
+        model.on_fall = self.fall
 
     def buildProtocol(self, addr):
-        if len(self.seats) >= self.cap:
+        if len(self.connections) >= self.cap:
             return None
-        return Seat(self)
+        return ServerConnection(self)
 
     # --- hops -------------------------------------------------------------------------------------------
 
-    def hop(self, seat, begun, words, fields, body):
+    def hop(self, connection, begun, start_line, fields, body):
         """A hop has come whole."""
         stage, model = self.stage, self.model
-        parts = words[1].split('?')[0].split('/')
+        parts = start_line[1].split('?')[0].split('/')
         profile = stage.profiles.get(parts[1]) if len(parts) > 2 else None
         id_, number = fields['req-id'], stage.number()
-        if profile is not None and stage.strangers:
-            stage.asked.setdefault(id_, profile.work_ms * 1_000)
-        if profile is None or id_ not in stage.asked:
-            stage.see('error', seat.node, 'a hop that no client asked for: %s' % id_[:40])
-            seat.put(answer(400))
+        if profile is not None and stage.serve_unknown:
+            stage.work_of.setdefault(id_, profile.work_ms * 1_000)
+        if profile is None or id_ not in stage.work_of:
+            stage.see('error', connection.node, 'a hop that no client asked for: %s' % id_[:40])
+            connection.put(answer(400))
             return
-        mark = fields.get('idempotency-key', '') if profile.effect == 'guarded' else ''
-        work = stage.asked[id_] * (stage.scenario.origin.work if model.origin else 1.0)
+        idempotency_key = fields.get('idempotency-key', '') if profile.effect == 'guarded' else ''
+        work = stage.work_of[id_] * (stage.scenario.origin.work if model.origin else 1.0)
         try:
             until = self.clock() + int(float(fields.get('req-deadline', '10')) * 1e6)
         except ValueError:
-            seat.put(answer(400))
+            connection.put(answer(400))
             return
-        if (words[0] == 'PUT') != profile.write:
-            stage.see('error', seat.node, 'a method changed on the way: %s' % words[0])
-        if profile.write and digest(body) != stage.bodies.get(id_, digest(body) if stage.strangers else None):
-            stage.see('error', seat.node, 'a body changed on the way')
+        if (start_line[0] == 'PUT') != profile.write:
+            stage.see('error', connection.node, 'a method changed on the way: %s' % start_line[0])
+        if profile.write and digest(body) != stage.body_digests.get(
+            id_, digest(body) if stage.serve_unknown else None
+        ):
+            stage.see('error', connection.node, 'a body changed on the way')
         key = parts[-1]
-        stage.see('hop', number, self.name, id_, mark, seat.node, begun, int(work), key)
-        if not seat.used and self.handshake:
-            seat.used, work = True, work + self.handshake
-        job = Job(number, id_, mark, key, profile, work, until, None)
-        job.done = lambda job: self.reply(seat, job)
-        seat.job = job
+        stage.see('hop', number, self.name, id_, idempotency_key, connection.node, begun, int(work), key)
+        if not connection.used and self.handshake:
+            connection.used, work = True, work + self.handshake
+        job = Job(number, id_, idempotency_key, key, profile, work, until, None)
+        job.done = lambda job: self.reply(connection, job)
+        connection.job = job
         if not model.offer(job):
             job.outcome = 'declined'
-            self.reply(seat, job)
+            self.reply(connection, job)
 
     def clock(self):
         return self.stage.clock()
 
-    def reply(self, seat, job):
+    def reply(self, connection, job):
         """Answer, if the hop is still waited for on its connection."""
         if job.outcome == 'declined':
             self.stage.see('refused', job.hop)
-        if seat.job is not job:
+        if connection.job is not job:
             return
-        seat.job = None
-        seat.last = self.clock()
+        connection.job = None
+        connection.last = self.clock()
         if job.outcome == 'declined':
-            seat.put(answer(503, b'full\n', 'Srv-Declined: 1\r\n'))
+            connection.put(answer(503, b'full\n', 'Srv-Declined: 1\r\n'))
             return
-        note, ends, large = '', False, None
+        headers, ends, large = '', False, None
         caches = self.model.caches
         if caches.tells and not self.model.origin:
-            word = 'hit' if not job.miss else 'pending' if self.model.fetched_now(job.key) else 'miss'
-            note = 'Srv-Cache: %s\r\n' % word
+            word = 'hit' if not job.miss else 'pending' if self.model.fetch_running(job.key) else 'miss'
+            headers = 'Srv-Cache: %s\r\n' % word
         if caches.reports:
-            note += 'Srv-Load: {"queue":%d}\r\n' % len(self.model.waiting)
+            headers += 'Srv-Load: {"queue":%d}\r\n' % len(self.model.waiting)
         if job.outcome == 'miss':
-            data = answer(404, b'', note)
+            data = answer(404, b'', headers)
         elif job.outcome == 'error':
             data = answer(500, b'error\n')
         else:
@@ -166,25 +168,25 @@
             )
             body += FILL[: max(0, self.size(job.key) - len(body))]
             self.stage.see('made', job.hop, job.id, digest(body))
-            data, ends = self.framed(body, note)
-            large = job if len(body) > LARGE else None
-        self.spoil(seat, data, ends, large)
+            data, ends = self.frame_answer(body, headers)
+            large = job if len(body) > LARGE_BODY else None
+        self.send_answer(connection, data, ends, large)
 
-    def begin_giving(self, seat, job, told):
+    def begin_large_answer(self, connection, job, length_known):
         """A large answer begins. told: whether its length is. One whose length is not told is known for large
         only as its second piece comes: until then nobody can tell it from one whose server hangs."""
-        seat.giving = job
-        wait = 0 if told else self.between_pieces()
+        connection.large_job = job
+        wait = 0 if length_known else self.piece_interval()
         if wait:
-            self.stage.later(wait, self.see_giving, seat, job)
+            self.stage.later(wait, self.record_large_answer, connection, job)
         else:
-            self.see_giving(seat, job)
+            self.record_large_answer(connection, job)
 
-    def see_giving(self, seat, job):
-        if seat.giving is job and seat.up:
+    def record_large_answer(self, connection, job):
+        if connection.large_job is job and connection.up:
             self.stage.see('giving', job.hop, job.id)
 
-    def between_pieces(self):
+    def piece_interval(self):
         """Microseconds between two pieces of a large answer; 0: it is given at once."""
         return int(self.model.caches.give_ms * 1_000) // PIECES
 
@@ -195,21 +197,21 @@
             load.large_bytes if crc32(key.encode()) % 1_000 < load.large_share * 1_000 else load.value_bytes
         )
 
-    def framed(self, body, note):
+    def frame_answer(self, body, headers):
         """A good answer in one of its forms, and whether it lasts until the connection ends."""
         untold = self.model.caches.untold
         if not untold or self.chance.random() >= untold:
-            return answer(200, body, note), False
+            return answer(200, body, headers), False
         if self.chance.random() < 0.5:
-            return answer_in_chunks(body, note, CHUNK), False
-        return answer_until_the_end(body, note), True
+            return chunked_answer(body, headers, CHUNK), False
+        return close_delimited_answer(body, headers), True
 
-    def spoil(self, seat, data, ends=False, large=None):
+    def send_answer(self, connection, data, ends=False, large=None):
         """Send an answer, as it is or as a trouble makes it. ends: the connection ends behind it; large: the
         hop whose large answer it is, None: it is none."""
         drawn = self.chance.random() if self.garbled or self.halved or self.extra else 1.0
         if drawn < self.garbled:
-            seat.put(
+            connection.put(
                 (
                     b'\x00\xff\r\nnoise',
                     b'HTTP/1.1 200 X\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabcde',
@@ -219,37 +221,39 @@
             )
             return
         if large is not None:
-            self.begin_giving(seat, large, b'Content-Length' in data[: data.index(b'\r\n\r\n')])
+            self.begin_large_answer(connection, large, b'Content-Length' in data[: data.index(b'\r\n\r\n')])
         if drawn < self.garbled + self.halved:
-            seat.put(data[: self.chance.randrange(1, len(data))])
-            self.breaks_off(seat)
+            connection.put(data[: self.chance.randrange(1, len(data))])
+            self.record_break(connection)
             # An orderly end would make half of an answer that lasts until then a whole one.
-            (seat.transport.abortConnection if ends else seat.transport.loseConnection)()
+            (connection.transport.abortConnection if ends else connection.transport.loseConnection)()
         elif drawn < self.garbled + self.halved + self.extra and not ends:
-            seat.put(data + (data, b'noise')[self.chance.randrange(2)])
+            connection.put(data + (data, b'noise')[self.chance.randrange(2)])
         else:
             if self.chance.random() < self.model.caches.ahead:
                 data = b'HTTP/1.1 103 Early\r\nX: 1\r\n\r\n' + data
-            self.give(seat, data, ends)
+            self.write_answer(connection, data, ends)
 
-    def breaks_off(self, seat):
+    def record_break(self, connection):
         """It ends a connection by itself, be it in the middle of a large answer."""
-        if seat.giving is not None:
-            self.stage.see('broke', seat.giving.hop, seat.giving.id)
+        if connection.large_job is not None:
+            self.stage.see('broke', connection.large_job.hop, connection.large_job.id)
 
-    def give(self, seat, data, ends):
+    def write_answer(self, connection, data, ends):
         """Send an answer: at once, or a large one as slowly as it is read from somewhere."""
-        every = self.between_pieces()
-        if not every or len(data) <= LARGE:
-            seat.put(data)
+        every = self.piece_interval()
+        if not every or len(data) <= LARGE_BODY:
+            connection.put(data)
             if ends:
-                seat.finish()
+                connection.finish()
             return
         size = -(-len(data) // PIECES)
         for number in range(PIECES):
-            self.stage.later(1 + every * number, seat.put_piece, data[size * number : size * (number + 1)])
+            self.stage.later(
+                1 + every * number, connection.put_piece, data[size * number : size * (number + 1)]
+            )
         if ends:
-            self.stage.later(2 + every * (PIECES - 1), seat.finish)
+            self.stage.later(2 + every * (PIECES - 1), connection.finish)
 
     # --- coming and going -------------------------------------------------------------------------------
 
@@ -257,9 +261,9 @@
         """Listen."""
         self.port = self.stage.listen(self, self.address)
         self.model.fallen = False
-        self.say('up')
+        self.record_state('up')
 
-    def say(self, what):
+    def record_state(self, what):
         model = self.model
         self.stage.see(
             'server',
@@ -278,14 +282,14 @@
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        for seat in list(self.seats):
-            self.breaks_off(seat)
-            seat.job = None
-            seat.up = False
-            seat.transport.abortConnection()
-        self.seats.clear()
-        self.model.wipe()
-        self.say(what)
+        for connection in list(self.connections):
+            self.record_break(connection)
+            connection.job = None
+            connection.up = False
+            connection.transport.abortConnection()
+        self.connections.clear()
+        self.model.clear_all()
+        self.record_state(what)
 
     def fall(self):
         """It was pushed over: down for a time, then back, cold."""
@@ -296,7 +300,7 @@
         """It stands still now and then, at times of its own."""
         caches = self.model.caches
         if self.port is not None:
-            self.model.stand(self.clock() + int(caches.pause_ms * 1_000))
+            self.model.stall(self.clock() + int(caches.pause_ms * 1_000))
         self.stage.later(int(caches.pause_every_s * 1e6 * self.chance.uniform(0.7, 1.3)), self.pause)
 
     def restart(self):
@@ -306,9 +310,13 @@
             self.open()
             self.stage.roster.restarted(self.name, self.model.started)
 
-    def sweep(self):
+    def close_idle(self):
         """Connections that have stood idle for too long end."""
         now = self.clock()
-        for seat in [seat for seat in self.seats if seat.job is None and now - seat.last > self.idle]:
-            self.seats.pop(seat, None)
-            seat.transport.loseConnection()
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.job is None and now - connection.last > self.idle
+        ]:
+            self.connections.pop(connection, None)
+            connection.transport.loseConnection()
--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -3,11 +3,11 @@
 Owns each call's connection and what became of it. Must never tell a node anything in another way.
 """
 
-from .clients import Dialled
-from .wire import Talker, request
+from .clients import SingleConnectionFactory
+from .wire import HttpConnection, request
 
 
-class Call(Talker):
+class OperatorCall(HttpConnection):
     """One call, on a connection of its own; done(status) at its answer, 0 without one."""
 
     def __init__(self, stage, method, path, done):
@@ -21,24 +21,24 @@
         super().connectionMade()
         self.put(self.text)
 
-    def message(self, begun, words, fields, body):
-        self.over(int(words[1]) if words[1].isdigit() else 0)
+    def on_message(self, begun, start_line, fields, body):
+        self.finish(int(start_line[1]) if start_line[1].isdigit() else 0)
         self.transport.loseConnection()
 
-    def failed(self):
+    def on_connect_failed(self):
         """No connection."""
-        self.over(0)
+        self.finish(0)
 
-    def ended(self):
-        self.over(0)
+    def on_close(self):
+        self.finish(0)
 
-    def over(self, status):
+    def finish(self, status):
         done, self.done = self.done, None
         if done is not None:
             done(status)
 
 
-class Staff:
+class Operators:
     """Who calls."""
 
     def __init__(self, stage):
@@ -47,7 +47,9 @@
     def ask(self, place, address, method, path, done):
         """One call to an address of a node."""
         self.stage.connect(
-            address, Dialled(Call(self.stage, method, path, done)), self.stage.client_address(place)
+            address,
+            SingleConnectionFactory(OperatorCall(self.stage, method, path, done)),
+            self.stage.client_address(place),
         )
 
     def tell(self, place, path, what, name):
@@ -59,7 +61,7 @@
                 self.stage.see('hand', place.name, what, name)
 
         if running is not None and not running.leaving:
-            self.ask(place, place.door, 'POST', '/v1/' + path, done)
+            self.ask(place, place.operator_address, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
         """What a node says to who asks whether it is ready; at a standstill or on its way out it says
--- a/lilacdyke/lab/reactor.py
+++ b/lilacdyke/lab/reactor.py
@@ -16,47 +16,47 @@
 from ..net.transports import OpenedConnection, PatientReactor
 from .world import MICRO
 
-TURN, EVENT = 20, 12  # microseconds that a turn costs, and each event in it
-ALWAYS = EPOLLERR | EPOLLHUP
+TURN_US, EVENT_US = 20, 12  # microseconds that a turn costs, and each event in it
+ERROR_EVENTS = EPOLLERR | EPOLLHUP
 
 
 class Poller:
     """epoll over simulated sockets: level-triggered, in the order in which they became ready."""
 
-    __slots__ = ('reactor', 'interest', 'hot')
+    __slots__ = ('reactor', 'interest', 'candidates')
 
     def __init__(self, reactor):
-        self.reactor, self.interest, self.hot = reactor, {}, {}
+        self.reactor, self.interest, self.candidates = reactor, {}, {}
 
-    def watch(self, made, fd, mask):
+    def watch(self, sock, fd, mask):
         """What to look for on one; 0: nothing any more."""
         if mask:
             self.interest[fd] = mask
-            made.poller = self
-            if made.events() & (mask | ALWAYS):
-                self.stir(made)
+            sock.poller = self
+            if sock.events() & (mask | ERROR_EVENTS):
+                self.mark_ready(sock)
         elif self.interest.pop(fd, None):
-            self.hot.pop(fd, None)
-            made.poller = None
+            self.candidates.pop(fd, None)
+            sock.poller = None
 
-    def stir(self, made):
-        if made.fd not in self.hot:
-            self.hot[made.fd] = made
+    def mark_ready(self, sock):
+        if sock.fd not in self.candidates:
+            self.candidates[sock.fd] = sock
             self.reactor.wake()
 
-    def poll(self, timeout, most):
+    def poll(self, timeout, maxevents):
         """What is ready, as epoll gives it. Who is not ready is forgotten until stirred."""
-        ready, hot = [], self.hot
-        for fd, made in list(hot.items()):
-            mask = made.events() & (self.interest.get(fd, 0) | ALWAYS)
+        ready, candidates = [], self.candidates
+        for fd, sock in list(candidates.items()):
+            mask = sock.events() & (self.interest.get(fd, 0) | ERROR_EVENTS)
             if mask:
                 ready.append((fd, mask))
             else:
-                del hot[fd]
+                del candidates[fd]
         return ready
 
 
-class Opened(OpenedConnection):
+class SimConnection(OpenedConnection):
     """A connection from here, on a simulated socket."""
 
     def createInternetSocket(self):
@@ -65,7 +65,7 @@
 
 class Connector(tcp.Connector):
     def _makeTransport(self):
-        return Opened(self.host, self.port, self.bindAddress, self, self.reactor)
+        return SimConnection(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
 class Port(transports.Port):
@@ -81,47 +81,47 @@
     def _update(self, selectable):
         fd = selectable.fileno()
         mask = (EPOLLIN if fd in self._reads else 0) | (EPOLLOUT if fd in self._writes else 0)
-        made = self.process.open.get(fd)
-        if made is not None:
-            self._poller.watch(made, fd, mask)
+        sock = self.process.open.get(fd)
+        if sock is not None:
+            self._poller.watch(sock, fd, mask)
         else:
             self._poller.interest.pop(fd, None)
-            self._poller.hot.pop(fd, None)
+            self._poller.candidates.pop(fd, None)
         if mask:
             self._selectables[fd] = selectable
         else:
             self._selectables.pop(fd, None)
 
-    def _put(self, held, selectable):
+    def _add_interest(self, fds, selectable):
         fd = selectable.fileno()
-        if fd not in held:
-            held.add(fd)
+        if fd not in fds:
+            fds.add(fd)
             self._update(selectable)
 
-    def _drop(self, held, selectable):
+    def _remove_interest(self, fds, selectable):
         fd = selectable.fileno()
-        if fd in held:
-            held.discard(fd)
+        if fd in fds:
+            fds.discard(fd)
             self._update(selectable)
 
     def addReader(self, selectable):
-        self._put(self._reads, selectable)
+        self._add_interest(self._reads, selectable)
 
     def addWriter(self, selectable):
-        self._put(self._writes, selectable)
+        self._add_interest(self._writes, selectable)
 
     def removeReader(self, selectable):
-        self._drop(self._reads, selectable)
+        self._remove_interest(self._reads, selectable)
 
     def removeWriter(self, selectable):
-        self._drop(self._writes, selectable)
+        self._remove_interest(self._writes, selectable)
 
     def removeAll(self):
-        gone = list(self._selectables.values())
-        for selectable in gone:
+        removed = list(self._selectables.values())
+        for selectable in removed:
             self.removeReader(selectable)
             self.removeWriter(selectable)
-        return gone
+        return removed
 
     def getReaders(self):
         return [self._selectables[fd] for fd in sorted(self._reads)]
@@ -133,15 +133,15 @@
 class SimReactor(AnswersFirst, PatientReactor, SimDescriptors):
     """A process's own. clock: (offset, rate) of its monotonic clock against the world's."""
 
-    _POLL_DISCONNECTED, _POLL_IN, _POLL_OUT = ALWAYS, EPOLLIN, EPOLLOUT
+    _POLL_DISCONNECTED, _POLL_IN, _POLL_OUT = ERROR_EVENTS, EPOLLIN, EPOLLOUT
 
-    def __init__(self, world, process, ended=lambda: None, cost=(TURN, EVENT), raised=None):
-        self.world, self.process, self.ended = world, process, ended
-        self.raised = raised  # told of what a turn raises, as a real reactor logs it and goes on
-        self.offset, self.rate, self.anchor = 0, 1.0, 0  # the clock's reading at the anchor, and its rate
-        self.cost, self.busy, self.frozen, self.alive = cost, 0, 0, True
+    def __init__(self, world, process, on_exit=lambda: None, cost=(TURN_US, EVENT_US), on_error=None):
+        self.world, self.process, self.on_exit = world, process, on_exit
+        self.on_error = on_error  # told of what a turn raises, as a real reactor logs it and goes on
+        self.offset, self.rate, self.clock_base = 0, 1.0, 0  # the clock's reading at the anchor, and its rate
+        self.cost, self.busy_until, self.frozen_until, self.alive = cost, 0, 0, True
         self._poller, self._selectables, self._reads, self._writes = Poller(self), {}, set(), set()
-        self.pending, self.inside = None, False
+        self.next_turn, self.in_turn = None, False
         self.ahead = 0.0  # seconds by which the machine's wall clock was stepped
         super().__init__()
 
@@ -155,7 +155,7 @@
 
     def monotonic(self):
         """The process's monotonic clock."""
-        return (self.offset + (self.world.now - self.anchor) * self.rate) / MICRO
+        return (self.offset + (self.world.now - self.clock_base) * self.rate) / MICRO
 
     seconds = monotonic  # by which timers are set
 
@@ -166,14 +166,14 @@
 
     def drift(self, rate):
         """The clock runs at another rate from now on."""
-        self.offset, self.anchor, self.rate = int(self.monotonic() * MICRO), self.world.now, rate
+        self.offset, self.clock_base, self.rate = int(self.monotonic() * MICRO), self.world.now, rate
         self.wake()
 
-    def callLater(self, delay, call, *given, **named):
-        made = super().callLater(max(0, delay), call, *given, **named)
-        if not self.inside:
-            self.wake(made.time)
-        return made
+    def callLater(self, delay, call, *args, **kwargs):
+        call_entry = super().callLater(max(0, delay), call, *args, **kwargs)
+        if not self.in_turn:
+            self.wake(call_entry.time)
+        return call_entry
 
     def _moveCallLaterSooner(self, call):
         super()._moveCallLaterSooner(call)
@@ -183,70 +183,70 @@
 
     def wake(self, at=None):
         """See to a turn: at once, or when the process's clock shows that."""
-        if not self.alive or self.inside:
+        if not self.alive or self.in_turn:
             return
         now = self.world.now
         when = now if at is None else max(now, now + int((at - self.seconds()) * MICRO / self.rate) + 1)
-        when = max(when, self.busy, self.frozen)
-        if self.pending is None or when < self.pending[0]:
-            if self.pending is not None:
-                self.world.cancel(self.pending)
-            self.pending = self.world.at(when, self.turn)
+        when = max(when, self.busy_until, self.frozen_until)
+        if self.next_turn is None or when < self.next_turn[0]:
+            if self.next_turn is not None:
+                self.world.cancel(self.next_turn)
+            self.next_turn = self.world.at(when, self.turn)
 
     def turn(self):
         """Once round the loop."""
-        self.pending = None
+        self.next_turn = None
         if not self.alive:
             return
-        if self.world.now < self.frozen:
+        if self.world.now < self.frozen_until:
             self.wake()
             return
-        self.inside, events, self.world.current = True, len(self._poller.hot), self
+        self.in_turn, events, self.world.current_reactor = True, len(self._poller.candidates), self
         try:
             self.runUntilCurrent()
             self.doPoll(0)
         except Exception as err:
-            if self.raised is None:
+            if self.on_error is None:
                 raise
-            self.raised('raised: %s: %s' % (type(err).__name__, err))
+            self.on_error('raised: %s: %s' % (type(err).__name__, err))
         finally:
-            self.inside, self.world.current = False, None
-        self.busy = self.world.now + self.cost[0] + self.cost[1] * events
+            self.in_turn, self.world.current_reactor = False, None
+        self.busy_until = self.world.now + self.cost[0] + self.cost[1] * events
         if not self.alive:
             return
         self._insertNewDelayedCalls()
-        if self.threadCallQueue or self._poller.hot:
+        if self.threadCallQueue or self._poller.candidates:
             self.wake()
         elif self._pendingTimedCalls:
             self.wake(self._pendingTimedCalls[0].time)
 
     def freeze(self, until):
         """The process stands still until then; the system beneath it does not."""
-        self.frozen = until
-        if self.pending is not None:
-            self.world.cancel(self.pending)
-            self.pending = None
+        self.frozen_until = until
+        if self.next_turn is not None:
+            self.world.cancel(self.next_turn)
+            self.next_turn = None
         self.wake()
 
     def stop(self):
         """The program ends by itself."""
         if self.alive:
-            self.ended()
+            self.on_exit()
             self.kill()
 
     def kill(self):
         """The process is gone."""
         self.alive = False
-        self.process.die()
+        self.process.close_all()
 
     # --- TCP --------------------------------------------------------------------------------------------
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
-        made = Connector(host, port, factory, timeout, bindAddress, self)
-        made.connect()
-        return made
+        connector = Connector(host, port, factory, timeout, bindAddress, self)
+        connector.connect()
+        return connector
 
     def listenTCP(self, port, factory, backlog=50, interface=''):
-        made = Port(port, factory, backlog, interface, self)
-        made.startListening()
-        return made
+        listening_port = Port(port, factory, backlog, interface, self)
+        listening_port.startListening()
+        return listening_port
--- a/lilacdyke/lab/scenario.py
+++ b/lilacdyke/lab/scenario.py
@@ -24,11 +24,11 @@
     """A scenario that cannot be played; one line says why."""
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What all tables of a scenario have in common: an unknown key is an error."""
 
 
-class Kind(Part):
+class Kind(StrictStruct):
     """Cache servers of one kind."""
 
     name: Name = 'std'
@@ -41,7 +41,7 @@
     error_rate: Share = 0.0
 
 
-class Caches(Part):
+class Caches(StrictStruct):
     """What all cache servers have in common."""
 
     mode: Literal['aside', 'through'] = 'aside'
@@ -62,7 +62,7 @@
     coalesce: bool = True  # a miss for a key that is being fetched is `pending`
 
 
-class Origin(Part):
+class Origin(StrictStruct):
     """The origin behind all caches."""
 
     cores: Count = 8
@@ -74,7 +74,7 @@
     down_s: Positive = 5.0
 
 
-class Net(Part):
+class Net(StrictStruct):
     """How long bytes travel, one way."""
 
     same_ms: Amount = 0.2
@@ -83,7 +83,7 @@
     jitter: Share = 0.2
 
 
-class Profile(Part):
+class Profile(StrictStruct):
     """One profile of transactions."""
 
     name: Name
@@ -100,13 +100,13 @@
     late_revenue: Share = 0.0
 
 
-class Tenant(Part):
+class Tenant(StrictStruct):
     name: Name
     share: Positive
     asks: Positive = 1.0  # how many times its share it asks for
 
 
-class Load(Part):
+class Load(StrictStruct):
     """What clients ask, whether it is answered or not."""
 
     rate: Positive = 100.0  # first tries a second
@@ -120,7 +120,7 @@
     large_share: Share = 0.0  # of the keys, whose values are of large_bytes
 
 
-class Clients(Part):
+class Clients(StrictStruct):
     """How clients behave."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 1
@@ -134,7 +134,7 @@
     notice_s: Amount = 2.0  # until the front finds that a node has died
 
 
-class Listing(Part):
+class Discovery(StrictStruct):
     """Discovery."""
 
     mode: Literal['pushed', 'on_request'] = 'pushed'
@@ -144,7 +144,7 @@
     beat_s: Positive = 2.0
 
 
-class Rules(Part):
+class Rules(StrictStruct):
     """The figures of the four rules."""
 
     drain_grace_ms: Amount = 400.0
@@ -160,7 +160,7 @@
     told_s: Positive = 6.0  # what discovery has to tell counts as told so late at most
 
 
-class Prices(Part):
+class Prices(StrictStruct):
     """What service costs: points of 1."""
 
     handshake: Amount = 0.05
@@ -171,7 +171,7 @@
     profile: Share = 0.2
 
 
-class Limits(Part):
+class Limits(StrictStruct):
     """What a node has."""
 
     memory_mb: Annotated[int, Meta(ge=16)] = 192
@@ -180,7 +180,7 @@
     event_us: Natural = 12
 
 
-class Bound(Part, omit_defaults=True):
+class Bound(StrictStruct, omit_defaults=True):
     """One limit of the whole fleet, as the fleet file has it (plan/limits.py)."""
 
     name: Name
@@ -195,7 +195,7 @@
         return self.most / 2 if self.floor is None else self.floor
 
 
-class Planning(Part):
+class Planning(StrictStruct):
     """Planners, and the limits that forwarders share."""
 
     planners: Annotated[int, Meta(ge=0, le=9)] = 0
@@ -308,7 +308,7 @@
 }
 
 
-class Event(Part):
+class Event(StrictStruct):
     """One trouble. what: numbers of the caches, nodes or zones it meets; empty: drawn, `count` of them."""
 
     at_s: Amount
@@ -319,7 +319,7 @@
     size: Annotated[float, Meta(ge=-3600, le=3600)] = 4.0  # below 0 for a step back only
 
 
-class Scenario(Part):
+class Scenario(StrictStruct):
     """A whole one."""
 
     name: Name
@@ -338,7 +338,7 @@
     tenants: list[Tenant] = []
     load: Load = msgspec.field(default_factory=Load)
     clients: Clients = msgspec.field(default_factory=Clients)
-    discovery: Listing = msgspec.field(default_factory=Listing)
+    discovery: Discovery = msgspec.field(default_factory=Discovery)
     rules: Rules = msgspec.field(default_factory=Rules)
     prices: Prices = msgspec.field(default_factory=Prices)
     limits: Limits = msgspec.field(default_factory=Limits)
@@ -409,7 +409,7 @@
         raise BadScenario('%s: %s' % (name, getattr(err, 'strerror', None) or err)) from None
 
 
-def named():
+def shipped_names():
     """The names of those that ship with the lab."""
     return sorted(path.stem for path in FOLDER.glob('*.toml'))
 
--- a/lilacdyke/lab/service.py
+++ b/lilacdyke/lab/service.py
@@ -10,14 +10,14 @@
 WINDOW = 10_000_000  # the worst 10 s
 
 
-def worth(profile, outcome, latency):
+def earned_revenue(profile, outcome, latency):
     """What one transaction earned."""
     if outcome != 'served':
         return 0.0
     return profile.revenue * (1.0 if latency <= profile.goal_s * 1e6 else profile.late_revenue)
 
 
-def share(parts):
+def earned_share(parts):
     """Earned over asked of a list of pairs."""
     asked = sum(pair[1] for pair in parts)
     return sum(pair[0] for pair in parts) / asked if asked else 1.0
@@ -26,7 +26,7 @@
 def figures(scenario, rows):
     """All figures of a run, as a plain dict. G is from 0 to 1, latencies in milliseconds."""
     profiles = {profile.name: profile for profile in scenario.profiles}
-    first, counts, spent, base = {}, Counter(), 0, 0
+    first, counts, total_work, useful_work = {}, Counter(), 0, 0
     outcomes, answers, latencies = Counter(), Counter(), HdrHistogram(1, 120_000_000, 3)
     earned, asked, windows = defaultdict(float), defaultdict(float), defaultdict(list)
     works = {}
@@ -40,7 +40,7 @@
         elif kind == 'hop':
             works[row[2]] = row[8]
         elif kind == 'worked':
-            spent += works.get(row[2], 0)
+            total_work += works.get(row[2], 0)
         elif kind == 'over':
             _, at, tx, outcome, latency = row
             outcomes[outcome] += 1
@@ -48,19 +48,19 @@
             profile = begun[1] if begun else scenario.profiles[0]
             if outcome == 'left':
                 continue
-            got = worth(profile, outcome, latency)
+            got = earned_revenue(profile, outcome, latency)
             earned[profile.name] += got
             asked[profile.name] += profile.revenue
             windows[(at - latency) // WINDOW].append((got, profile.revenue))
             if outcome == 'served':
                 latencies.record_value(max(1, latency))
-                base += profile.work_ms * 1_000
+                useful_work += profile.work_ms * 1_000
     by_profile = {name: earned[name] / asked[name] if asked[name] else 1.0 for name in profiles}
-    whole = share([(earned[name], asked[name]) for name in profiles])
+    whole = earned_share([(earned[name], asked[name]) for name in profiles])
     full = [parts for parts in windows.values() if len(parts) >= 10] or [parts for parts in windows.values()]
-    worst = min((share(parts) for parts in full), default=whole)
+    worst = min((earned_share(parts) for parts in full), default=whole)
     prices, served = scenario.prices, max(1, outcomes['served'])
-    waste = max(0.0, spent / base - 1) if base else 0.0
+    waste = max(0.0, total_work / useful_work - 1) if useful_work else 0.0
     total = prices.whole + prices.worst + prices.profile or 1.0
     service = (
         prices.whole * whole + prices.worst * worst + prices.profile * min(by_profile.values())
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -7,20 +7,20 @@
 from math import log1p
 
 from .faults import Faults
-from .parts.clients import Crowd
+from .parts.clients import LoadGenerator
 from .parts.discovery import Agent, Roster
 from .parts.model import Fleet, Model
 from .parts.servers import CacheServer
-from .parts.staff import Staff
+from .parts.staff import Operators
 from .scenario import Kind
 from .witness import Witness
 
-PORT, ASK, DOOR, PLAN = 8000, 8500, 8100, 8200
+NODE_PORT, AGENT_PORT, OPERATOR_PORT, PLANNER_PORT = 8000, 8500, 8100, 8200
 EPOCH_MS = 1_700_000_000_000  # simulated runs begin then
-SETTLE = 600_000  # from the start to the first client, microseconds
+SETTLE_US = 600_000  # from the start to the first client, microseconds
 
 
-class Place:
+class NodeSlot:
     """A node's place in the run: its address, its zone, and whether clients come to it."""
 
     def __init__(self, number, zone, address, agent):
@@ -31,13 +31,13 @@
             address,
             agent,
         )
-        self.door = (address[0], DOOR)  # where staff call
+        self.operator_address = (address[0], OPERATOR_PORT)  # where staff call
         self.away = 0  # how often staff has had it emptied and not called it back
         self.open, self.running = False, None  # open: the front sends clients here
         self.known = None  # the list that its last process had, once that was killed
 
 
-class Office:
+class PlannerSlot:
     """A planner's place in the run."""
 
     def __init__(self, number, address):
@@ -56,20 +56,20 @@
         self.witness = Witness(ground.clock)
         self.see = self.witness.see
         self.profiles = {profile.name: profile for profile in scenario.profiles}
-        self.asked, self.bodies, self.numbers = {}, {}, 0
+        self.work_of, self.body_digests, self.last_number = {}, {}, 0
         self.fleet, self.roster = Fleet(), Roster(self)
         self.servers, self.places, self.agents, self.hosts = {}, [], [], {}
         self.closing, self.made, self.moves = False, 0, 0
         self.leaning = ()  # numbers of the nodes that clients come to; none: all
-        self.strangers = False  # whether requests of others than the run's clients are served
+        self.serve_unknown = False  # whether requests of others than the run's clients are served
         self.zones = [chr(97 + zone % 26) + str(zone // 26 or '') for zone in range(scenario.zones)]
         self.build()
-        self.crowd, self.staff = Crowd(self), Staff(self)
+        self.crowd, self.staff = LoadGenerator(self), Operators(self)
         self.faults = getattr(ground, 'faults', Faults)(self)
 
     def number(self):
-        self.numbers += 1
-        return self.numbers
+        self.last_number += 1
+        return self.last_number
 
     def unix_ms(self, when):
         """A time of the run as Unix milliseconds."""
@@ -91,10 +91,12 @@
                 self.add_server('c%d' % index, kind, self.zones[index % len(self.zones)], index // 4)
                 index += 1
         self.made = index
-        self.warm()
+        self.warm_caches()
         for number in range(scenario.nodes):
             zone = self.zones[number % len(self.zones)]
-            place = Place(number, zone, (self.spot(1, number), PORT), (self.spot(3, number), ASK))
+            place = NodeSlot(
+                number, zone, (self.spot(1, number), NODE_PORT), (self.spot(3, number), AGENT_PORT)
+            )
             self.hosts[place.address[0]] = ('node', zone, place.name)
             self.hosts[place.agent[0]] = ('agent', zone, place.name)
             self.hosts[self.spot(4, number)] = ('client', zone, place.name)
@@ -105,23 +107,25 @@
     def build_planners(self):
         """Planners' places, and the limits in force at the start."""
         planning = self.scenario.planning
-        self.offices = [Office(number, (self.spot(6, number), PLAN)) for number in range(planning.planners)]
+        self.offices = [
+            PlannerSlot(number, (self.spot(6, number), PLANNER_PORT)) for number in range(planning.planners)
+        ]
         for office in self.offices:
             self.hosts[office.address[0]] = (
                 'planner',
                 self.zones[office.number % len(self.zones)],
                 office.name,
             )
-        self.edition, self.mosts = 1, {bound.name: bound.most for bound in planning.bounds}
+        self.edition, self.limit_values = 1, {bound.name: bound.most for bound in planning.bounds}
 
-    def fleet_file(self, reached=lambda office: '%s:%d' % office.address):
+    def fleet_file(self, address_of=lambda office: '%s:%d' % office.address):
         """The fleet file, as plain values. reached(office): under which address its reader has a planner."""
         planning = self.scenario.planning
         rows = [
             {
                 'name': bound.name,
                 'what': bound.what,
-                'most': self.mosts[bound.name],
+                'most': self.limit_values[bound.name],
                 'floor': bound.own,
                 **({'class': bound.profile} if bound.profile else {}),
             }
@@ -137,7 +141,7 @@
             'lease_s': planning.lease_s,
             'longest_s': max(profile.limit_s for profile in self.scenario.profiles),
             'limit': rows,
-            'planner': [{'name': office.name, 'address': reached(office)} for office in self.offices],
+            'planner': [{'name': office.name, 'address': address_of(office)} for office in self.offices],
         }
 
     # --- planners ---------------------------------------------------------------------------------------
@@ -155,7 +159,7 @@
 
     def lower(self, name, most):
         """Operators change a limit: the file has a new edition, and all planners that run are told."""
-        self.edition, self.mosts[name] = self.edition + 1, most
+        self.edition, self.limit_values[name] = self.edition + 1, most
         for office in self.offices:
             if office.running is not None:
                 office.running.hup()
@@ -184,7 +188,7 @@
             started,
             origin,
         )
-        address = address or (self.spot(2, number), PORT)
+        address = address or (self.spot(2, number), NODE_PORT)
         server = CacheServer(self, model, address, number)
         server.cap = getattr(kind, 'connections', 1 << 30) if not origin else 1 << 30
         self.servers[name] = server
@@ -203,7 +207,7 @@
         }
         return server
 
-    def warm(self):
+    def warm_caches(self):
         """What servers keep at the start: most of the keys that would be theirs, by chance, the popular ones
         first."""
         scenario, chance = self.scenario, self.chance('warm')
@@ -211,12 +215,12 @@
         for rank in range(scenario.load.keys):
             for name in names:
                 if chance.random() < scenario.caches.warm_share:
-                    self.fleet.servers[name].keep('k%d' % rank, 0)
+                    self.fleet.servers[name].store('k%d' % rank, 0)
 
     def client_address(self, place):
         return (self.spot(4, place.number), 0)
 
-    def who(self, host):
+    def name_of(self, host):
         """Who has this address, by name."""
         return self.hosts.get(host, ('', '', host))[2]
 
@@ -226,14 +230,14 @@
 
     # --- the front --------------------------------------------------------------------------------------
 
-    def front(self, draw):
+    def pick_node(self, draw):
         """A node for the next connection, or None."""
-        open_ = [
+        candidates = [
             place
             for place in self.places
             if place.open and (not self.leaning or place.number in self.leaning)
         ] or [place for place in self.places if place.open]
-        return open_[int(draw() * len(open_))] if open_ else None
+        return candidates[int(draw() * len(candidates))] if candidates else None
 
     def page(self, place):
         """A node's page, in the platform's form."""
@@ -243,7 +247,7 @@
             'installation': self.ground.installation,
             'name': place.name,
             'listen': '%s:%d' % (place.address[0], self.ground.port(place.address[1])),
-            'operator': '%s:%d' % (place.door[0], self.ground.port(place.door[1])),
+            'operator': '%s:%d' % (place.operator_address[0], self.ground.port(place.operator_address[1])),
             'discovery': '%s:%d' % (agent.address[0], self.ground.port(agent.address[1])),
             'seed': '%016x' % self.chance('seed %s %d' % (place.name, self.number())).getrandbits(64),
             'limits': {
@@ -324,15 +328,15 @@
                 )
         for agent in self.agents:
             agent.open()
-        for name, most in self.mosts.items():
+        for name, most in self.limit_values.items():
             self.see('limit', name, most)
         for office in self.offices:
             self.start_planner(office)
         for place in self.places:
             self.start_node(place)
-        self.later(SETTLE, self.crowd.begin)
-        self.later(SETTLE, self.faults.begin)
-        self.later(1_000_000, self.sweep)
+        self.later(SETTLE_US, self.crowd.begin)
+        self.later(SETTLE_US, self.faults.begin)
+        self.later(1_000_000, self.close_idle)
 
     def start_node(self, place):
         """Start a node's process; the front notices a moment later."""
@@ -346,7 +350,7 @@
         if place.running is running and running is not None:
             place.open, place.away = True, 0
 
-    def shut_node(self, place):
+    def close_node(self, place):
         """The front sends nobody there any more."""
         if place.running is None or place.running.leaving:
             place.open = False
@@ -359,7 +363,7 @@
             running.leaving = True
             running.kill()
             place.known = self.agents[place.number].page()
-            self.later(int(self.scenario.clients.notice_s * 1e6), self.shut_node, place)
+            self.later(int(self.scenario.clients.notice_s * 1e6), self.close_node, place)
 
     def term_node(self, place):
         """SIGTERM: new connections come for a moment longer."""
@@ -367,7 +371,7 @@
             self.see('node', place.name, 'term')
             place.running.leaving = True
             place.running.term()
-            self.later(300_000, self.shut_node, place)
+            self.later(300_000, self.close_node, place)
 
     def exited(self, place, counts):
         """A node's process has ended by itself."""
@@ -376,11 +380,11 @@
             self.see('counters', place.name, counts)
         place.running, place.open = None, False
 
-    def sweep(self):
+    def close_idle(self):
         """Servers close connections that idle."""
         for server in self.servers.values():
-            server.sweep()
-        self.later(1_000_000, self.sweep)
+            server.close_idle()
+        self.later(1_000_000, self.close_idle)
 
     def stop_clients(self):
         """Nobody new asks."""
@@ -396,9 +400,9 @@
                 place.running.term()
 
     @property
-    def spans(self):
+    def end_times(self):
         """When clients stop, when nodes are asked to go, and when all is over: microseconds."""
         slowest = max(profile.limit_s for profile in self.scenario.profiles)
-        stop = SETTLE + int(self.scenario.length_s * 1e6)
+        stop = SETTLE_US + int(self.scenario.length_s * 1e6)
         leave = stop + int((slowest + 0.5) * 1e6)
         return stop, leave, leave + int((slowest + 2.0) * 1e6)
--- a/lilacdyke/lab/world.py
+++ b/lilacdyke/lab/world.py
@@ -13,27 +13,27 @@
 class World:
     """A seeded event loop. Times are whole microseconds since its start."""
 
-    __slots__ = ('now', 'heap', 'turn', 'seed', 'done', 'current')
+    __slots__ = ('now', 'heap', 'sequence', 'seed', 'done', 'current_reactor')
 
     def __init__(self, seed):
-        self.now, self.heap, self.turn, self.seed, self.done = 0, [], 0, seed, 0
-        self.current = None  # whose turn it is
+        self.now, self.heap, self.sequence, self.seed, self.done = 0, [], 0, seed, 0
+        self.current_reactor = None  # whose turn it is
 
     def chance(self, name):
         """A source of random numbers of its own for each name, so that one more draw in a part moves no other
         part."""
         return Random('%s/%s' % (self.seed, name))
 
-    def at(self, when, call, *given):
+    def at(self, when, call, *args):
         """Call then, not before now; what cancel() takes."""
-        self.turn += 1
-        entry = [when if when > self.now else self.now, self.turn, call, given]
+        self.sequence += 1
+        entry = [when if when > self.now else self.now, self.sequence, call, args]
         heappush(self.heap, entry)
         return entry
 
-    def later(self, wait, call, *given):
+    def later(self, wait, call, *args):
         """Call after so many microseconds."""
-        return self.at(self.now + wait, call, *given)
+        return self.at(self.now + wait, call, *args)
 
     @staticmethod
     def cancel(entry):
@@ -44,9 +44,9 @@
         """Let time pass until then."""
         heap = self.heap
         while heap and heap[0][0] <= until:
-            when, _, call, given = heappop(heap)
+            when, _, call, args = heappop(heap)
             if call is not None:
                 self.now = when
                 self.done += 1
-                call(*given)
+                call(*args)
         self.now = max(self.now, until)
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network: what a kernel does with sockets, one call a test."""
+"""The simulated network: connection setup, data transfer, resets and cuts."""
 
 import socket
 import unittest
@@ -9,163 +9,163 @@
 from lilacdyke.lab.world import World
 from lilacdyke.net.sockets import quiet, tcp_info
 
-HERE, THERE = ('127.1.0.1', 0), ('127.2.0.1', 80)
-TRAVEL = 1_000
+CLIENT, SERVER = ('127.1.0.1', 0), ('127.2.0.1', 80)
+DELAY = 1_000
 
 
 class Transport:
-    """What holds a socket, as Twisted's transports do."""
+    """Gives access to a socket through getHandle(), as Twisted's transports do."""
 
-    def __init__(self, held):
-        self.getHandle = lambda: held
+    def __init__(self, sock):
+        self.getHandle = lambda: sock
 
 
-class Case(unittest.TestCase):
+class NetworkCase(unittest.TestCase):
     def setUp(self):
         self.world = World(1)
-        self.net = Network(self.world, lambda here, there: TRAVEL)
-        self.near, self.far = Process(self.net, 'near', HERE[0]), Process(self.net, 'far', THERE[0])
+        self.net = Network(self.world, lambda here, there: DELAY)
+        self.near, self.far = Process(self.net, 'near', CLIENT[0]), Process(self.net, 'far', SERVER[0])
         self.listening = self.far.socket()
-        self.listening.bind(THERE)
+        self.listening.bind(SERVER)
         self.listening.listen(2)
 
-    def pass_(self, wait):
-        """Let so many microseconds pass."""
+    def advance(self, wait):
+        """Advance the simulated time by `wait` microseconds."""
         self.world.run(self.world.now + wait)
 
-    def asking(self):
-        """A connection that is coming up."""
-        made = self.near.socket()
-        self.assertEqual(made.connect_ex(THERE), EINPROGRESS)
-        return made
+    def start_connecting(self):
+        """Return a client socket with a connect in progress."""
+        sock = self.near.socket()
+        self.assertEqual(sock.connect_ex(SERVER), EINPROGRESS)
+        return sock
 
-    def pair(self):
-        """Both ends of one that is up."""
-        made = self.asking()
-        self.pass_(2 * TRAVEL)
-        return made, self.listening.accept()[0]
+    def connected_pair(self):
+        """Return both ends of an established connection."""
+        sock = self.start_connecting()
+        self.advance(2 * DELAY)
+        return sock, self.listening.accept()[0]
 
-    def lost(self, held):
-        """The error that reading gives."""
+    def recv_errno(self, sock):
+        """Return the errno with which recv fails."""
         with self.assertRaises(OSError) as caught:
-            held.recv(10)
+            sock.recv(10)
         return caught.exception.errno
 
 
-class Connecting(Case):
-    def test_it_comes_up_after_a_round_trip(self):
-        made = self.asking()
-        self.pass_(2 * TRAVEL - 1)
-        before = made.state
-        self.pass_(1)
-        self.assertEqual((before, made.state, made.connect_ex(THERE)), ('connecting', 'open', EISCONN))
+class Connecting(NetworkCase):
+    def test_connect_completes_after_one_round_trip(self):
+        sock = self.start_connecting()
+        self.advance(2 * DELAY - 1)
+        before = sock.state
+        self.advance(1)
+        self.assertEqual((before, sock.state, sock.connect_ex(SERVER)), ('connecting', 'open', EISCONN))
 
-    def test_nobody_listens(self):
+    def test_connect_is_refused_without_a_listener(self):
         self.listening.close()
-        made = self.asking()
-        self.pass_(2 * TRAVEL)
-        self.assertEqual(made.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), ECONNREFUSED)
-
-    def test_a_full_queue_answers_nothing_and_is_asked_again_a_second_later(self):
-        made = [self.asking() for _ in range(4)]
-        self.pass_(2 * TRAVEL)
-        states = [one.state for one in made]
+        sock = self.start_connecting()
+        self.advance(2 * DELAY)
+        self.assertEqual(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), ECONNREFUSED)
+
+    def test_full_accept_queue_drops_the_syn_which_is_retried_after_a_second(self):
+        socks = [self.start_connecting() for _ in range(4)]
+        self.advance(2 * DELAY)
+        states = [one.state for one in socks]
         self.listening.accept()
-        self.pass_(1_000_000 + TRAVEL)
-        self.assertEqual((states, made[3].state), (['open'] * 3 + ['connecting'], 'open'))
+        self.advance(1_000_000 + DELAY)
+        self.assertEqual((states, socks[3].state), (['open'] * 3 + ['connecting'], 'open'))
 
-    def test_a_cut_swallows_it_without_a_word(self):
-        self.net.cut(1, {THERE[0]})
-        made = self.asking()
-        self.pass_(900_000)
-        self.assertEqual((made.state, made.events()), ('connecting', 0))
+    def test_connect_stays_pending_across_a_cut(self):
+        self.net.cut(1, {SERVER[0]})
+        sock = self.start_connecting()
+        self.advance(900_000)
+        self.assertEqual((sock.state, sock.events()), ('connecting', 0))
 
-    def test_no_descriptor_is_left(self):
+    def test_socket_fails_with_emfile_at_the_descriptor_limit(self):
         self.near.limit = 0
         with self.assertRaises(OSError) as caught:
             self.near.socket()
         self.assertEqual(caught.exception.errno, EMFILE)
 
-    def test_one_that_says_nothing_is_kept_from_the_queue_for_a_second(self):
+    def test_deferred_accept_delays_a_silent_connection_for_a_second(self):
         self.listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 1)
-        self.asking()
-        self.pass_(500_000)
+        self.start_connecting()
+        self.advance(500_000)
         before = self.listening.events()
-        self.pass_(600_000)
+        self.advance(600_000)
         self.assertEqual((before, self.listening.events()), (0, EPOLLIN))
 
 
-class Bytes(Case):
-    def test_they_come_in_order_whatever_the_way(self):
-        near, far = self.pair()
+class DataTransfer(NetworkCase):
+    def test_data_arrives_in_order_when_delays_vary(self):
+        near, far = self.connected_pair()
         waits = iter([5_000, 100])
         self.net.delay = lambda here, there: next(waits, 100)
         near.send(b'ab')
         near.send(b'cd')
-        self.pass_(10_000)
+        self.advance(10_000)
         self.assertEqual(far.recv(10), b'abcd')
 
-    def test_the_window_fills_and_reading_opens_it(self):
-        near, far = self.pair()
+    def test_reading_reopens_a_full_window(self):
+        near, far = self.connected_pair()
         sent = near.send(b'x' * (WINDOW + 5))
         self.assertEqual(sent, WINDOW)
         with self.assertRaises(BlockingIOError):
             near.send(b'y')
-        self.pass_(TRAVEL)
+        self.advance(DELAY)
         far.recv(100)
         self.assertEqual(near.send(b'y' * 200), 100)
 
-    def test_an_end_is_read_after_all_bytes(self):
-        near, far = self.pair()
+    def test_eof_follows_all_sent_data(self):
+        near, far = self.connected_pair()
         near.send(b'ab')
         near.shutdown(1)
-        self.pass_(TRAVEL)
+        self.advance(DELAY)
         self.assertEqual((far.recv(10), far.recv(10)), (b'ab', b''))
 
-    def test_closing_on_bytes_unread_resets(self):
-        near, far = self.pair()
+    def test_close_with_unread_data_resets_the_connection(self):
+        near, far = self.connected_pair()
         near.send(b'ab')
-        self.pass_(TRAVEL)
+        self.advance(DELAY)
         far.close()
-        self.pass_(TRAVEL)
-        self.assertEqual(self.lost(near), ECONNRESET)
+        self.advance(DELAY)
+        self.assertEqual(self.recv_errno(near), ECONNRESET)
 
-    def test_bytes_for_a_closed_one_reset(self):
-        near, far = self.pair()
+    def test_data_to_a_closed_socket_resets_the_connection(self):
+        near, far = self.connected_pair()
         far.close()
         near.send(b'ab')
-        self.pass_(2 * TRAVEL)
-        self.assertEqual(self.lost(near), ECONNRESET)
+        self.advance(2 * DELAY)
+        self.assertEqual(self.recv_errno(near), ECONNRESET)
 
-    def test_a_cut_holds_bytes_back_until_it_is_mended(self):
-        near, far = self.pair()
-        self.net.cut(1, {THERE[0]})
+    def test_cut_holds_data_back_until_it_ends(self):
+        near, far = self.connected_pair()
+        self.net.cut(1, {SERVER[0]})
         near.send(b'ab')
-        self.pass_(5 * TRAVEL)
+        self.advance(5 * DELAY)
         before = far.events() & EPOLLIN
         self.net.mend(1)
         self.assertEqual((before, far.recv(10)), (0, b'ab'))
 
-    def test_a_dead_process_resets_what_it_had_not_read(self):
-        near, far = self.pair()
+    def test_process_exit_resets_connections_with_unread_data(self):
+        near, far = self.connected_pair()
         near.send(b'ab')
-        self.pass_(TRAVEL)
-        self.far.die()
-        self.pass_(TRAVEL)
-        self.assertEqual((self.lost(near), len(self.far.open)), (ECONNRESET, 0))
-
-    def test_a_fault_resets_at_any_byte(self):
-        near, far = self.pair()
-        self.net.resets[THERE[0]] = (1.0, self.world.chance('x'))
+        self.advance(DELAY)
+        self.far.close_all()
+        self.advance(DELAY)
+        self.assertEqual((self.recv_errno(near), len(self.far.open)), (ECONNRESET, 0))
+
+    def test_injected_reset_reaches_both_ends(self):
+        near, far = self.connected_pair()
+        self.net.resets[SERVER[0]] = (1.0, self.world.chance('x'))
         near.send(b'abcdef')
-        self.pass_(3 * TRAVEL)
-        self.assertEqual((self.lost(near), self.lost(far)), (ECONNRESET, ECONNRESET))
+        self.advance(3 * DELAY)
+        self.assertEqual((self.recv_errno(near), self.recv_errno(far)), (ECONNRESET, ECONNRESET))
 
-    def test_what_the_node_asks_past_twisted(self):
-        near, far = self.pair()
+    def test_peeking_and_tcp_info_work_on_simulated_sockets(self):
+        near, far = self.connected_pair()
         silent = quiet(Transport(far))
         near.send(b'ab')
-        self.pass_(TRAVEL)
+        self.advance(DELAY)
         unread = quiet(Transport(far)), far.unread
-        self.pass_(70_000)
+        self.advance(70_000)
         self.assertEqual((silent, unread, tcp_info(far)), (True, (False, 2), (1, 700)))
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -1,4 +1,4 @@
-"""Whole fleets: the same verdict every run, a fixed set of scenarios, mutants that are caught, real processes."""
+"""Whole fleets: determinism, a fixed set of scenarios, detected mutants, real processes and commands."""
 
 import json
 import os
@@ -16,8 +16,8 @@
 KEPT = os.path.join(os.path.dirname(__file__), 'kept')
 
 
-class Same(unittest.TestCase):
-    def test_a_seed_gives_one_record_in_any_process_under_any_hash_seed(self):
+class Determinism(unittest.TestCase):
+    def test_record_does_not_depend_on_process_or_hash_seed(self):
         text, hashes = scenarios.write(scenarios.load('overlap')), set()
         for seed in ('0', '1', '77'):
             done = subprocess.run(
@@ -35,19 +35,19 @@
             hashes.add(done.stdout.strip())
         self.assertEqual(len(hashes), 1)
 
-    def test_another_seed_gives_another(self):
+    def test_different_seeds_give_different_records(self):
         given = draw.scenario(4)
         self.assertNotEqual(runs.one(given, 1).hash, runs.one(given, 2).hash)
 
 
-class Fixed(unittest.TestCase):
-    """Played on all cores at once, judged one by one."""
+class FixedScenarios(unittest.TestCase):
+    """Shipped, drawn and recorded scenarios, played in parallel and checked one by one."""
 
     @classmethod
     def setUpClass(cls):
         given = [
-            (name, scenarios.load(name)) for name in scenarios.named() if name != 'fleet'
-        ]  # that one takes minutes
+            (name, scenarios.load(name)) for name in scenarios.shipped_names() if name != 'fleet'
+        ]  # takes minutes
         given += [('seed %d' % seed, draw.scenario(seed)) for seed in range(16)]
         given += [(name, scenarios.load(os.path.join(KEPT, name))) for name in sorted(os.listdir(KEPT))]
         cls.names, cls.ended = [name for name, _ in given], {}
@@ -65,10 +65,10 @@
                     (getattr(outcome, 'broken', outcome), outcome.figures['transactions'] > 0), ([], True)
                 )
 
-    def test_a_calm_day_is_served(self):
+    def test_calm_scenario_earns_most_of_its_revenue(self):
         self.assertGreater(self.ended[self.names.index('calm')].figures['G'], 0.95)
 
-    def test_troubles_show(self):
+    def test_faults_reduce_the_revenue_in_goal(self):
         worse = [
             name
             for name in ('cut', 'kills', 'overlap', 'standstill')
@@ -78,13 +78,13 @@
 
 
 class Mutants(unittest.TestCase):
-    def test_each_is_caught(self):
+    def test_every_mutant_is_detected(self):
         caught = hunt.hunt(sorted(mutants.MUTANTS), 40, runs.cores(0), lambda done: None)
         self.assertEqual([name for name in mutants.MUTANTS if caught.get(name) is None], [])
 
 
 class Loopback(unittest.TestCase):
-    def test_real_processes_through_a_kill_a_hangup_and_a_standstill(self):
+    def test_real_processes_survive_a_kill_a_reload_and_a_freeze(self):
         given = scenarios.read("""
 name = "short"
 length_s = 5
@@ -112,7 +112,7 @@
 
 
 class Commands(unittest.TestCase):
-    def test_a_wrong_scenario_is_one_line(self):
+    def test_scenario_error_is_one_line_with_exit_code_2(self):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
             file.write('name = "x"\nspeed = 1\n')
             file.flush()
@@ -120,7 +120,7 @@
                 done = CliRunner().invoke(main, ['lab', *words])
                 self.assertEqual((done.exit_code, len(done.output.splitlines())), (2, 1), done.output)
 
-    def test_a_run_its_record_and_its_report(self):
+    def test_run_writes_a_record_and_report_reads_a_truncated_one(self):
         with tempfile.TemporaryDirectory() as folder:
             path, page = os.path.join(folder, 'r.jsonl'), os.path.join(folder, 'r.html')
             small = os.path.join(folder, 's.toml')
@@ -131,7 +131,7 @@
             done = CliRunner().invoke(main, ['lab', 'run', small, '--record', path, '--json'])
             told = json.loads(done.output.splitlines()[-1])
             with open(path, 'rb+') as file:
-                file.truncate(os.path.getsize(path) - 7)  # a record that was cut short
+                file.truncate(os.path.getsize(path) - 7)  # cuts the last row short
             _, rows = witness.load(path)
             report.write(page, [path])
             with open(page, encoding='utf-8') as file:
@@ -141,8 +141,8 @@
         self.assertEqual(text.count('<img'), 4)
 
 
-class OnceBroken(unittest.TestCase):
-    """Drawn fleets in which an answer that came was refused, or a stand-in cut one off by itself."""
+class Regressions(unittest.TestCase):
+    """Seeds that once produced a refused valid answer, or an answer cut off by a simulated server."""
 
     def test_no_rule_is_broken(self):
         for seed in (64, 89, 114, 132, 136, 141, 152, 206, 220, 288):
