--- a/lilacdyke/lab/network.py
+++ b/lilacdyke/lab/network.py
@@ -1,8 +1,8 @@
-"""A simulated network of machines: TCP sockets with bounded buffers, accept queues, resets and cuts.
+"""Simulated network of machines: TCP sockets with bounded buffers, accept queues, resets and partitions.
 
-Owns what a kernel owns: descriptors, buffers, accept queues, the order of bytes, and how long they travel.
-Its sockets answer the calls that Twisted's transports and net/sockets.py make of real ones, so both run
-unchanged above it. Must never look into the bytes, nor know which machine is a node.
+Models what a kernel provides: descriptors, buffers, accept queues, byte order and delays. The sockets
+implement the calls that Twisted's transports and net/sockets.py make, so both run on them unchanged. The
+network never looks at the data and does not know which machine is a node.
 """
 
 import socket
@@ -22,19 +22,19 @@
 from select import EPOLLERR, EPOLLHUP, EPOLLIN, EPOLLOUT
 from struct import pack
 
-WINDOW = 262_144  # bytes that a direction holds, sent and not yet read
+WINDOW = 262_144  # bytes per direction that are sent and not yet read
 SYN_RETRY_US = (
     1_000_000,
     2_000_000,
     4_000_000,
     8_000_000,
-)  # until an unanswered connect asks again, microseconds
-DEFER_ACCEPT_US = 1_000_000  # what TCP_DEFER_ACCEPT keeps a silent connection from its queue
-ESTABLISHED, CLOSED, CLOSE_WAIT = 1, 7, 8  # as tcp_info tells
+)  # delays before a SYN is sent again
+DEFER_ACCEPT_US = 1_000_000  # how long TCP_DEFER_ACCEPT holds a silent connection
+ESTABLISHED, CLOSED, CLOSE_WAIT = 1, 7, 8  # states in tcp_info
 
 
 class Socket:
-    """One end of a connection, or one that listens. The calls are those of a real one that does not block."""
+    """End of a connection, or a listening socket, with the interface of a non-blocking socket."""
 
     __slots__ = (
         'net',
@@ -72,19 +72,20 @@
         self.inbox, self.unread = deque(), 0
         self.eof = self.reset = self.fin_sent = self.linger = self.is_closed = self.defer = False
         self.error, self.outstanding, self.last_arrival, self.last_received, self.syn_retries = 0, 0, 0, 0, 0
-        self.resetting = False  # whether a fault is resetting it: nothing more leaves, no end either
+        self.resetting = False  # an injected reset is under way: nothing more is sent, not even a FIN
         self.backlog, self.queue, self.awaiting_accept = 0, None, 0
 
-    # --- calls ------------------------------------------------------------------------------------------
+    # --- socket calls -----------------------------------------------------------------------------------
 
     def fileno(self):
         return self.fd
 
     def setblocking(self, flag):
-        """It never blocks."""
+        """Ignored: the socket never blocks."""
 
     def check_call(self, call):
-        """The most bytes that a call may move; None: all. Raises the OSError that it fails with, if any."""
+        """Return the most bytes that a call may transfer, or None for no limit. Raise an injected OSError, if
+        any."""
         calls = self.process.calls
         if calls is None:
             return None
@@ -96,7 +97,7 @@
     def setsockopt(self, level, option, value):
         self.check_call('setsockopt')
         if level == socket.SOL_SOCKET and option == socket.SO_LINGER:
-            self.linger = True  # Twisted asks for that only to reset
+            self.linger = True  # Twisted sets it only to reset the connection
         elif level == socket.IPPROTO_TCP and option == socket.TCP_DEFER_ACCEPT:
             self.defer = bool(value)
 
@@ -111,7 +112,7 @@
         return 0
 
     def connect_error(self):
-        """What became of connecting, as SO_ERROR tells: an errno, or 0."""
+        """Return and clear the pending error for SO_ERROR: an errno, or 0."""
         try:
             self.check_call('connected')
         except OSError as err:
@@ -138,9 +139,9 @@
         return self.remote
 
     def accept(self):
-        """The next connection; EMFILE with no descriptor left, as a real one has it."""
+        """Return the next connection. Raise EMFILE at the descriptor limit, as the kernel does."""
         if not self.queue:
-            raise BlockingIOError(EAGAIN, 'nobody')
+            raise BlockingIOError(EAGAIN, 'no connection is waiting')
         self.check_call('accept')
         if self.process.at_limit():
             raise OSError(EMFILE, 'too many open files')
@@ -167,15 +168,15 @@
         return EINPROGRESS
 
     def send(self, data, flags=0):
-        """As much as the window has room for; EAGAIN when it has none."""
+        """Send as much as fits into the window. Raise EAGAIN if it is full."""
         if self.reset or self.fin_sent:
-            raise OSError(EPIPE if self.fin_sent else ECONNRESET, 'connection is over')
+            raise OSError(EPIPE if self.fin_sent else ECONNRESET, 'connection is closed')
         if self.state != 'open':
             raise OSError(ENOTCONN, 'not connected')
         size = self.check_call('send')
         room = min(WINDOW - self.outstanding, self.net.send_limit(self), WINDOW if size is None else size)
         if room <= 0:
-            raise BlockingIOError(EAGAIN, 'full')
+            raise BlockingIOError(EAGAIN, 'the send window is full')
         data = bytes(data[:room])
         self.outstanding += len(data)
         self.net.transmit(self, data)
@@ -187,7 +188,7 @@
                 raise ConnectionResetError(ECONNRESET, 'reset')
             if self.eof:
                 return b''
-            raise BlockingIOError(EAGAIN, 'nothing')
+            raise BlockingIOError(EAGAIN, 'no data')
         size = self.check_call('recv')
         count = count if size is None else min(count, size)
         first = self.inbox[0]
@@ -217,8 +218,7 @@
             self.net.transmit(self, None)
 
     def close(self):
-        """Give the descriptor back. Bytes unread, or a linger of nothing, reset the connection, as on
-        Linux."""
+        """Release the descriptor. Unread data or a zero linger time resets the connection, as on Linux."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -236,16 +236,16 @@
                 self.net.transmit(self, None)
         self.state = 'closed'
 
-    # --- the kernel's side ------------------------------------------------------------------------------
+    # --- kernel side ------------------------------------------------------------------------------------
 
     def drop_unaccepted(self):
-        """Nobody accepts it any more."""
+        """Reset a connection whose listener closed before accepting it."""
         self.is_closed = True
         self.net.send_reset(self)
         self.state = 'closed'
 
     def events(self):
-        """What epoll would tell."""
+        """Return the event mask that epoll would report."""
         if self.state == 'listening':
             return EPOLLIN if self.queue else 0
         if self.state == 'failed' or self.reset:
@@ -260,12 +260,12 @@
         return mask
 
     def notify_poller(self):
-        """Something has changed: who polls it looks."""
+        """Tell the poller that the state has changed."""
         if self.poller is not None:
             self.poller.mark_ready(self)
 
     def on_data(self, data):
-        """Bytes, or the other side's end, have come."""
+        """Receive data from the peer, or its FIN (None)."""
         if self.reset or self.state == 'closed' and data is None:
             return
         if self.is_closed or self.eof:
@@ -282,7 +282,7 @@
         self.notify_poller()
 
     def on_reset(self):
-        """The other side has reset it; what was unread is gone."""
+        """Receive a reset; unread data is lost."""
         if not self.reset:
             self.reset = True
             self.inbox.clear()
@@ -292,39 +292,39 @@
             self.notify_poller()
 
     def enqueue(self, accepted):
-        """A connection is ready to be accepted."""
+        """Queue a connection for accept."""
         if accepted.awaiting_accept and not self.is_closed:
             accepted.awaiting_accept = 0
             self.queue.append(accepted)
             self.notify_poller()
 
     def defer_expired(self, accepted):
-        """It said nothing for the time that the system waits."""
+        """Queue a connection that was still silent when TCP_DEFER_ACCEPT ran out."""
         if accepted.awaiting_accept:
             self.enqueue(accepted)
 
     def fail(self, error):
-        """The connection does not come up."""
+        """Fail a connect in progress."""
         if self.state == 'connecting':
             self.state, self.error = 'failed', error
             self.notify_poller()
 
 
 class Process:
-    """Who holds descriptors on a machine."""
+    """Process on a machine, with its descriptors."""
 
     __slots__ = ('net', 'name', 'address', 'limit', 'open', 'peak_open', 'calls')
 
     def __init__(self, net, name, address, limit=1 << 30):
         self.net, self.name, self.address, self.limit = net, name, address, limit
-        self.open, self.peak_open = {}, 0  # by descriptor, the oldest first
-        self.calls = None  # its calls that fail, where some do (callfaults.py)
+        self.open, self.peak_open = {}, 0  # by descriptor, oldest first
+        self.calls = None  # injected call faults, if any (callfaults.py)
 
     def at_limit(self):
         return len(self.open) >= self.limit
 
     def socket(self):
-        """A new one, with a descriptor."""
+        """Create a socket."""
         if self.calls is not None:
             self.calls.raise_for('socket')
         if self.at_limit():
@@ -342,24 +342,24 @@
         sock.poller = None
 
     def close_all(self):
-        """The process ends: its connections are closed by the system, those with bytes unread by a reset."""
+        """Close all sockets, as the kernel does when the process ends."""
         for sock in list(self.open.values()):
             sock.close()
 
 
 class Network:
-    """Which bytes travel from where to where, for how long, and which do not."""
+    """Delivers data between addresses with delays and injected faults."""
 
     def __init__(self, world, delay):
-        self.world, self.delay = world, delay  # delay(from, to): microseconds between two addresses
+        self.world, self.delay = world, delay  # delay(from, to): microseconds
         self.listeners, self.last_port, self.last_fd = {}, 20_000, 1_000_000
-        self.cuts = {}  # by number: addresses that are cut off from all others
-        self.apart = {}  # by number: (an address, those it is cut off from)
-        self.held_names = {}  # by machine and name: who holds it
-        self.down = set()  # addresses of machines that are gone without a word
-        self.held_back = []  # what a cut keeps back: (socket, data)
-        self.stuck = {}  # processes whose sends the system takes only so much of at a time: bytes
-        self.resets = {}  # by address: (chance of a reset a send, its source of chance)
+        self.cuts = {}  # by id: addresses partitioned from all others
+        self.apart = {}  # by id: (address, addresses it cannot reach)
+        self.held_names = {}  # (address, name) -> reactor of the holding process
+        self.down = set()  # addresses of machines that have vanished
+        self.held_back = []  # undelivered during a partition: (socket, data)
+        self.stuck = {}  # process -> the most bytes that one send takes
+        self.resets = {}  # by address: (probability of a reset per send, random source)
         self.deaf = set()  # addresses whose accept queue is full
 
     def port(self):
@@ -371,7 +371,7 @@
         return self.last_fd
 
     def can_reach(self, here, there):
-        """Whether bytes get from one address to another now."""
+        """Return whether data can be delivered between two addresses now."""
         if here in self.down or there in self.down:
             return False
         for one, others in self.apart.values():
@@ -380,18 +380,18 @@
         return not self.cuts or all((here in apart) == (there in apart) for apart in self.cuts.values())
 
     def send_limit(self, sender):
-        """How much the system takes of one send."""
+        """Return the most bytes that one send takes."""
         return self.stuck.get(sender.process, WINDOW) if self.stuck else WINDOW
 
     # --- connecting -------------------------------------------------------------------------------------
 
     def send_syn(self, connecting):
-        """A connect leaves, for the first time or again."""
+        """Send a SYN, for the first time or again."""
         wait = self.delay(connecting.local[0], connecting.remote[0])
         self.world.later(wait, self.receive_syn, connecting)
 
     def receive_syn(self, connecting):
-        """It comes where it should. Guards against a full queue as a real one does: it is not answered."""
+        """Receive a SYN. It is dropped if the accept queue is full, as on Linux."""
         if connecting.is_closed:
             return
         here, there = connecting.local[0], connecting.remote[0]
@@ -415,14 +415,12 @@
         connecting.syn_retries += 1
 
     def establish(self, connecting, listener, return_delay):
-        """The system accepts; the program may do so later."""
+        """Complete the handshake on the server side; the program may accept later."""
         accepted = Socket(self, listener.process)
         accepted.local, accepted.remote, accepted.state = connecting.remote, connecting.local, 'open'
         accepted.peer, connecting.peer = connecting, accepted
         accepted.last_received, accepted.listener, accepted.awaiting_accept = self.world.now, listener, 1
-        accepted.last_arrival = (
-            self.world.now + return_delay
-        )  # nothing that it sends comes before its word that it is up
+        accepted.last_arrival = self.world.now + return_delay  # no data overtakes the SYN-ACK
         if listener.defer:
             self.world.later(DEFER_ACCEPT_US, listener.defer_expired, accepted)
         else:
@@ -436,10 +434,10 @@
             connecting.state, connecting.last_received = 'open', self.world.now
             connecting.notify_poller()
 
-    # --- bytes ------------------------------------------------------------------------------------------
+    # --- data -------------------------------------------------------------------------------------------
 
     def transmit(self, sender, data):
-        """Bytes, or an end (None), leave; on one connection nothing overtakes."""
+        """Send data or a FIN (None); the order within a connection is kept."""
         if sender.resetting:
             return
         here, there = sender.local[0], sender.remote[0]
@@ -459,7 +457,7 @@
         self.world.at(sender.last_arrival, self.deliver, sender, data)
 
     def reset_both(self, sender):
-        """A fault resets the connection for both."""
+        """Inject a reset at both ends."""
         self.send_reset(sender)
         self.world.later(self.delay(sender.remote[0], sender.local[0]), sender.on_reset)
 
@@ -470,7 +468,7 @@
             sender.peer.on_data(data)
 
     def send_reset(self, sender):
-        """A reset travels to the other side, behind what was sent."""
+        """Send a reset to the peer, behind the data sent before."""
         sender.state = 'closed' if sender.is_closed else sender.state
         if sender.peer is not None:
             sender.last_arrival = max(
@@ -487,20 +485,20 @@
     # --- faults -----------------------------------------------------------------------------------------
 
     def cut(self, number, addresses):
-        """These are cut off from all others, without a word."""
+        """Partition these addresses from all others: SYNs are dropped, data is held back."""
         self.cuts[number] = frozenset(addresses)
 
     def mend(self, number):
-        """The cut is over: what it kept back arrives now, in order."""
+        """End a partition and deliver what it held back, in order."""
         self.cuts.pop(number, None)
         self.release()
 
     def vanish(self, address):
-        """A machine is gone without a word; what it held is lost."""
+        """Make a machine unreachable."""
         self.down.add(address)
 
     def restore(self, address):
-        """It is back, and knows nothing of its old connections."""
+        """Make a machine reachable again."""
         self.down.discard(address)
         self.release()
 
