--- a/lilacdyke/lab/reactor.py
+++ b/lilacdyke/lab/reactor.py
@@ -1,9 +1,7 @@
-"""What Twisted's reactor offers, over the simulated network and in simulated time: one for each simulated
-process.
+"""Twisted reactor over the simulated network and in simulated time, one for each simulated process.
 
-Owns the turns of a process: what is due, then what its sockets tell, each turn costing it time. Twisted's own
-transports and ports run on it; only the sockets beneath are others. Must never let a call block, or run out
-of turn.
+Each iteration runs due timers, then socket events, and costs the process simulated time. Twisted's own
+transports and ports run on it; only the sockets are simulated.
 """
 
 from select import EPOLLERR, EPOLLHUP, EPOLLIN, EPOLLOUT
@@ -16,12 +14,12 @@
 from ..net.transports import OpenedConnection, PatientReactor
 from .world import MICRO
 
-TURN_US, EVENT_US = 20, 12  # microseconds that a turn costs, and each event in it
+TURN_US, EVENT_US = 20, 12  # cost of an iteration, and of each event in it
 ERROR_EVENTS = EPOLLERR | EPOLLHUP
 
 
 class Poller:
-    """epoll over simulated sockets: level-triggered, in the order in which they became ready."""
+    """Level-triggered epoll over simulated sockets; events come in the order of readiness."""
 
     __slots__ = ('reactor', 'interest', 'candidates')
 
@@ -29,7 +27,7 @@
         self.reactor, self.interest, self.candidates = reactor, {}, {}
 
     def watch(self, sock, fd, mask):
-        """What to look for on one; 0: nothing any more."""
+        """Set the events of interest for a socket; 0 removes it."""
         if mask:
             self.interest[fd] = mask
             sock.poller = self
@@ -45,7 +43,8 @@
             self.reactor.wake()
 
     def poll(self, timeout, maxevents):
-        """What is ready, as epoll gives it. Who is not ready is forgotten until stirred."""
+        """Return the ready (descriptor, events) pairs. Sockets that are not ready wait for the next
+        mark_ready()."""
         ready, candidates = [], self.candidates
         for fd, sock in list(candidates.items()):
             mask = sock.events() & (self.interest.get(fd, 0) | ERROR_EVENTS)
@@ -57,7 +56,7 @@
 
 
 class SimConnection(OpenedConnection):
-    """A connection from here, on a simulated socket."""
+    """Client connection on a simulated socket."""
 
     def createInternetSocket(self):
         return self.connector.reactor.process.socket()
@@ -69,14 +68,14 @@
 
 
 class Port(transports.Port):
-    """A listening port on a simulated socket."""
+    """Listening port on a simulated socket."""
 
     def createInternetSocket(self):
         return self.reactor.process.socket()
 
 
 class SimDescriptors(PosixReactorBase, _PollLikeMixin):
-    """Which simulated descriptors a process looks at."""
+    """Reader and writer registration of simulated descriptors."""
 
     def _update(self, selectable):
         fd = selectable.fileno()
@@ -131,22 +130,22 @@
 
 
 class SimReactor(AnswersFirst, PatientReactor, SimDescriptors):
-    """A process's own. clock: (offset, rate) of its monotonic clock against the world's."""
+    """Reactor of one simulated process, with a monotonic clock of its own offset and rate."""
 
     _POLL_DISCONNECTED, _POLL_IN, _POLL_OUT = ERROR_EVENTS, EPOLLIN, EPOLLOUT
 
     def __init__(self, world, process, on_exit=lambda: None, cost=(TURN_US, EVENT_US), on_error=None):
         self.world, self.process, self.on_exit = world, process, on_exit
-        self.on_error = on_error  # told of what a turn raises, as a real reactor logs it and goes on
-        self.offset, self.rate, self.clock_base = 0, 1.0, 0  # the clock's reading at the anchor, and its rate
+        self.on_error = on_error  # called with the text of an unhandled exception, which a real reactor logs
+        self.offset, self.rate, self.clock_base = 0, 1.0, 0  # the clock's reading at clock_base, and its rate
         self.cost, self.busy_until, self.frozen_until, self.alive = cost, 0, 0, True
         self._poller, self._selectables, self._reads, self._writes = Poller(self), {}, set(), set()
         self.next_turn, self.in_turn = None, False
-        self.ahead = 0.0  # seconds by which the machine's wall clock was stepped
+        self.ahead = 0.0  # seconds by which the wall clock was stepped
         super().__init__()
 
     def installWaker(self):
-        """Nobody wakes it from another thread."""
+        """Do nothing: no other thread wakes this reactor."""
 
     def wakeUp(self):
         self.wake()
@@ -154,18 +153,18 @@
     # --- time -------------------------------------------------------------------------------------------
 
     def monotonic(self):
-        """The process's monotonic clock."""
+        """Return the process's monotonic time in seconds."""
         return (self.offset + (self.world.now - self.clock_base) * self.rate) / MICRO
 
-    seconds = monotonic  # by which timers are set
+    seconds = monotonic  # the clock of timers
 
     def step(self, seconds):
-        """The machine's wall clock is ahead by so much more from now on."""
+        """Step the machine's wall clock forward by `seconds`, which may be negative."""
         self.ahead += seconds
         self.wake()
 
     def drift(self, rate):
-        """The clock runs at another rate from now on."""
+        """Change the rate of the monotonic clock."""
         self.offset, self.clock_base, self.rate = int(self.monotonic() * MICRO), self.world.now, rate
         self.wake()
 
@@ -179,10 +178,10 @@
         super()._moveCallLaterSooner(call)
         self.wake(call.time)
 
-    # --- turns ------------------------------------------------------------------------------------------
+    # --- iterations -------------------------------------------------------------------------------------
 
     def wake(self, at=None):
-        """See to a turn: at once, or when the process's clock shows that."""
+        """Schedule an iteration: now, or when the process's clock reaches `at` seconds."""
         if not self.alive or self.in_turn:
             return
         now = self.world.now
@@ -194,7 +193,7 @@
             self.next_turn = self.world.at(when, self.turn)
 
     def turn(self):
-        """Once round the loop."""
+        """Run one iteration of the event loop."""
         self.next_turn = None
         if not self.alive:
             return
@@ -221,7 +220,7 @@
             self.wake(self._pendingTimedCalls[0].time)
 
     def freeze(self, until):
-        """The process stands still until then; the system beneath it does not."""
+        """Suspend the process until the given time; its sockets still receive data."""
         self.frozen_until = until
         if self.next_turn is not None:
             self.world.cancel(self.next_turn)
@@ -229,13 +228,13 @@
         self.wake()
 
     def stop(self):
-        """The program ends by itself."""
+        """End the process normally."""
         if self.alive:
             self.on_exit()
             self.kill()
 
     def kill(self):
-        """The process is gone."""
+        """End the process at once."""
         self.alive = False
         self.process.close_all()
 
