--- a/lilacdyke/lab/world.py
+++ b/lilacdyke/lab/world.py
@@ -1,7 +1,7 @@
-"""Simulated time: one heap of what happens when, and the only sources of chance.
+"""Discrete-event simulation: one heap of scheduled calls and the seeded random sources.
 
-Owns the order of events: by time, and at one time by when they were asked for. Must never look at a real
-clock, at an object's address or hash, or draw from a source that is not seeded by name.
+Events run by time, and in the order of scheduling at the same time. For reproducible runs, nothing here
+depends on a real clock, on object addresses or hashes, or on an unseeded random source.
 """
 
 from heapq import heappop, heappush
@@ -11,37 +11,37 @@
 
 
 class World:
-    """A seeded event loop. Times are whole microseconds since its start."""
+    """Seeded event loop. Times are whole microseconds since its start."""
 
     __slots__ = ('now', 'heap', 'sequence', 'seed', 'done', 'current_reactor')
 
     def __init__(self, seed):
         self.now, self.heap, self.sequence, self.seed, self.done = 0, [], 0, seed, 0
-        self.current_reactor = None  # whose turn it is
+        self.current_reactor = None  # the reactor that is running
 
     def chance(self, name):
-        """A source of random numbers of its own for each name, so that one more draw in a part moves no other
-        part."""
+        """Return a separate random source for each name, so that a draw by one component does not affect
+        the others."""
         return Random('%s/%s' % (self.seed, name))
 
     def at(self, when, call, *args):
-        """Call then, not before now; what cancel() takes."""
+        """Schedule a call at `when`, or now if that has passed. Return an entry for cancel()."""
         self.sequence += 1
         entry = [when if when > self.now else self.now, self.sequence, call, args]
         heappush(self.heap, entry)
         return entry
 
     def later(self, wait, call, *args):
-        """Call after so many microseconds."""
+        """Schedule a call in `wait` microseconds."""
         return self.at(self.now + wait, call, *args)
 
     @staticmethod
     def cancel(entry):
-        """What was to be called is not."""
+        """Cancel a scheduled call."""
         entry[2] = None
 
     def run(self, until):
-        """Let time pass until then."""
+        """Run all events up to `until` and advance the clock to it."""
         heap = self.heap
         while heap and heap[0][0] <= until:
             when, _, call, args = heappop(heap)
