--- a/lilacdyke/lab/__init__.py
+++ b/lilacdyke/lab/__init__.py
@@ -1,2 +1,2 @@
-"""The lab: fleets of real nodes against stand-ins, in simulated time or on loopback, with faults and
-judges."""
+"""Test lab: runs fleets of real nodes against simulated clients and servers, injects faults and checks
+the outcome."""
--- a/lilacdyke/lab/parts/__init__.py
+++ b/lilacdyke/lab/parts/__init__.py
@@ -1,2 +1,2 @@
-"""Stand-ins of what a node meets: clients, cache servers, the origin and discovery. Twisted protocols on
-either ground."""
+"""Simulated clients, cache servers, origin and discovery, as Twisted protocols for simulated and real
+networks."""
