--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -1,8 +1,7 @@
-"""Simulated ground: node processes, the stand-ins' one, and the network between them, all in one real
-process.
+"""Simulated environment: all node and planner processes, clients and servers of a run in one real process.
 
-The seam's second home: what net/system.py asks of the machine is answered here from the simulated one. Owns
-the wiring of world, network and reactors. Must never let real time or real sockets into a run.
+Connects the event loop, the network and the reactors, and implements the interface of net/system.py on the
+simulated machine. No real time and no real sockets enter a run.
 """
 
 import json
@@ -25,20 +24,20 @@
 from .stage import EPOCH_MS, Stage
 from .world import World
 
-AGENT_DELAY_US = 40  # to the agent on the same machine, microseconds
+AGENT_DELAY_US = 40  # between a node and the discovery agent on its machine
 ADDRESS = re.compile(r'0x[0-9a-f]+')
 
 
 class SimulatedSystem:
-    """What a simulated node is told of its machine; as net/system.System."""
+    """Implements net/system.System on a simulated machine."""
 
     def __init__(self, reactor, process):
         self.elapsed, self.reactor, self.process = reactor.monotonic, reactor, process
-        self.wall_readings, self.wall_read = 0, None  # how often it was read; called with that each time
+        self.wall_readings, self.wall_read = 0, None  # number of readings; hook called with it on each
         self.world = reactor.world
 
     def wall(self):
-        """Unix time, with what its clock was stepped by."""
+        """Return Unix time in seconds, including clock steps."""
         self.wall_readings += 1
         if self.wall_read is not None:
             self.wall_read(self.wall_readings)
@@ -48,7 +47,7 @@
         return self.process.limit if self.process.limit < 1 << 29 else 0
 
     def hold(self, name):
-        """A name on this machine: held until the process ends."""
+        """Lock a name on this machine until the process ends. Return None if another process holds it."""
         held = self.process.net.held_names
         owner = held.get((self.process.address, name))
         if owner is not None and owner.alive:
@@ -57,17 +56,17 @@
         return name
 
     def let_go(self, name):
-        """Another process may have it."""
+        """Release the lock on a name."""
         del self.process.net.held_names[self.process.address, name]
 
     @staticmethod
     def memory_kb():
-        """Not simulated."""
+        """Return 0: memory use is not simulated."""
         return 0
 
 
 class NodeProcess:
-    """One node process."""
+    """Simulated node process."""
 
     def __init__(self, ground, place, text):
         self.ground, self.place, self.leaving = ground, place, False
@@ -107,7 +106,7 @@
         self.reactor.freeze(self.ground.world.now + span)
 
     def counts(self):
-        """What the node counted, and what it still holds."""
+        """Return the node's counters and the resources that it still holds."""
         node = self.node
         return dict(
             sorted(node.counts.items()),
@@ -124,12 +123,12 @@
         )
 
     def ended(self):
-        """It stopped by itself."""
+        """Record that the process has exited by itself."""
         self.ground.stage.exited(self.place, self.counts())
 
 
 class PlannerProcess:
-    """One planner's process."""
+    """Simulated planner process."""
 
     def __init__(self, ground, office):
         self.ground = ground
@@ -162,7 +161,7 @@
 
 
 class ErrorHandler(logging.Handler):
-    """What nodes log as errors, by node."""
+    """Records errors that nodes log."""
 
     def __init__(self, ground):
         super().__init__(logging.ERROR)
@@ -176,7 +175,7 @@
 
 
 class Ground:
-    """The simulated one."""
+    """Simulated environment of one run."""
 
     simulated, epoch_ms, installation = True, EPOCH_MS, 'lab'
 
@@ -188,13 +187,13 @@
         self.network = Network(self.world, self.delay)
         self.stand_in_reactor = SimReactor(self.world, Process(self.network, 'rig', '127.9.0.1'), cost=(0, 0))
         self.stage, self.folder = None, None
-        self.patched = []  # what a patch put aside: (owner, name, value)
+        self.patched = []  # original attributes: (owner, name, value)
 
     def clock(self):
         return self.world.now
 
     def delay(self, here, there):
-        """How long bytes travel, microseconds."""
+        """Return the delay of one packet in microseconds."""
         base_delay = self.base_delays.get((here, there))
         if base_delay is None:
             base_delay = self.base_delays[here, there] = self.base_delay(here, there)
@@ -218,11 +217,11 @@
 
     @staticmethod
     def seen_as(node, address):
-        """A server's address as a node has it."""
+        """Return a server's address as seen by a node."""
         return '%s:%d' % address
 
     def node_of(self, transport):
-        """Whose hop it is: by the address that it came from."""
+        """Return the name of the node that opened a connection, by its source address."""
         return self.stage.name_of(transport.getPeer().host)
 
     def listen(self, factory, address):
@@ -238,18 +237,18 @@
         return PlannerProcess(self, office)
 
     def put(self, owner, name, value):
-        """Something in place of an attribute until the run is over, in the class that has it."""
+        """Replace an attribute until the end of the run, in the class that defines it."""
         if isinstance(owner, type):
             owner = next(kind for kind in owner.__mro__ if name in kind.__dict__)
         self.patched.append((owner, name, owner.__dict__[name]))
         setattr(owner, name, value)
 
     def record(self, kind, *fields):
-        """What forwarders saw, and what acts there."""
+        """Record an observation of a forwarder."""
         self.stage.see(kind, *fields)
 
     def error(self, text):
-        """A fault that somebody logged."""
+        """Record an error, with the process that was running."""
         current_reactor = self.world.current_reactor
         name = current_reactor.process.name if current_reactor is not None else 'lab'
         self.stage.see('error', name, ADDRESS.sub('0x', text)[:300])
@@ -259,15 +258,18 @@
 
 
 def on_log_event(event):
-    """Twisted's log, its old form too: only failures matter."""
+    """Record failures from Twisted's log, including the legacy event format."""
     failure = event.get('log_failure') or event.get('isError') and event.get('failure')
     if failure and _ACTIVE:
         _ACTIVE[-1].error('raised: %s: %s' % (failure.type.__name__, failure.value))
 
 
 def play(scenario, seed, patch=None, progress=None):
-    """Play a scenario on simulated ground; its Stage, with all that was seen. patch: called with the ground
-    before anything is built; progress: called with the part of the run that is over."""
+    """Run a scenario in the simulated environment and return its Stage with all recorded rows.
+
+    patch: called with the Ground before anything is built.
+    progress: called with the completed fraction of the run.
+    """
     if not _ACTIVE:
         globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
     log, ground = logging.getLogger('lilacdyke'), Ground(scenario, seed)
