--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -1,7 +1,7 @@
-"""What is played: the parts of one run, put together from a scenario on either ground.
+"""One run of a scenario: its nodes, servers, clients, discovery agents and planners.
 
-Owns names, addresses, zones, and the run's beginning and end. The ground (ground.py simulated, loopback.py
-real) gives the clock, timers, ports, connections and node processes. Must never decide for a node.
+Assigns names, addresses and zones, and starts and ends the run. The environment (ground.py simulated,
+loopback.py real) provides the clock, timers, ports, connections and processes. Makes no decision for a node.
 """
 
 from math import log1p
@@ -16,12 +16,12 @@
 from .witness import Witness
 
 NODE_PORT, AGENT_PORT, OPERATOR_PORT, PLANNER_PORT = 8000, 8500, 8100, 8200
-EPOCH_MS = 1_700_000_000_000  # simulated runs begin then
-SETTLE_US = 600_000  # from the start to the first client, microseconds
+EPOCH_MS = 1_700_000_000_000  # Unix time at which simulated runs begin
+SETTLE_US = 600_000  # from the start to the first client request
 
 
 class NodeSlot:
-    """A node's place in the run: its address, its zone, and whether clients come to it."""
+    """Node of a run: its address, zone and current process, if any."""
 
     def __init__(self, number, zone, address, agent):
         self.number, self.name, self.zone, self.address, self.agent = (
@@ -31,21 +31,21 @@
             address,
             agent,
         )
-        self.operator_address = (address[0], OPERATOR_PORT)  # where staff call
-        self.away = 0  # how often staff has had it emptied and not called it back
-        self.open, self.running = False, None  # open: the front sends clients here
-        self.known = None  # the list that its last process had, once that was killed
+        self.operator_address = (address[0], OPERATOR_PORT)  # for operators' requests
+        self.away = 0  # number of operator drains not yet followed by an activation
+        self.open, self.running = False, None  # open: new client connections are sent here
+        self.known = None  # server list of its last process, if that was killed
 
 
 class PlannerSlot:
-    """A planner's place in the run."""
+    """Planner of a run."""
 
     def __init__(self, number, address):
         self.number, self.name, self.address, self.running = number, 'p%d' % number, address, None
 
 
 class Stage:
-    """One run's parts. ground: see the two homes."""
+    """All parts of one run. ground: ground.Ground or loopback.Ground."""
 
     log1p = staticmethod(log1p)
 
@@ -60,8 +60,8 @@
         self.fleet, self.roster = Fleet(), Roster(self)
         self.servers, self.places, self.agents, self.hosts = {}, [], [], {}
         self.closing, self.made, self.moves = False, 0, 0
-        self.leaning = ()  # numbers of the nodes that clients come to; none: all
-        self.serve_unknown = False  # whether requests of others than the run's clients are served
+        self.leaning = ()  # numbers of the nodes that receive clients; empty: all
+        self.serve_unknown = False  # whether to serve requests of clients other than the run's
         self.zones = [chr(97 + zone % 26) + str(zone // 26 or '') for zone in range(scenario.zones)]
         self.build()
         self.crowd, self.staff = LoadGenerator(self), Operators(self)
@@ -72,13 +72,13 @@
         return self.last_number
 
     def unix_ms(self, when):
-        """A time of the run as Unix milliseconds."""
+        """Convert a time of the run to Unix milliseconds."""
         return self.ground.epoch_ms + when // 1_000
 
-    # --- building ---------------------------------------------------------------------------------------
+    # --- setup ------------------------------------------------------------------------------------------
 
     def build(self):
-        """All servers, agents and nodes of the start."""
+        """Create the initial servers, agents, nodes and planners."""
         scenario = self.scenario
         origin = scenario.origin
         kind = Kind(
@@ -105,7 +105,7 @@
         self.build_planners()
 
     def build_planners(self):
-        """Planners' places, and the limits in force at the start."""
+        """Create the planners and set the initial limits."""
         planning = self.scenario.planning
         self.offices = [
             PlannerSlot(number, (self.spot(6, number), PLANNER_PORT)) for number in range(planning.planners)
@@ -119,7 +119,8 @@
         self.edition, self.limit_values = 1, {bound.name: bound.most for bound in planning.bounds}
 
     def fleet_file(self, address_of=lambda office: '%s:%d' % office.address):
-        """The fleet file, as plain values. reached(office): under which address its reader has a planner."""
+        """Return the fleet file as plain values. address_of(office): a planner's address as seen by the
+        reader."""
         planning = self.scenario.planning
         rows = [
             {
@@ -158,7 +159,7 @@
             running.kill()
 
     def lower(self, name, most):
-        """Operators change a limit: the file has a new edition, and all planners that run are told."""
+        """Change a limit in a new edition of the fleet file and reload all running planners."""
         self.edition, self.limit_values[name] = self.edition + 1, most
         for office in self.offices:
             if office.running is not None:
@@ -167,11 +168,11 @@
 
     @staticmethod
     def spot(role, number):
-        """A loopback address."""
+        """Return a loopback address for a role and a number."""
         return '127.%d.%d.%d' % (role, number // 250, number % 250 + 1)
 
     def add_server(self, name, kind, zone, cell, started=0, origin=False, address=None):
-        """One more server, not yet open."""
+        """Add a server that does not listen yet."""
         number = len(self.servers)
         model = Model(
             name,
@@ -208,8 +209,7 @@
         return server
 
     def warm_caches(self):
-        """What servers keep at the start: most of the keys that would be theirs, by chance, the popular ones
-        first."""
+        """Fill the caches with a random share of all keys, the popular ones first."""
         scenario, chance = self.scenario, self.chance('warm')
         names = sorted(self.fleet.servers)
         for rank in range(scenario.load.keys):
@@ -221,17 +221,17 @@
         return (self.spot(4, place.number), 0)
 
     def name_of(self, host):
-        """Who has this address, by name."""
+        """Return the name of the host at an address."""
         return self.hosts.get(host, ('', '', host))[2]
 
     def at_work(self, name):
-        """Whether a server is one of the run still."""
+        """Return whether a server is still part of the run."""
         return name in self.servers
 
-    # --- the front --------------------------------------------------------------------------------------
+    # --- client entry -----------------------------------------------------------------------------------
 
     def pick_node(self, draw):
-        """A node for the next connection, or None."""
+        """Return a random open node for the next attempt, or None."""
         candidates = [
             place
             for place in self.places
@@ -240,7 +240,7 @@
         return candidates[int(draw() * len(candidates))] if candidates else None
 
     def page(self, place):
-        """A node's page, in the platform's form."""
+        """Return a node's configuration page as plain values."""
         scenario, rules = self.scenario, self.scenario.rules
         agent = self.agents[place.number]
         return {
@@ -319,7 +319,7 @@
     # --- the run ----------------------------------------------------------------------------------------
 
     def begin(self):
-        """Everybody starts; clients come when the nodes are ready."""
+        """Start all parts; clients follow once the nodes are ready."""
         for server in self.servers.values():
             server.open()
             if self.scenario.caches.pause_every_s and not server.model.origin:
@@ -339,7 +339,7 @@
         self.later(1_000_000, self.close_idle)
 
     def start_node(self, place):
-        """Start a node's process; the front notices a moment later."""
+        """Start a node's process; it receives clients a moment later."""
         if place.running is not None or self.closing:
             return
         self.see('node', place.name, 'up')
@@ -351,12 +351,12 @@
             place.open, place.away = True, 0
 
     def close_node(self, place):
-        """The front sends nobody there any more."""
+        """Send no new clients to a node that has stopped or is draining."""
         if place.running is None or place.running.leaving:
             place.open = False
 
     def kill_node(self, place):
-        """SIGKILL: the front finds out after a while."""
+        """Kill a node's process; clients are sent there until the death is noticed."""
         running, place.running = place.running, None
         if running is not None:
             self.see('node', place.name, 'killed')
@@ -366,7 +366,7 @@
             self.later(int(self.scenario.clients.notice_s * 1e6), self.close_node, place)
 
     def term_node(self, place):
-        """SIGTERM: new connections come for a moment longer."""
+        """Send SIGTERM to a node; new connections arrive for a moment longer."""
         if place.running is not None and not place.running.leaving:
             self.see('node', place.name, 'term')
             place.running.leaving = True
@@ -374,24 +374,24 @@
             self.later(300_000, self.close_node, place)
 
     def exited(self, place, counts):
-        """A node's process has ended by itself."""
+        """Record that a node's process has exited by itself."""
         self.see('node', place.name, 'exit')
         if counts is not None:
             self.see('counters', place.name, counts)
         place.running, place.open = None, False
 
     def close_idle(self):
-        """Servers close connections that idle."""
+        """Close idle connections at all servers, once a second."""
         for server in self.servers.values():
             server.close_idle()
         self.later(1_000_000, self.close_idle)
 
     def stop_clients(self):
-        """Nobody new asks."""
+        """Stop new client requests."""
         self.crowd.stopped = True
 
     def finish(self):
-        """The run ends: nodes are asked to go."""
+        """Begin the end of the run: send SIGTERM to all nodes."""
         self.closing = True
         for place in self.places:
             if place.running is not None and not place.running.leaving:
@@ -401,7 +401,7 @@
 
     @property
     def end_times(self):
-        """When clients stop, when nodes are asked to go, and when all is over: microseconds."""
+        """Return when clients stop, when nodes receive SIGTERM and when the run ends, in microseconds."""
         slowest = max(profile.limit_s for profile in self.scenario.profiles)
         stop = SETTLE_US + int(self.scenario.length_s * 1e6)
         leave = stop + int((slowest + 0.5) * 1e6)
