--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -1,8 +1,7 @@
-"""Loopback ground: real node processes and the stand-ins on a real reactor, on addresses in 127.0.0.0/8 only.
+"""Loopback environment: real node processes, with simulated clients and servers on a real reactor.
 
-Owns the processes that it starts, their pages and logs, and the real clock. Each node sees the servers under
-addresses of its own, so that they know whose hop it is. Must never touch a process that it did not start, nor
-outlive its run.
+All addresses are in 127.0.0.0/8. Each node reaches the servers under addresses of its own, so that a server
+knows which node opened a connection. Signals only processes that it started, and ends them with the run.
 """
 
 import gc
@@ -28,12 +27,12 @@
 from .service import figures
 from .witness import digest
 
-SLACK_MS = 400.0  # real machines are late: the rules' slack is at least this
-MAX_ROWS, TRIMMED_ROWS = 60_000, 20_000  # rows that `up` keeps, and lets go at a time
+SLACK_MS = 400.0  # minimum tolerance of the rules for scheduling delays of a real machine
+MAX_ROWS, TRIMMED_ROWS = 60_000, 20_000  # for `up`: limit of rows, and how many are dropped at a time
 
 
 class ChildProcess:
-    """A process of the program's that this one has started: in popen."""
+    """Child process, in `popen`."""
 
     def signal(self, number):
         if self.popen.poll() is None:
@@ -49,7 +48,7 @@
 
 
 class NodeProcess(ChildProcess):
-    """One node process."""
+    """Real node process."""
 
     def __init__(self, ground, place, page):
         self.ground, self.place, self.leaving, self.process = ground, place, False, None
@@ -71,7 +70,7 @@
         os.replace(self.path + '.new', self.path)
 
     def fleet(self):
-        """What names the fleet file on its command line, where there are planners."""
+        """Write the fleet file and return the arguments that name it; none without planners."""
         if not self.ground.stage.offices:
             return []
         path = self.path[:-5] + '-fleet.toml'
@@ -81,14 +80,14 @@
         return ['--fleet', path]
 
     def poll_exit(self):
-        """Whether it has ended."""
+        """Poll for the end of the process."""
         if self.popen.poll() is None:
             self.ground.later(100_000, self.poll_exit)
         elif self.place.running is self:
             self.ground.stage.exited(self.place, self.counts())
 
     def counts(self):
-        """What its last line counted; and its errors."""
+        """Return the counters of the process's last log line, or None; record the errors it logged."""
         found = {}
         with open(self.log, encoding='utf-8', errors='replace') as file:
             for line in file:
@@ -114,7 +113,7 @@
 
 
 class Planning(ChildProcess):
-    """One planner process."""
+    """Real planner process."""
 
     def __init__(self, ground, office):
         self.ground, self.office = ground, office
@@ -131,7 +130,7 @@
             )
 
     def write(self):
-        """Its fleet file."""
+        """Write its fleet file."""
         write_fleet(self.path, self.ground.stage.fleet_file(self.ground.planner_at))
 
     def hup(self):
@@ -140,7 +139,7 @@
 
 
 def write_fleet(path, tree):
-    """A fleet file."""
+    """Write a fleet file atomically."""
     import tomli_w
 
     with open(path + '.new', 'wb') as file:
@@ -149,7 +148,7 @@
 
 
 class Ports:
-    """One server's ports: an address for each node."""
+    """Listening ports of one server, one address for each node."""
 
     def __init__(self, ports):
         self.ports = ports
@@ -160,7 +159,7 @@
 
 
 class Ground:
-    """The real one."""
+    """Real environment of one run."""
 
     simulated = False
 
@@ -170,12 +169,11 @@
         self.epoch_ms = int(System.wall() * 1_000)
         self.stage, self.folder = None, None
         self.port_offset, self.port_lock = self.reserve_ports()
-        self.installation = 'lab-%d' % self.port_offset  # two labs on one machine share no seats
+        self.installation = 'lab-%d' % self.port_offset  # keeps the seats of concurrent runs apart
 
     @staticmethod
     def reserve_ports():
-        """How far the ports are moved, so that two labs on one machine do not meet; and what keeps others
-        from the same."""
+        """Return a port offset that no concurrent run on this machine uses, and the lock that reserves it."""
         while True:
             with socket.socket() as probe:
                 probe.bind(('127.0.0.1', 0))
@@ -202,12 +200,12 @@
         return number + self.port_offset
 
     def seen_as(self, node, address):
-        """A server's address as that node has it: 127.2.x.y becomes one of its own."""
+        """Return a server's address as seen by a node: 127.2.x.y becomes an address for this node alone."""
         host, port = address
         return '127.%d.%s:%d' % (32 + node, host.split('.', 2)[2], self.port(port))
 
     def node_of(self, transport):
-        """Whose hop it is: by the address that it came to."""
+        """Return the name of the node that opened a connection, by the address it connected to."""
         return 'n%d' % (int(transport.getHost().host.split('.')[1]) - 32)
 
     def listen(self, factory, address):
@@ -226,33 +224,37 @@
         return Planning(self, office)
 
     def program(self, name):
-        """The words that start the program for who has this name."""
+        """Return the command that starts the program for a process of this name."""
         return [sys.executable, '-m', 'lilacdyke']
 
     @staticmethod
     def histories():
-        """Rows that processes wrote themselves; none here."""
+        """Return rows that the processes wrote themselves; none here."""
         return []
 
     def planner_at(self, office):
-        """A planner's own address."""
+        """Return a planner's own address."""
         return '%s:%d' % (office.address[0], self.port(office.address[1]))
 
     def planner_for(self, place, office):
-        """Where a node reaches it."""
+        """Return the address at which a node reaches a planner."""
         return self.planner_at(office)
 
 
 def real(scenario):
-    """The scenario with the slack that real machines need."""
+    """Return the scenario with the tolerance that real machines need."""
     replace = msgspec.structs.replace
     return replace(scenario, rules=replace(scenario.rules, slack_ms=max(SLACK_MS, scenario.rules.slack_ms)))
 
 
 def play(scenario, seed, watch=None, seconds=None, serve_unknown=False, build=None, around=None):
-    """Play on loopback; its Stage. watch: called with the stage each second; seconds: the most that it goes
-    on, None: the scenario's own length. build, around: another ground than this one, and what watches the
-    machine meanwhile."""
+    """Run a scenario on loopback and return its Stage.
+
+    watch: called with the stage once a second.
+    seconds: duration instead of the scenario's own length.
+    serve_unknown: serve requests of clients other than the run's.
+    build: factory of the environment; around: factory of a monitor with a method longest().
+    """
     from twisted.logger import globalLogBeginner
 
     from .ground import on_log_event
@@ -288,19 +290,22 @@
 
 
 def each_second(ground, watch):
-    """Let somebody look, again and again."""
+    """Call `watch` now and once a second."""
     watch(ground.stage)
     ground.later(1_000_000, each_second, ground, watch)
 
 
 def one(scenario, seed=None, rows=False):
-    """Play and judge one scenario on loopback."""
+    """Run one scenario on loopback, check it and return the Outcome."""
     scenario = real(scenario)
     seed = scenario.seed if seed is None else seed
     begun = time.perf_counter()
     stage = play(scenario, seed)
     if stage.faults.left_out:
-        print('left out on loopback: %s' % ', '.join(sorted(set(stage.faults.left_out))), file=sys.stderr)
+        print(
+            'not available on loopback, left out: %s' % ', '.join(sorted(set(stage.faults.left_out))),
+            file=sys.stderr,
+        )
     seen = stage.witness.rows
     return Outcome(
         name=scenario.name,
@@ -315,13 +320,13 @@
 
 
 class Table:
-    """The live table of `lab up`."""
+    """Live table of `lab up`."""
 
     def __init__(self, live):
         self.live, self.next_row, self.total = live, 0, Counter()
 
     def update(self, stage):
-        """Count what came since the last time, and show it."""
+        """Count the rows added since the last update and redraw the table."""
         rows = stage.witness.rows
         new, recent = rows[self.next_row :], Counter()
         servers, nodes, latencies = Counter(), Counter(), []
@@ -336,13 +341,13 @@
             elif row[0] == 'ask':
                 nodes[row[4]] += 1
             elif row[0] == 'fault':
-                self.total['troubles'] += 1
+                self.total['faults'] += 1
         self.next_row = len(rows)
         self.trim(stage)
         self.live.update(self.render(stage, recent, servers, nodes, sorted(latencies)))
 
     def trim(self, stage):
-        """Guards against growing for as long as somebody looks."""
+        """Bound the memory of a run without an end."""
         rows = stage.witness.rows
         if len(rows) > MAX_ROWS:
             del rows[:TRIMMED_ROWS]
@@ -365,13 +370,13 @@
             ),
             title_justify='left',
         )
-        for column in ('node', 'address', 'asked a second'):
-            top.add_column(column, justify='left' if column != 'asked a second' else 'right')
+        for column in ('node', 'address', 'requests/s'):
+            top.add_column(column, justify='left' if column != 'requests/s' else 'right')
         for place in stage.places:
             address = '%s:%d' % (place.address[0], stage.ground.port(place.address[1]))
             top.add_row(place.name, address if place.running else 'down', str(nodes[place.name]))
         below = RichTable(box=None)
-        for column in ('server', 'kind', 'hops a second', 'running', 'waiting', 'kept', 'warm'):
+        for column in ('server', 'kind', 'hops/s', 'running', 'waiting', 'cached', 'capacity'):
             below.add_column(column, justify='left' if column in ('server', 'kind') else 'right')
         for name, server in list(stage.servers.items())[:40]:
             model = server.model
@@ -394,7 +399,7 @@
 
 
 def up(scenario, seconds=None, rate=None):
-    """Bring all up for somebody to look at; the exit code."""
+    """Run the scenario with a live table until interrupted. Return the exit code."""
     from rich.console import Console
     from rich.live import Live
 
@@ -404,7 +409,7 @@
     )
     console = Console()
     console.print(
-        '%s: %d nodes, %d caches, an origin and discovery on loopback; Ctrl-C ends it'
+        '%s: %d nodes, %d caches, an origin and discovery on loopback; press Ctrl-C to stop'
         % (scenario.name, scenario.nodes, scenario.servers)
     )
     profile = scenario.profiles[0].name
