--- a/lilacdyke/lab/scenario.py
+++ b/lilacdyke/lab/scenario.py
@@ -1,7 +1,7 @@
-"""Scenarios: what a run plays, as TOML, read strictly.
+"""Scenario files: the TOML schema of a run, and its validation.
 
-Owns the form of a scenario and the words of its errors. Times are named by their unit (_s, _ms); rates are a
-second; shares are parts of one. Must never fill in what is wrong, nor know how a run is played.
+Field names carry their unit (_s, _ms); rates are per second; shares are fractions of one. Unknown keys and
+values out of range are errors.
 """
 
 from pathlib import Path
@@ -21,53 +21,53 @@
 
 
 class BadScenario(Exception):
-    """A scenario that cannot be played; one line says why."""
+    """Raised for an invalid scenario, with a one-line message."""
 
 
 class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What all tables of a scenario have in common: an unknown key is an error."""
+    """Base of all tables of a scenario; rejects unknown keys."""
 
 
 class Kind(StrictStruct):
-    """Cache servers of one kind."""
+    """Group of identical cache servers."""
 
     name: Name = 'std'
     count: Count = 4
     cores: Annotated[int, Meta(ge=1, le=256)] = 4
-    speed: Positive = 1.0  # of a core; the yardstick is 1
-    queue: Natural = 64  # transactions that wait, until one is declined
-    keeps: Count = 100_000  # values
-    connections: Count = 4_000  # that it holds open
+    speed: Positive = 1.0  # of a core, relative to the reference core
+    queue: Natural = 64  # transactions that may wait before one is declined
+    keeps: Count = 100_000  # cached values
+    connections: Count = 4_000  # open connections
     error_rate: Share = 0.0
 
 
 class Caches(StrictStruct):
-    """What all cache servers have in common."""
+    """Settings of all cache servers."""
 
     mode: Literal['aside', 'through'] = 'aside'
-    work_goes_on: bool = False  # after its transaction was cancelled
+    work_goes_on: bool = False  # whether work continues after a cancel
     ttl_s: Positive = 60.0
-    warm_share: Share = 0.95  # of the keys that a server at its start of the run keeps, of its own
-    miss_cost: Share = 0.1  # of a read's work
+    warm_share: Share = 0.95  # of all keys, cached at the start of the run
+    miss_cost: Share = 0.1  # relative to the work of a read
     idle_s: Positive = 15.0
-    handshake_ms: Amount = 1.0  # work of a new connection
-    down_s: Positive = 20.0  # how long one that fell over stays away
-    pause_every_s: Amount = 0.0  # each stands still so often, for pause_ms
+    handshake_ms: Amount = 1.0  # work for a new connection
+    down_s: Positive = 20.0  # downtime after an overload failure
+    pause_every_s: Amount = 0.0  # mean interval of pauses of pause_ms at each server; 0: none
     pause_ms: Amount = 0.0
     tells: bool = True  # Srv-Cache on answers
     reports: bool = False  # Srv-Load on answers
-    ahead: Share = 0.0  # answers with a 1xx before them
-    give_ms: Amount = 0.0  # over which an answer of more than 64 KiB is given, piece by piece
-    untold: Share = 0.0  # good answers without a length: half in chunks, half until the connection ends
-    coalesce: bool = True  # a miss for a key that is being fetched is `pending`
+    ahead: Share = 0.0  # share of answers preceded by a 1xx
+    give_ms: Amount = 0.0  # time over which an answer above 64 KiB is sent in pieces
+    untold: Share = 0.0  # share of good answers without Content-Length: half chunked, half ended by close
+    coalesce: bool = True  # report a miss for a key that is being fetched as `pending`
 
 
 class Origin(StrictStruct):
-    """The origin behind all caches."""
+    """Origin server behind all caches."""
 
     cores: Count = 8
     speed: Positive = 1.0
-    work: Positive = 1.5  # of a fetch, in a read's work
+    work: Positive = 1.5  # of a fetch, relative to a read
     queue: Natural = 200
     fall_multiple: Positive = 2.5
     fall_s: Positive = 3.0
@@ -75,7 +75,7 @@
 
 
 class Net(StrictStruct):
-    """How long bytes travel, one way."""
+    """One-way network delays."""
 
     same_ms: Amount = 0.2
     cross_ms: Amount = 1.5
@@ -84,7 +84,7 @@
 
 
 class Profile(StrictStruct):
-    """One profile of transactions."""
+    """Transaction profile."""
 
     name: Name
     effect: Literal['free', 'guarded', 'single_shot'] = 'free'
@@ -103,39 +103,39 @@
 class Tenant(StrictStruct):
     name: Name
     share: Positive
-    asks: Positive = 1.0  # how many times its share it asks for
+    asks: Positive = 1.0  # offered load relative to its share
 
 
 class Load(StrictStruct):
-    """What clients ask, whether it is answered or not."""
+    """Offered load, independent of the answers."""
 
-    rate: Positive = 100.0  # first tries a second
+    rate: Positive = 100.0  # transactions per second, not counting retries
     arrivals: Literal['poisson', 'even', 'replay'] = 'poisson'
-    replay_s: list[Amount] = []  # for replay: when each first try comes
+    replay_s: list[Amount] = []  # for replay: arrival times of the transactions
     keys: Count = 2_000
     zipf: Amount = 1.0
     value_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 200
     write_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 100
     large_bytes: Annotated[int, Meta(ge=0, le=400_000)] = 0
-    large_share: Share = 0.0  # of the keys, whose values are of large_bytes
+    large_share: Share = 0.0  # share of keys with values of large_bytes
 
 
 class Clients(StrictStruct):
-    """How clients behave."""
+    """Client behaviour."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 1
-    wait_ms: Amount = 100.0  # before a retry, doubling; 0: at once
-    try_share: Share = 0.6  # of the hard limit that a try is waited for
-    honour: Share = 1.0  # of Retry-After
-    leave: Share = 0.0  # tries whose client leaves early
-    fresh: Share = 0.02  # tries on a connection of their own
-    slow_read: Share = 0.0  # clients that read slowly
-    rude: Amount = 0.0  # malformed or silent clients, a second
-    notice_s: Amount = 2.0  # until the front finds that a node has died
+    wait_ms: Amount = 100.0  # backoff before a retry, doubling; 0: none
+    try_share: Share = 0.6  # timeout of a try, as a share of the hard limit
+    honour: Share = 1.0  # share of retries that honour Retry-After
+    leave: Share = 0.0  # share of tries that the client abandons early
+    fresh: Share = 0.02  # share of tries on a new connection
+    slow_read: Share = 0.0  # share of tries read slowly
+    rude: Amount = 0.0  # malformed or silent clients per second
+    notice_s: Amount = 2.0  # time to detect that a node has died
 
 
 class Discovery(StrictStruct):
-    """Discovery."""
+    """Discovery service."""
 
     mode: Literal['pushed', 'on_request'] = 'pushed'
     lag_s: Annotated[list[Amount], Meta(min_length=2, max_length=2)] = msgspec.field(
@@ -145,7 +145,7 @@
 
 
 class Rules(StrictStruct):
-    """The figures of the four rules."""
+    """Parameters of the rules that runs are checked against."""
 
     drain_grace_ms: Amount = 400.0
     fall_multiple: Positive = 4.0
@@ -155,13 +155,13 @@
     max_hops: Annotated[int, Meta(ge=1, le=20)] = 5
     may_copy: bool = True
     may_cancel: bool = True
-    retry_after_s: Amount = 0.0  # 0: may not be told
+    retry_after_s: Amount = 0.0  # 0: no Retry-After
     slack_ms: Amount = 50.0
-    told_s: Positive = 6.0  # what discovery has to tell counts as told so late at most
+    told_s: Positive = 6.0  # latest delay after which a change counts as delivered by discovery
 
 
 class Prices(StrictStruct):
-    """What service costs: points of 1."""
+    """Weights and fees of the score G."""
 
     handshake: Amount = 0.05
     connection: Amount = 0.0
@@ -172,16 +172,16 @@
 
 
 class Limits(StrictStruct):
-    """What a node has."""
+    """Resources of a node."""
 
     memory_mb: Annotated[int, Meta(ge=16)] = 192
     sockets: Annotated[int, Meta(ge=40)] = 1024
-    turn_us: Natural = 20  # simulated: what a turn of its loop costs, and each event
+    turn_us: Natural = 20  # simulated cost of an event loop iteration; event_us: of each event
     event_us: Natural = 12
 
 
 class Bound(StrictStruct, omit_defaults=True):
-    """One limit of the whole fleet, as the fleet file has it (plan/limits.py)."""
+    """Fleet-wide limit, as in the fleet file (plan/limits.py)."""
 
     name: Name
     most: Positive
@@ -191,18 +191,18 @@
 
     @property
     def own(self):
-        """What the seats own of it at the start, and whatever it is lowered to."""
+        """Return the part that the seats own, at the start and after the limit is lowered."""
         return self.most / 2 if self.floor is None else self.floor
 
 
 class Planning(StrictStruct):
-    """Planners, and the limits that forwarders share."""
+    """Planners and the limits that forwarders share."""
 
     planners: Annotated[int, Meta(ge=0, le=9)] = 0
-    seats: Natural = 0  # 0: one a node
+    seats: Natural = 0  # 0: one per node
     lease_s: Positive = 1.0
     bounds: list[Bound] = []
-    span_s: Amount = 0.0  # for how long a verdict acts; 0: there are none
+    span_s: Amount = 0.0  # how long a verdict acts; 0: no verdicts
 
 
 FAULTS = (
@@ -261,7 +261,7 @@
     'way_replay',
     'starve',
 )
-# What stands for the middle of the fault's target; a fault that takes none has no place in here.
+# Kind of target of each fault; faults without a target are not listed.
 TARGETS = {
     'slow': 'cache',
     'hung': 'cache',
@@ -309,18 +309,21 @@
 
 
 class Event(StrictStruct):
-    """One trouble. what: numbers of the caches, nodes or zones it meets; empty: drawn, `count` of them."""
+    """Injected fault. what: numbers of the target caches, nodes, zones or planners; empty: `count` random
+    ones."""
 
     at_s: Amount
     kind: Literal[FAULTS]
     what: list[Natural] = []
     count: Annotated[int, Meta(ge=1, le=100_000)] = 1
     for_s: Amount = 5.0
-    size: Annotated[float, Meta(ge=-3600, le=3600)] = 4.0  # below 0 for a step back only
+    size: Annotated[float, Meta(ge=-3600, le=3600)] = (
+        4.0  # meaning depends on the kind; negative for a step only
+    )
 
 
 class Scenario(StrictStruct):
-    """A whole one."""
+    """Complete scenario."""
 
     name: Name
     about: str = ''
@@ -347,28 +350,28 @@
 
     @property
     def servers(self):
-        """How many cache servers there are at the start."""
+        """Return the number of cache servers at the start."""
         return sum(kind.count for kind in self.kinds)
 
 
 def check(scenario):
-    """What types cannot tell: names twice, numbers of nobody, times out of order."""
+    """Check what the schema cannot: duplicate names, unknown targets, times out of order."""
     names = [profile.name for profile in scenario.profiles]
     if len(set(names)) < len(names):
-        raise BadScenario('profiles: a name twice')
+        raise BadScenario('profiles: duplicate name')
     if len({kind.name for kind in scenario.kinds}) < len(scenario.kinds):
-        raise BadScenario('kinds: a name twice')
+        raise BadScenario('kinds: duplicate name')
     if any(kind.name == 'origin' for kind in scenario.kinds):
-        raise BadScenario("kinds: origin is the origin's name")
+        raise BadScenario("kinds: the name 'origin' is reserved")
     for profile in scenario.profiles:
         if profile.goal_s > profile.limit_s:
-            raise BadScenario('profiles: %s: its goal is past its limit' % profile.name)
+            raise BadScenario('profiles: %s: goal_s is past its limit_s' % profile.name)
         if profile.write and profile.effect == 'free':
-            raise BadScenario('profiles: %s: a write is not free' % profile.name)
+            raise BadScenario("profiles: %s: a write cannot have the effect 'free'" % profile.name)
     if scenario.discovery.lag_s[0] > scenario.discovery.lag_s[1]:
-        raise BadScenario('discovery: lag_s: the longer one first')
+        raise BadScenario('discovery: lag_s: the lower bound is above the upper')
     if scenario.load.arrivals == 'replay' and scenario.load.replay_s != sorted(scenario.load.replay_s):
-        raise BadScenario('load: replay_s out of order')
+        raise BadScenario('load: replay_s is not sorted')
     most = {
         'cache': scenario.servers,
         'node': scenario.nodes,
@@ -377,19 +380,19 @@
     }
     for index, event in enumerate(scenario.events):
         if event.size < 0 and event.kind != 'step' or event.size > 1000 and event.kind != 'step':
-            raise BadScenario('events[%d]: size: %g' % (index, event.size))
+            raise BadScenario('events[%d]: size %g is out of range' % (index, event.size))
         target = TARGETS.get(event.kind)
         if event.what and target is None:
             raise BadScenario('events[%d]: %s has no target' % (index, event.kind))
         if target and any(number >= most[target] for number in event.what):
             raise BadScenario('events[%d]: no such %s: %s' % (index, target, event.what))
         if event.at_s > scenario.length_s:
-            raise BadScenario('events[%d]: at_s is past the end' % index)
+            raise BadScenario('events[%d]: at_s is past the end of the run' % index)
     return scenario
 
 
 def read(text, where='scenario'):
-    """A scenario from its text; a BadScenario is one line."""
+    """Parse a scenario. Raise BadScenario with a one-line message."""
     try:
         return check(msgspec.toml.decode(text, type=Scenario))
     except BadScenario as err:
@@ -399,7 +402,7 @@
 
 
 def load(name):
-    """A scenario by its path, or by the name of one that ships with the lab."""
+    """Load a scenario from a path, or by the name of a shipped one."""
     path = Path(name)
     if not path.suffix and not path.is_file():
         path = FOLDER / (name + '.toml')
@@ -410,17 +413,17 @@
 
 
 def shipped_names():
-    """The names of those that ship with the lab."""
+    """Return the names of the shipped scenarios."""
     return sorted(path.stem for path in FOLDER.glob('*.toml'))
 
 
 def plain(scenario):
-    """As nested plain values."""
+    """Return the scenario as nested plain values."""
     return msgspec.to_builtins(scenario)
 
 
 def write(scenario):
-    """As TOML: only what differs from the defaults is worth a reader's time."""
+    """Return the scenario as TOML, without values equal to the defaults."""
     import tomli_w
 
     base, tree = plain(Scenario(name=scenario.name)), plain(scenario)
