--- a/lilacdyke/lab/draw.py
+++ b/lilacdyke/lab/draw.py
@@ -1,7 +1,7 @@
-"""Random scenarios: a seed gives a fleet, a load and a timeline of troubles.
+"""Random scenarios: each seed gives a fleet, a load and a timeline of faults.
 
-Owns what is drawn and how wide. The shapes are those of the deployments the project serves, small, with
-figures of the lab's own. Must never draw what the platform's pages rule out.
+The fleets have the shapes of supported deployments at a small scale. Nothing is drawn that a deployment may
+not contain.
 """
 
 from random import Random
@@ -30,7 +30,7 @@
 )
 
 SHAPES = ('aside', 'through', 'shared')
-# What an explored timeline is drawn from, with how often; the longer ones need more of a run.
+# Weights of the kinds of fault.
 KINDS = {
     'slow': 4,
     'hung': 3,
@@ -90,12 +90,12 @@
 }
 
 
-# Seconds by which a wall clock is stepped.
+# Wall clock steps.
 STEPS_S = (-3_600.0, -20.0, -3.0, -0.5, 3.0, 20.0, 3_600.0)
 
 
 def profiles(shape, rng):
-    """The profiles of a shape."""
+    """Return random profiles for a shape."""
     work = rng.uniform(12, 30)
     goal = rng.uniform(0.4, 0.9)
     read = Profile(
@@ -141,7 +141,7 @@
 
 
 def scenario(seed, kinds=None, most=4):
-    """The scenario of a seed. kinds: what its timeline is drawn from; most: troubles in it."""
+    """Return the scenario of a seed. kinds: weights of the kinds of fault; most: limit of faults."""
     rng = Random('draw/%d' % seed)
     shape = rng.choice(SHAPES)
     rows = profiles(shape, rng)
@@ -241,8 +241,10 @@
 
 
 def with_machine_faults(made, seed):
-    """In one fleet of three the machines of some nodes fail: wall clocks are stepped, calls fail for a
-    moment. Drawn apart, so that the rest of a seed's scenario stays what it was."""
+    """Add clock steps and failing system calls to one scenario in three.
+
+    Uses a random source of its own, so that the rest of the seed's scenario does not change.
+    """
     rng = Random('machines/%d' % seed)
     if rng.random() >= 1 / 3:
         return made
@@ -263,8 +265,10 @@
 
 
 def with_large_bodies(made, seed):
-    """In one fleet of four some values, or all writes, are large; answers of all sizes come in all the forms
-    of HTTP/1.1. Drawn apart, so that the rest of a seed's scenario stays what it was."""
+    """Add large values or writes, and answers in all HTTP/1.1 framings, to one scenario in four.
+
+    Uses a random source of its own, so that the rest of the seed's scenario does not change.
+    """
     rng = Random('bodies/%d' % seed)
     if rng.random() >= 0.25:
         return made
@@ -283,8 +287,10 @@
 
 
 def without_large_bodies(made):
-    """Bodies that flow, and gaps between a hop's bytes, would tell when a hop came, not when it was let
-    through."""
+    """Return the scenario without large bodies and slow reads.
+
+    With them the arrival of a hop would not show when a forwarder let it through.
+    """
     plain = Load()
     return replace(
         made,
@@ -294,7 +300,7 @@
     )
 
 
-# Troubles of fleets with planners.
+# Weights of the kinds of fault in fleets with planners.
 PLANNED = {
     'shift': 4,
     'kill_planner': 4,
@@ -316,7 +322,7 @@
 
 
 def planned(seed, kinds=None, most=5):
-    """The scenario of a seed with planners and limits in it: more asks than some of them let through."""
+    """Return the scenario of a seed with planners and limits, some of which the load exceeds."""
     rng = Random('planned/%d' % seed)
     made = scenario(seed, kinds or PLANNED, most)
     rate, read = made.load.rate, made.profiles[0].name
@@ -341,7 +347,7 @@
     return check(replace(without_large_bodies(made), name='planned-%d' % seed, planning=planning))
 
 
-# Troubles of fleets with verdicts.
+# Weights of the kinds of fault in fleets with verdicts.
 WATCHED = {
     'slow': 4,
     'hung': 4,
@@ -369,8 +375,10 @@
 
 
 def watched(seed, kinds=None, most=5):
-    """The scenario of a seed with planners and verdicts in it: sites of several nodes, and traffic that shows
-    what is bad."""
+    """Return the scenario of a seed with planners and verdicts.
+
+    It has several nodes per zone and enough traffic to detect bad servers.
+    """
     rng = Random('watched/%d' % seed)
     made = scenario(seed, kinds or WATCHED, most)
     work = sum(p.share * p.work_ms for p in made.profiles) / sum(p.share for p in made.profiles) / 1_000
@@ -403,7 +411,7 @@
 
 
 def timeline(rng, length, kinds, most):
-    """Some troubles, at drawn times; they overlap as they come."""
+    """Return random faults at random times; they may overlap."""
     names = sorted(kinds)
     weights = [kinds[name] for name in names]
     found = []
