--- a/lilacdyke/lab/service.py
+++ b/lilacdyke/lab/service.py
@@ -1,30 +1,30 @@
-"""How well a run served: revenue in goal, worst seconds, worst profile, latencies, extra work, connections.
+"""Service figures of a run: revenue in goal, worst window, worst profile, latencies, extra work, connections.
 
-Owns the figures of service, from rows alone. Must never judge a rule.
+Computed from the recorded rows alone; rules are checked elsewhere.
 """
 
 from collections import Counter, defaultdict
 
 from hdrh.histogram import HdrHistogram
 
-WINDOW = 10_000_000  # the worst 10 s
+WINDOW = 10_000_000  # microseconds
 
 
 def earned_revenue(profile, outcome, latency):
-    """What one transaction earned."""
+    """Return the revenue of one transaction."""
     if outcome != 'served':
         return 0.0
     return profile.revenue * (1.0 if latency <= profile.goal_s * 1e6 else profile.late_revenue)
 
 
 def earned_share(parts):
-    """Earned over asked of a list of pairs."""
+    """Return the share of revenue earned, from (earned, possible) pairs."""
     asked = sum(pair[1] for pair in parts)
     return sum(pair[0] for pair in parts) / asked if asked else 1.0
 
 
 def figures(scenario, rows):
-    """All figures of a run, as a plain dict. G is from 0 to 1, latencies in milliseconds."""
+    """Return all figures of a run as a dict. G is from 0 to 1; latencies are in milliseconds."""
     profiles = {profile.name: profile for profile in scenario.profiles}
     first, counts, total_work, useful_work = {}, Counter(), 0, 0
     outcomes, answers, latencies = Counter(), Counter(), HdrHistogram(1, 120_000_000, 3)
