--- a/lilacdyke/lab/cli.py
+++ b/lilacdyke/lab/cli.py
@@ -1,7 +1,7 @@
-"""`lilacdyke lab`: the words on its command line and its exit codes.
+"""Command line of `lilacdyke lab`: arguments, output and exit codes.
 
-Owns what is printed. Exit codes: 0 all well, 1 a rule broken or a mutant not caught, 2 wrong words or a wrong
-scenario. Must never do what a part's own module does; imports each part only where it is asked for.
+Exit codes: 0 success, 1 a broken rule or an undetected mutant, 2 invalid arguments or an invalid scenario.
+Each command imports its module only when it runs.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 
 def load_scenario(name):
-    """The scenario by this name or path; what is wrong with it ends the program with one line."""
+    """Load a scenario by name or path; exit with code 2 and a one-line message if it is invalid."""
     try:
         return load(name)
     except BadScenario as err:
@@ -23,7 +23,7 @@
 
 
 class Progress:
-    """One line of progress on a terminal, nothing elsewhere."""
+    """Progress bar on a terminal; silent otherwise."""
 
     def __init__(self, total, what):
         from rich.console import Console
@@ -73,7 +73,7 @@
 
 
 def print_outcome(outcome):
-    """Print what came of one run."""
+    """Print the figures and the broken rules of one run."""
     figures = outcome.figures
     print_table(
         '%s, seed %s' % (outcome.name, outcome.seed),
@@ -99,7 +99,7 @@
 
 
 def print_violations(broken, most=10):
-    """Print what was broken."""
+    """Print up to `most` broken rules."""
     for rule, when, text in broken[:most]:
         click.echo('broken: %s at %.3f s: %s' % (rule, when / 1e6, text))
     if len(broken) > most:
@@ -108,7 +108,7 @@
 
 @click.group()
 def lab():
-    """Fleets of real nodes against stand-ins, in simulated time or on loopback."""
+    """Run fleets of real nodes against simulated clients and servers, in simulated time or on loopback."""
 
 
 @lab.command()
@@ -119,15 +119,17 @@
 
 @lab.command()
 @click.argument('name', metavar='SCENARIO')
-@click.option('--seed', type=click.IntRange(0), help="By default the scenario's.")
+@click.option('--seed', type=click.IntRange(0), help="Seed; by default the scenario's.")
 @click.option(
-    '--record', type=click.Path(dir_okay=False), help='Write all that was seen there, as JSON lines.'
+    '--record',
+    type=click.Path(dir_okay=False),
+    help='Write the record of the run to this file, as JSON lines.',
 )
 @click.option('--json', 'as_json', is_flag=True, help='Print one line of JSON instead of a table.')
-@click.option('--baseline', help="Play it with a plain policy instead of the node's.")
+@click.option('--baseline', help="Run a baseline policy instead of the node's.")
 @click.option('--ground', type=click.Choice(['simulated', 'loopback']), default='simulated')
 def run(name, seed, record, as_json, baseline, ground):
-    """Play one scenario, judge it, print its figures."""
+    """Run one scenario, check it and print its figures."""
     from . import runs, witness
 
     given = load_scenario(name)
@@ -137,7 +139,7 @@
 
         if baseline not in BASELINES:
             click.echo(
-                'lilacdyke: no such baseline: %s; there are %s' % (baseline, ', '.join(BASELINES)), err=True
+                'lilacdyke: no such baseline: %s; available: %s' % (baseline, ', '.join(BASELINES)), err=True
             )
             sys.exit(2)
         patch = BASELINES[baseline].apply
@@ -159,7 +161,7 @@
     else:
         print_outcome(outcome)
         click.echo(
-            '%d transactions in %.1f s, %d a second; record %s; %d rules broken'
+            '%d transactions in %.1f s, %d per second; record %s; %d rules broken'
             % (
                 outcome.figures['transactions'],
                 outcome.wall,
@@ -174,13 +176,15 @@
 @lab.command()
 @click.option('--seeds', type=click.IntRange(1), default=200, show_default=True)
 @click.option('--first', type=click.IntRange(0), default=0, show_default=True, help='The first seed.')
-@click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
+@click.option(
+    '--jobs', type=click.IntRange(0), default=0, help='Number of processes; by default one per core.'
+)
 @click.option(
     '--keep',
     type=click.Path(file_okay=False),
     default='found',
     show_default=True,
-    help='Where scenarios that fail are written, shrunk.',
+    help='Directory for the shrunk failing scenarios.',
 )
 @click.option(
     '--shrink',
@@ -188,14 +192,14 @@
     type=click.IntRange(0),
     default=120,
     show_default=True,
-    help='Runs to spend on making each failing scenario small.',
+    help='Limit of runs for shrinking a failing scenario.',
 )
-@click.option('--planners', is_flag=True, help='Fleets with planners, limits and their troubles.')
+@click.option('--planners', is_flag=True, help='Draw fleets with planners, limits and their faults.')
 @click.option(
-    '--verdicts', is_flag=True, help='Fleets with planners, verdicts on servers and their troubles.'
+    '--verdicts', is_flag=True, help='Draw fleets with planners, verdicts on servers and their faults.'
 )
 def explore(seeds, first, jobs, keep, tries, planners, verdicts):
-    """Play random scenarios and judge them; shrink what fails."""
+    """Run and check random scenarios; shrink those that fail."""
     from . import draw, runs
     from . import explore as exploring
 
@@ -242,18 +246,21 @@
 @lab.command()
 @click.argument('names', metavar='[MUTANT]...', nargs=-1)
 @click.option(
-    '--seeds', type=click.IntRange(1), default=40, show_default=True, help='The most that each is tried with.'
+    '--seeds', type=click.IntRange(1), default=40, show_default=True, help='Limit of seeds for each mutant.'
+)
+@click.option(
+    '--jobs', type=click.IntRange(0), default=0, help='Number of processes; by default one per core.'
 )
-@click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
 def mutants(names, seeds, jobs):
-    """Break nodes on purpose: each mutant must be caught by a judge."""
+    """Run deliberately broken nodes: a rule must detect each mutant."""
     from . import hunt, runs
     from .mutants import MUTANTS
 
     unknown = [name for name in names if name not in MUTANTS]
     if unknown:
         click.echo(
-            'lilacdyke: no such mutant: %s; there are %s' % (', '.join(unknown), ', '.join(MUTANTS)), err=True
+            'lilacdyke: no such mutant: %s; available: %s' % (', '.join(unknown), ', '.join(MUTANTS)),
+            err=True,
         )
         sys.exit(2)
     picked = list(names or MUTANTS)
@@ -290,12 +297,13 @@
 
 @lab.command()
 @click.argument('names', metavar='SCENARIO...', nargs=-1, required=True)
-@click.option('--against', required=True, help='A commit of this repository, or a baseline.')
-@click.option('--seeds', type=click.IntRange(2), default=8, show_default=True, help='Pairs of runs.')
-@click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
+@click.option('--against', required=True, help='Commit of this repository, or a baseline.')
+@click.option('--seeds', type=click.IntRange(2), default=8, show_default=True, help='Number of paired runs.')
+@click.option(
+    '--jobs', type=click.IntRange(0), default=0, help='Number of processes; by default one per core.'
+)
 def compare(names, against, seeds, jobs):
-    """This tree beside an earlier commit or a baseline: paired seeds, the difference with a confidence
-    interval."""
+    """Compare this tree with a commit or a baseline on paired seeds, with a confidence interval."""
     from . import compare as comparing
     from . import runs
 
@@ -323,7 +331,7 @@
         ],
     )
     if not whole:
-        click.echo('interrupted: what had ended is above')
+        click.echo('interrupted: only completed runs are shown')
     sys.exit(1 if any(row.broken[0] for row in rows) or not whole else 0)
 
 
@@ -332,10 +340,14 @@
 @click.argument('field', metavar='FIELD')
 @click.argument('values', metavar='VALUE...', nargs=-1, required=True)
 @click.option('--seeds', type=click.IntRange(1), default=3, show_default=True)
-@click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
-@click.option('--record', type=click.Path(dir_okay=False), help='Write the figures there, as JSON lines.')
+@click.option(
+    '--jobs', type=click.IntRange(0), default=0, help='Number of processes; by default one per core.'
+)
+@click.option(
+    '--record', type=click.Path(dir_okay=False), help='Write the figures to this file, as JSON lines.'
+)
 def sweep(name, field, values, seeds, jobs, record):
-    """Vary one quantity (nodes, load.rate, slow.share, events.0.size, ...) and print what comes of it."""
+    """Vary one field (nodes, load.rate, slow.share, events.0.size, ...) and print the figures."""
     from . import runs
     from . import sweep as sweeping
 
@@ -376,7 +388,7 @@
 )
 @click.option('--out', type=click.Path(dir_okay=False), default='report.html', show_default=True)
 def report(records, out):
-    """A static HTML page with plots, from records of runs."""
+    """Write a static HTML page with plots from records of runs."""
     from . import report as reporting
 
     try:
@@ -389,11 +401,17 @@
 
 @lab.command()
 @click.option(
-    '--every', type=click.IntRange(1), default=1, show_default=True, help='Only each such call of a kind.'
+    '--every',
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help='Test only every n-th call of a kind.',
+)
+@click.option(
+    '--jobs', type=click.IntRange(0), default=0, help='Number of processes; by default one per core.'
 )
-@click.option('--jobs', type=click.IntRange(0), default=0, help='Processes; by default one for each core.')
 def calls(every, jobs):
-    """A short scenario of a node with each of its calls failing in turn, and its wall clock stepped."""
+    """Run a short scenario with each system call of a node failing in turn, and with clock steps."""
     from . import callsweep
 
     begun = time.perf_counter()
@@ -406,10 +424,14 @@
 
 @lab.command()
 @click.option(
-    '--every', type=click.IntRange(1), default=1, show_default=True, help='Only each such prefix of a write.'
+    '--every',
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help='Test only every n-th prefix of a write.',
 )
 def files(every):
-    """A writer's and a voter's file with each call failing in turn, and the process killed at each."""
+    """Test the files of a writer and a voter with each call failing, and with a kill at each call."""
     import logging
 
     from . import filesweep
@@ -428,13 +450,13 @@
 @lab.command()
 @click.argument('name', metavar='[SCENARIO]', default='calm')
 @click.option(
-    '--for', 'seconds', type=click.FloatRange(1), help='End after so many seconds; by default at Ctrl-C.'
+    '--for', 'seconds', type=click.FloatRange(1), help='Duration in seconds; by default until Ctrl-C.'
 )
 @click.option(
-    '--rate', type=click.FloatRange(0.1, 1000), help="Clients' requests a second; by default the scenario's."
+    '--rate', type=click.FloatRange(0.1, 1000), help="Client requests per second; by default the scenario's."
 )
 def up(name, seconds, rate):
-    """Real nodes on loopback, with discovery, caches, an origin and a little load, until Ctrl-C."""
+    """Run real nodes on loopback with discovery, caches, an origin and a light load, until Ctrl-C."""
     from . import loopback
 
     sys.exit(loopback.up(load_scenario(name), seconds, rate))
