--- a/lilacdyke/lab/parts/wire.py
+++ b/lilacdyke/lab/parts/wire.py
@@ -1,34 +1,34 @@
-"""HTTP/1.1 as the stand-ins speak it: requests in, answers out, and the other way round.
+"""HTTP/1.1 of the simulated clients and servers: parsing, framing and connections.
 
-Owns a reader of its own, apart from the node's: a fault in one must not hide in the other. Must never be
-lenient where the protocol page is strict, nor decide what is answered.
+The parser is independent of the node's, so that a fault in one is not hidden by the same fault in the other.
+It is as strict as the node's protocol.
 """
 
 from zlib import crc32
 
 from twisted.internet.protocol import Protocol
 
-LARGE_BODY = 65_536  # bytes of an answer from which its first ones are timed
+LARGE_BODY = 65_536  # bytes; for larger answers the arrival of the first byte is recorded
 
 
 class MalformedMessage(Exception):
-    """Bytes that are no message."""
+    """Raised for data that is not an HTTP/1.1 message."""
 
 
 class Parser:
-    """Messages out of a stream: (first line's words, fields, body) each, fields by lower-case name."""
+    """Splits a stream into messages: (words of the start line, fields by lower-case name, body)."""
 
     __slots__ = ('buffer', 'head', 'body_length', 'scanned', 'chunks')
 
     def __init__(self):
         self.buffer, self.head, self.body_length, self.scanned = bytearray(), None, 0, 0
-        self.chunks = None  # the data of a chunked body so far
+        self.chunks = None  # data of a chunked body so far, or None
 
     def feed(self, data):
         self.buffer += data
 
     def next_message(self):
-        """The next one, or None."""
+        """Return the next complete message, or None."""
         if self.head is None:
             end = self.buffer.find(b'\r\n\r\n', max(0, self.scanned - 3))
             self.scanned = len(self.buffer)
@@ -47,7 +47,7 @@
         return start_line, fields, body
 
     def frame(self, fields):
-        """How long the body is."""
+        """Determine the framing of the body."""
         length, coding = fields.get('content-length', '0'), fields.get('transfer-encoding')
         if not length.isdigit() or coding not in (None, 'chunked') or coding and 'content-length' in fields:
             raise MalformedMessage('length')
@@ -56,7 +56,7 @@
             self.chunks = bytearray()
 
     def fixed_body(self):
-        """The body, if all of it is here."""
+        """Return a body of known length, or None if it is incomplete."""
         if len(self.buffer) < self.body_length:
             return None
         body = bytes(self.buffer[: self.body_length])
@@ -64,7 +64,7 @@
         return body
 
     def chunked_body(self):
-        """The same of a body in chunks, which nobody here ends with a trailer."""
+        """Return a chunked body, or None if it is incomplete. Trailers are not supported."""
         while (end := self.buffer.find(b'\r\n')) >= 0:
             try:
                 size = int(self.buffer[:end], 16)
@@ -82,7 +82,7 @@
 
     @property
     def begun_large(self):
-        """Whether the beginning of a message is here that is large, or may be."""
+        """Return whether a message has begun that is large or of unknown length."""
         return self.head is not None and (self.body_length > LARGE_BODY or self.chunks is not None)
 
     @staticmethod
@@ -100,13 +100,13 @@
 
 
 class HttpConnection(Protocol):
-    """A connection's end that reads messages: a subclass has message(words, fields, body), and bad(err)."""
+    """Base of connections that read messages; subclasses define on_message()."""
 
     def __init__(self):
         self.parser, self.begun, self.up = Parser(), None, False
 
     def clock(self):
-        """Microseconds of the run."""
+        """Return the time of the run in microseconds."""
         raise NotImplementedError
 
     def connectionMade(self):
@@ -115,7 +115,7 @@
 
     def dataReceived(self, data):
         if self.begun is None:
-            self.begun = self.clock()  # of the message that these bytes belong to
+            self.begun = self.clock()  # arrival of the first byte of the current message
         parser = self.parser
         parser.feed(data)
         try:
@@ -135,24 +135,24 @@
         self.on_close()
 
     def on_close(self):
-        """The connection is over."""
+        """Handle the end of the connection."""
 
     def on_malformed(self, err):
         self.transport.abortConnection()
 
     def put(self, data):
-        """Write, if there is somebody to write to."""
+        """Write data if the connection is open."""
         if self.up:
             self.transport.write(data)
 
 
 def answer(status, body=b'', headers=''):
-    """An answer's bytes."""
+    """Return the bytes of an answer with Content-Length."""
     return ('HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n' % (status, headers, len(body))).encode() + body
 
 
 def chunked_answer(body, headers, size):
-    """A good answer in chunks of a size."""
+    """Return the bytes of a chunked 200 answer."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return (
         b'HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n' % headers.encode()
@@ -162,12 +162,12 @@
 
 
 def close_delimited_answer(body, headers):
-    """A good answer that lasts until the connection ends."""
+    """Return the bytes of a 200 answer whose body ends with the connection."""
     return b'HTTP/1.1 200 X\r\n%sConnection: close\r\n\r\n' % headers.encode() + body
 
 
 def request(method, path, fields, body=b''):
-    """A request's bytes."""
+    """Return the bytes of a request."""
     lines = ''.join('%s: %s\r\n' % pair for pair in fields)
     if body or method != 'GET':
         lines += 'Content-Length: %d\r\n' % len(body)
@@ -175,5 +175,5 @@
 
 
 def digest(body):
-    """What tells bodies apart in a record."""
+    """Return a checksum that identifies a body in a record."""
     return '%08x%x' % (crc32(body), len(body))
