--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -1,6 +1,6 @@
-"""Operators' staff: they call nodes at their operators' address, and look at what a node says to clients.
+"""Simulated operators: requests to the operator address of a node, and readiness probes.
 
-Owns each call's connection and what became of it. Must never tell a node anything in another way.
+Each request uses a connection of its own.
 """
 
 from .clients import SingleConnectionFactory
@@ -8,7 +8,7 @@
 
 
 class OperatorCall(HttpConnection):
-    """One call, on a connection of its own; done(status) at its answer, 0 without one."""
+    """Request on its own connection. done(status) is called once, with 0 if there is no answer."""
 
     def __init__(self, stage, method, path, done):
         super().__init__()
@@ -26,7 +26,7 @@
         self.transport.loseConnection()
 
     def on_connect_failed(self):
-        """No connection."""
+        """Report that no connection could be opened."""
         self.finish(0)
 
     def on_close(self):
@@ -39,13 +39,13 @@
 
 
 class Operators:
-    """Who calls."""
+    """Sends operators' requests."""
 
     def __init__(self, stage):
         self.stage = stage
 
     def ask(self, place, address, method, path, done):
-        """One call to an address of a node."""
+        """Send a request to an address of a node."""
         self.stage.connect(
             address,
             SingleConnectionFactory(OperatorCall(self.stage, method, path, done)),
@@ -53,7 +53,7 @@
         )
 
     def tell(self, place, path, what, name):
-        """A call at a node's door; its yes is seen."""
+        """Send a command to a node's operator address and record its success."""
         running = place.running
 
         def done(status):
@@ -64,8 +64,7 @@
             self.ask(place, place.operator_address, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
-        """What a node says to who asks whether it is ready; at a standstill or on its way out it says
-        nothing."""
+        """Probe a node's readiness and record the status. A frozen or leaving node does not answer."""
         running = place.running
 
         def done(status):
