--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -1,7 +1,6 @@
-"""Discovery: the roster and its changes, and an agent on each node's machine that tells them late.
+"""Simulated discovery: the roster of servers, and an agent for each node that delivers changes with a delay.
 
-Owns versions, lags and watches. What an agent has written to a node, or should have at the latest, counts as
-told. Must never tell a change before the ones that came ahead of it.
+Changes reach a node in order. Both the delivery to a node and the time at which a change is due are recorded.
 """
 
 import json
@@ -14,14 +13,14 @@
 
 
 class Roster:
-    """All servers as they are, and the log of changes."""
+    """Current list of servers; passes changes on to the agents."""
 
     def __init__(self, stage):
         self.stage, self.rows, self.version, self.agents = stage, {}, 1, []
         self.chance = stage.chance('roster')
 
     def put(self, name, state, quiet=False, **fields):
-        """A server has changed; agents learn it each in their time."""
+        """Change a server's row. Each agent applies the change after its own delay, or at once if `quiet`."""
         self.version += 1
         row = dict(self.rows.get(name, {}), name=name, state=state, **fields)
         if state == 'gone':
@@ -36,12 +35,12 @@
             self.put(name, 'ready', started=started)
 
     def snapshot(self):
-        """A copy of the list."""
+        """Return a copy of the list."""
         return {name: dict(row) for name, row in self.rows.items()}
 
 
 class Agent(Factory):
-    """One node's agent: it knows the list up to a version and tells it."""
+    """Discovery agent of one node, which serves the list as of some version."""
 
     noisy = False
 
@@ -50,8 +49,8 @@
         self.number = place.number
         self.roster = stage.roster
         self.rows, self.version = self.roster.snapshot(), self.roster.version
-        self.coming, self.next_change_at = [], 0  # changes on their way here, in order
-        self.log = []  # (version, row) of changes known here
+        self.coming, self.next_change_at = [], 0  # earliest time of the next change, to keep the order
+        self.log = []  # (version, row) of applied changes
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
         self.chance = stage.chance('agent ' + place.name)
         self.roster.agents.append(self)
@@ -67,17 +66,17 @@
             self.send_heartbeat()
 
     def move(self, address):
-        """The agent is elsewhere: the old address takes nobody new, and closes the open ones in a while."""
+        """Move to another address; open watches are closed a while later."""
         if self.port is not None:
             self.port.stopListening()
         old, self.address = list(self.watches), address
         self.port = self.stage.listen(self, address)
         self.stage.later(1_500_000, lambda: [watch.transport.loseConnection() for watch in old if watch.up])
 
-    # --- what it knows ----------------------------------------------------------------------------------
+    # --- list of servers --------------------------------------------------------------------------------
 
     def schedule_change(self, version, row, quiet):
-        """A change is on its way."""
+        """Schedule a change after a random lag."""
         low, high = self.stage.scenario.discovery.lag_s
         now = self.stage.clock()
         wait = 0 if quiet else int((low + (high - low) * self.chance.random()) * 1e6) + self.lag
@@ -88,7 +87,7 @@
             self.stage.later(self.next_change_at - now, self.apply_change, version, row)
 
     def apply_change(self, version, row):
-        """It is here, and goes out on the watches."""
+        """Apply a change and send it on all watches."""
         self.stage.see('due', self.node, row['name'], row['state'])
         self.version = version
         if row['state'] == 'gone':
@@ -116,7 +115,7 @@
         }
 
     def page(self):
-        """The whole list as it knows it."""
+        """Return the whole list."""
         return {
             'generation': self.version,
             'reset': True,
@@ -124,7 +123,7 @@
         }
 
     def changes_since(self, version):
-        """What changed after a version, or the whole list."""
+        """Return the changes after a version, or the whole list if the log does not reach back to it."""
         if (
             version is None
             or version > self.version
@@ -145,21 +144,21 @@
         }
 
     def send_heartbeat(self):
-        """An empty line now and then."""
+        """Send an empty line on all watches, periodically."""
         if not self.silent:
             for watch in list(self.watches):
                 watch.write(b'\n')
         self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.send_heartbeat)
 
     def hush(self, on):
-        """Discovery is down, or back."""
+        """Stop sending, or resume and send what was missed."""
         self.silent = on
         if not on:
             for watch in list(self.watches):
                 watch.send_changes()
 
     def cut(self, half):
-        """Watches end, in the middle of a line if asked."""
+        """Close all watches; with `half`, in the middle of a line."""
         for watch in list(self.watches):
             if half and watch.up:
                 watch.write(b'{"generation":%d,"reset":false,"instances":[{"inst' % (self.version + 1))
@@ -167,7 +166,7 @@
 
 
 class AgentConnection(HttpConnection):
-    """A node's connection to its agent."""
+    """Connection of a node to its agent."""
 
     def __init__(self, agent):
         super().__init__()
@@ -185,7 +184,7 @@
             self.record_told(self.agent.page())
             self.put(answer(200, json.dumps(self.agent.page()).encode()))
         elif self.agent.silent:
-            self.agent.watches[self] = None  # it answers once it is back
+            self.agent.watches[self] = None  # answered after the silence ends
             self.at = int(asked['index']) if 'index' in asked else None
         else:
             self.agent.watches[self] = None
@@ -193,7 +192,7 @@
             self.send_changes()
 
     def send_changes(self):
-        """All that this watch has not been told."""
+        """Send the changes that this watch does not have yet."""
         if not self.watching:
             self.watching = True
             self.put(b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n')
