--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -1,8 +1,7 @@
-"""A cache server as a queue: cores, speed, what waits, what is kept, cold starts, falling over, repeats by
-mark.
+"""Queueing model of a cache server: cores, queue, cached values, warm-up, overload failure, deduplication.
 
-Owns what a server does with work, without I/O: bytes are servers.py's. The origin is one of these that has
-every value. Must never use a clock or chance but those it is given.
+Has no I/O; connections are in servers.py. The origin is a server that has every value. The clock and the
+random source are passed in.
 """
 
 from collections import OrderedDict, deque
@@ -41,27 +40,26 @@
         )
         self.write, self.effect = profile.write, profile.effect
         self.group, self.window = profile.group, int(profile.window_s * 1e6)
-        self.done = done  # called with the job once: outcome is set
+        self.done = done  # called once with the job, after outcome is set
         self.state, self.timer, self.began, self.outcome, self.miss = 'new', None, 0, None, False
 
 
 class Fleet:
-    """What the servers know of each other, as the platform gives it: marks by group, values, who missed
-    what."""
+    """State shared by all servers: idempotency keys by group, versions of values, and misses."""
 
     def __init__(self):
         self.servers, self.origin = {}, None
-        self.first_runs = {}  # (scope, mark) -> when it first ran
-        self.versions = {}  # key -> how often it was written
-        self.missed = {}  # id -> servers that lacked its key
+        self.first_runs = {}  # (scope, idempotency key) -> time of the first run
+        self.versions = {}  # key -> number of writes
+        self.missed = {}  # request id -> servers that missed its key
 
     def scope(self, server, job):
-        """Who drops the repeats of a mark that this server has run."""
+        """Return the scope within which servers drop repeats of a job's idempotency key."""
         return 'all' if job.group == 'all' else (server.zone if job.group == 'zone' else server.cell)
 
 
 class Model:
-    """One server. clock(), later(microseconds, call, *given) and drop(what later gave) are the ground's."""
+    """One server. clock(), later(microseconds, call, *args) and drop(timer) belong to the environment."""
 
     def __init__(
         self,
@@ -88,17 +86,17 @@
         self.down_us = int(1e6 * (scenario.origin.down_s if origin else scenario.caches.down_s))
         self.error_rate = getattr(kind, 'error_rate', 0.0)
         self.clock, self.later, self.drop, self.chance, self.see = clock, later, drop, chance, see
-        self.started = started  # 0: long ago; else when, microseconds of the run
-        self.kept = OrderedDict()  # key -> (version, until when)
-        self.fetching = {}  # key -> jobs that wait for a fetch of this server's own (mode through)
+        self.started = started  # start time in microseconds of the run; 0: long before it
+        self.kept = OrderedDict()  # key -> (version, expiry)
+        self.fetching = {}  # key -> jobs waiting for this server's own fetch (mode through)
         self.running, self.waiting = {}, deque()
-        self.recent_work, self.load = deque(), 0.0  # work that came lately, for falling over
+        self.recent_work, self.load = deque(), 0.0  # (time, work) within the overload window, and its sum
         self.slow, self.hung, self.draining, self.fallen, self.stalled_until = 1.0, False, False, False, 0
-        self.on_fall = lambda: None  # told when it falls over
-        self.unanswered = deque()  # jobs that a hung server has finished and does not answer
+        self.on_fall = lambda: None  # called at an overload failure
+        self.unanswered = deque()  # finished jobs of a hung server
 
     def capacity_share(self, at=None):
-        """What it can do of its whole capacity at that time."""
+        """Return the share of the full capacity that is available, below 1 during warm-up."""
         if not self.started:
             return 1.0
         age = ((self.clock() if at is None else at) - self.started) / (self.rules.warm_s * 1e6)
@@ -107,7 +105,7 @@
     # --- values -----------------------------------------------------------------------------------------
 
     def store(self, key, version=None):
-        """Take a value in; the one used longest ago makes way."""
+        """Cache a value and evict the least recently used ones beyond the limit."""
         self.kept[key] = (
             self.fleet.versions.get(key, 0) if version is None else version,
             self.clock() + int(self.caches.ttl_s * 1e6),
@@ -117,7 +115,7 @@
             self.kept.popitem(last=False)
 
     def has_fresh(self, key):
-        """Whether a value is here and good."""
+        """Return whether an unexpired value is cached."""
         if self.origin:
             return True
         held = self.kept.get(key)
@@ -130,25 +128,24 @@
         return True
 
     def fetch_running(self, key):
-        """Whether the origin is at work on a fetch of a key: then a miss is `pending`, where servers tell
-        so."""
+        """Return whether the origin is fetching a key, so that a miss is reported as `pending`."""
         origin = self.fleet.origin
         if not self.caches.coalesce or origin is None:
             return False
         return any(job.key == key and not job.write for job in (*origin.running.values(), *origin.waiting))
 
     def void(self, key):
-        """A write has changed it."""
+        """Drop a value that a write has changed."""
         self.kept.pop(key, None)
 
     # --- work -------------------------------------------------------------------------------------------
 
     def offer(self, job):
-        """A hop has come whole. False: it is declined, and surely never ran."""
+        """Accept a complete hop. Return False if it is declined, in which case it never runs."""
         now = self.clock()
         self.track_load(now, job.work)
         if self.fallen:
-            return True  # its connections are being reset
+            return True  # no answer: its connections are being reset
         if self.draining or job.until <= now or len(self.waiting) >= self.queue_limit:
             return False
         if len(self.running) < self.cores and now >= self.stalled_until:
@@ -159,8 +156,10 @@
         return True
 
     def track_load(self, now, work):
-        """Guards nobody: a server that is sent more than the multiple of what it can do, for the time, falls
-        over."""
+        """Add work to the overload window and fail if it exceeds the multiple of the capacity.
+
+        Only the origin and servers in warm-up fail.
+        """
         if not self.origin and not self.started:
             return
         recent_work = self.recent_work
@@ -197,7 +196,7 @@
         job.timer = self.later(duration, self.finish, job)
 
     def finish(self, job):
-        """Its work is done, unless all stands still."""
+        """Finish a job, after the end of a stall if there is one."""
         if self.clock() < self.stalled_until:
             job.timer = self.later(self.stalled_until - self.clock(), self.finish, job)
             return
@@ -213,7 +212,7 @@
             job.done(job)
 
     def complete(self, job):
-        """What came of it, and what it changed."""
+        """Determine a job's outcome and apply its effect."""
         fleet = self.fleet
         if self.chance.random() < self.error_rate:
             job.outcome = 'error'
@@ -235,7 +234,7 @@
                     fleet.servers[name].store(job.key)
 
     def apply(self, job):
-        """It takes effect, unless its mark is known."""
+        """Apply a job's effect, unless its idempotency key has run within the window."""
         fleet = self.fleet
         dedup_key, now = (fleet.scope(self, job), job.idempotency_key), self.clock()
         first = fleet.first_runs.get(dedup_key) if job.idempotency_key else None
@@ -251,7 +250,7 @@
                 server.void(job.key)
 
     def fetch(self, job):
-        """Mode through: the server itself asks the origin, over a way of its own."""
+        """Fetch a key from the origin in mode `through`; concurrent reads share one fetch."""
         if job.key in self.fetching and not job.write:
             self.fetching[job.key].append(job)
             return
@@ -265,7 +264,7 @@
             self.later(1, self.fetched, job.key, False)
 
     def fetched(self, key, well):
-        """The origin has answered, or not."""
+        """Complete the jobs that waited for a fetch."""
         jobs = self.fetching.pop(key, [])
         if well:
             self.store(key)
@@ -276,7 +275,7 @@
                 job.done(job)
 
     def start_waiting(self):
-        """The one that waited longest; who is over its time, or gone, is dropped unrun."""
+        """Start waiting jobs in order, skipping cancelled ones and declining those past their deadline."""
         now = self.clock()
         while self.waiting and len(self.running) < self.cores and now >= self.stalled_until:
             job = self.waiting.popleft()
@@ -289,7 +288,7 @@
             self.start(job)
 
     def cancel(self, job):
-        """Nobody waits for it any more."""
+        """Cancel a job, unless the server continues running work."""
         if job.state == 'waiting':
             job.state = 'gone'
             self.see('dropped', job.hop, 0)
@@ -302,10 +301,10 @@
             self.see('worked', job.hop, self.clock() - job.began)
             self.start_waiting()
 
-    # --- troubles ---------------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------------
 
     def thaw(self):
-        """A hung server answers again what it has done meanwhile."""
+        """End a hang and answer the jobs finished meanwhile."""
         self.hung = False
         while self.unanswered:
             job = self.unanswered.popleft()
@@ -313,12 +312,12 @@
                 job.done(job)
 
     def stall(self, until):
-        """All its cores stand still until then."""
+        """Stall all cores until the given time."""
         self.stalled_until = until
         self.later(max(1, until - self.clock()), self.start_waiting)
 
     def clear_all(self):
-        """The process has ended: what it worked on and kept is gone."""
+        """Discard all jobs and cached values at the end of the process."""
         for job in self.running.values():
             if job.timer is not None:
                 self.drop(job.timer)
@@ -335,6 +334,6 @@
 
 
 class FetchProfile:
-    """What a fetch of a server's own is, as a profile."""
+    """Profile of a fetch by the server itself."""
 
     write, effect, group, window_s = False, 'free', 'all', 1.0
