--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -1,7 +1,6 @@
-"""Cache servers and the origin on the wire: connections, declines, spoilt answers, probes.
+"""HTTP side of the simulated cache servers and origin: connections, answers, probes and injected faults.
 
-Owns what comes and goes in bytes; what a server does with a hop is the model's. Must never answer a hop
-twice, nor one that was cancelled.
+The processing of a hop is in model.py. A hop is answered at most once, and not after a cancel.
 """
 
 from zlib import crc32
@@ -12,17 +11,17 @@
 from .wire import LARGE_BODY, HttpConnection, answer, chunked_answer, close_delimited_answer, digest
 
 FILL = b'lilacdyke-lab-' * 30_000
-PIECES = 8  # in so many a large answer is given, where that takes time
+PIECES = 8  # number of pieces of a large answer that is sent over time
 CHUNK = 16_000  # bytes of one chunk
 
 
 class ServerConnection(HttpConnection):
-    """One connection at a server."""
+    """Connection at a server."""
 
     def __init__(self, server):
         super().__init__()
         self.server, self.job, self.used = server, None, False
-        self.large_job = None  # the hop whose large answer was the last to be given here
+        self.large_job = None  # job of the last large answer on this connection
 
     def clock(self):
         return self.server.stage.clock()
@@ -38,7 +37,7 @@
         self.touch()
 
     def touch(self):
-        """It ends unless something is asked on it in time."""
+        """Restart the idle timeout."""
         self.last = self.clock()
 
     def on_message(self, begun, start_line, fields, body):
@@ -54,12 +53,12 @@
             self.server.hop(self, begun, start_line, fields, body)
 
     def put_piece(self, data):
-        """A piece of an answer: the connection does not stand idle."""
+        """Write a piece of an answer and restart the idle timeout."""
         self.last = self.clock()
         self.put(data)
 
     def finish(self):
-        """All is said on it: an orderly end."""
+        """Close the connection after all data is written."""
         if self.up:
             self.transport.loseConnection()
 
@@ -71,7 +70,7 @@
 
 
 class CacheServer(Factory):
-    """One server: its model, its port, and what goes wrong with its answers."""
+    """One server: its model, its port and the faults in its answers."""
 
     noisy = False
 
@@ -85,7 +84,7 @@
         )
         self.connections, self.port, self.cap = {}, None, 1 << 30
         self.idle = int(stage.scenario.caches.idle_s * 1e6)
-        self.garbled = self.halved = self.extra = 0.0  # shares of answers
+        self.garbled = self.halved = self.extra = 0.0  # share of answers with each fault
         self.refusing = False
         self.handshake = int(stage.scenario.caches.handshake_ms * 1_000)
         self.chance = stage.chance('server ' + self.name)
@@ -99,7 +98,7 @@
     # --- hops -------------------------------------------------------------------------------------------
 
     def hop(self, connection, begun, start_line, fields, body):
-        """A hop has come whole."""
+        """Validate and record a complete hop and pass it to the model."""
         stage, model = self.stage, self.model
         parts = start_line[1].split('?')[0].split('/')
         profile = stage.profiles.get(parts[1]) if len(parts) > 2 else None
@@ -138,7 +137,7 @@
         return self.stage.clock()
 
     def reply(self, connection, job):
-        """Answer, if the hop is still waited for on its connection."""
+        """Answer a hop if its connection still waits for it."""
         if job.outcome == 'declined':
             self.stage.see('refused', job.hop)
         if connection.job is not job:
@@ -173,8 +172,11 @@
         self.send_answer(connection, data, ends, large)
 
     def begin_large_answer(self, connection, job, length_known):
-        """A large answer begins. told: whether its length is. One whose length is not told is known for large
-        only as its second piece comes: until then nobody can tell it from one whose server hangs."""
+        """Record the start of a large answer.
+
+        Without a known length it counts as large only from its second piece on: before, a node cannot tell it
+        from the answer of a hung server.
+        """
         connection.large_job = job
         wait = 0 if length_known else self.piece_interval()
         if wait:
@@ -187,18 +189,18 @@
             self.stage.see('giving', job.hop, job.id)
 
     def piece_interval(self):
-        """Microseconds between two pieces of a large answer; 0: it is given at once."""
+        """Return the microseconds between two pieces of a large answer; 0: it is sent at once."""
         return int(self.model.caches.give_ms * 1_000) // PIECES
 
     def size(self, key):
-        """Bytes of a key's value."""
+        """Return the size of a key's value in bytes."""
         load = self.stage.scenario.load
         return (
             load.large_bytes if crc32(key.encode()) % 1_000 < load.large_share * 1_000 else load.value_bytes
         )
 
     def frame_answer(self, body, headers):
-        """A good answer in one of its forms, and whether it lasts until the connection ends."""
+        """Return a 200 answer in a random framing, and whether its body ends with the connection."""
         untold = self.model.caches.untold
         if not untold or self.chance.random() >= untold:
             return answer(200, body, headers), False
@@ -207,8 +209,10 @@
         return close_delimited_answer(body, headers), True
 
     def send_answer(self, connection, data, ends=False, large=None):
-        """Send an answer, as it is or as a trouble makes it. ends: the connection ends behind it; large: the
-        hop whose large answer it is, None: it is none."""
+        """Send an answer, possibly with an injected fault.
+
+        ends: the connection closes after it. large: the job, if the answer is large.
+        """
         drawn = self.chance.random() if self.garbled or self.halved or self.extra else 1.0
         if drawn < self.garbled:
             connection.put(
@@ -225,7 +229,7 @@
         if drawn < self.garbled + self.halved:
             connection.put(data[: self.chance.randrange(1, len(data))])
             self.record_break(connection)
-            # An orderly end would make half of an answer that lasts until then a whole one.
+            # After an orderly close, half of a close-delimited answer would be valid.
             (connection.transport.abortConnection if ends else connection.transport.loseConnection)()
         elif drawn < self.garbled + self.halved + self.extra and not ends:
             connection.put(data + (data, b'noise')[self.chance.randrange(2)])
@@ -235,12 +239,12 @@
             self.write_answer(connection, data, ends)
 
     def record_break(self, connection):
-        """It ends a connection by itself, be it in the middle of a large answer."""
+        """Record that the server itself ends a connection during or after a large answer."""
         if connection.large_job is not None:
             self.stage.see('broke', connection.large_job.hop, connection.large_job.id)
 
     def write_answer(self, connection, data, ends):
-        """Send an answer: at once, or a large one as slowly as it is read from somewhere."""
+        """Send an answer: at once, or in pieces if it is large and give_ms is set."""
         every = self.piece_interval()
         if not every or len(data) <= LARGE_BODY:
             connection.put(data)
@@ -255,10 +259,10 @@
         if ends:
             self.stage.later(2 + every * (PIECES - 1), connection.finish)
 
-    # --- coming and going -------------------------------------------------------------------------------
+    # --- start and stop ---------------------------------------------------------------------------------
 
     def open(self):
-        """Listen."""
+        """Start listening."""
         self.port = self.stage.listen(self, self.address)
         self.model.fallen = False
         self.record_state('up')
@@ -278,7 +282,7 @@
         )
 
     def close(self, what='down'):
-        """The process ends: its port and connections with it."""
+        """End the process, with its port and connections."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
@@ -292,26 +296,26 @@
         self.record_state(what)
 
     def fall(self):
-        """It was pushed over: down for a time, then back, cold."""
+        """Fail from overload, and restart cold after the downtime."""
         self.stage.later(0, self.close, 'overturned')
         self.stage.later(self.model.down_us, self.restart)
 
     def pause(self):
-        """It stands still now and then, at times of its own."""
+        """Stall the server at random intervals."""
         caches = self.model.caches
         if self.port is not None:
             self.model.stall(self.clock() + int(caches.pause_ms * 1_000))
         self.stage.later(int(caches.pause_every_s * 1e6 * self.chance.uniform(0.7, 1.3)), self.pause)
 
     def restart(self):
-        """Up again, cold."""
+        """Restart with an empty cache."""
         if self.port is None and not self.stage.closing and self.stage.at_work(self.name):
             self.model.started = 0 if self.model.origin else self.clock()
             self.open()
             self.stage.roster.restarted(self.name, self.model.started)
 
     def close_idle(self):
-        """Connections that have stood idle for too long end."""
+        """Close connections past the idle timeout."""
         now = self.clock()
         for connection in [
             connection
