--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -1,7 +1,7 @@
-"""Clients: they ask at their own pace, whether they are answered or not.
+"""Simulated clients: an open-loop load generator with retries, early leavers and misbehaving clients.
 
-Owns arrivals, connections to nodes, retries, and what each client got. Must never slow down because a node
-does, nor send a request that a client of the platform would not send.
+The arrival rate does not depend on the answers. Except for the misbehaving clients, only requests that a
+conforming client may send are sent.
 """
 
 from bisect import bisect
@@ -11,13 +11,12 @@
 
 from .wire import LARGE_BODY, HttpConnection, digest, request
 
-CROSSING_US = (
-    100_000  # a connection that ends so soon after a request was written on it, kept until then, crossed it
-)
+# A reused connection that closes within this time of a request was closed by the node between requests.
+CROSSING_US = 100_000
 
 
 class SingleConnectionFactory(ClientFactory):
-    """Opens one connection for a protocol that is there already."""
+    """Opens one connection for an existing protocol instance."""
 
     noisy = False
 
@@ -32,7 +31,7 @@
 
 
 class Transaction:
-    """What a client wants, over all its tries."""
+    """Client transaction over all its attempts."""
 
     __slots__ = (
         'number',
@@ -76,7 +75,7 @@
 
 
 class NodeConnection(HttpConnection):
-    """One connection to a node."""
+    """Client connection to a node."""
 
     def __init__(self, crowd, node, first):
         super().__init__()
@@ -95,13 +94,13 @@
             self.ask(pending)
 
     def on_connect_failed(self):
-        """No connection: the try goes elsewhere or fails."""
+        """Report the attempt that waited for the connection as unreachable."""
         pending, self.pending = self.pending, None
         if pending is not None and pending.connection is self:
             self.crowd.on_unreachable(pending)
 
     def ask(self, attempt):
-        """Write the request."""
+        """Send a request."""
         self.attempt, attempt.connection = attempt, self
         self.used += 1
         self.crowd.write_request(self, attempt)
@@ -134,12 +133,12 @@
         self.chance = stage.chance('clients')
         self.draw = self.chance.random
         self.last_number, self.open = 0, 0
-        self.factor, self.hot = 1.0, None  # bursts; (keys, share) that are hot
+        self.factor, self.hot = 1.0, None  # rate multiplier; (number of hot keys, their share)
         self.profiles = scenario.profiles
         self.profile_weights = list(accumulate(profile.share for profile in scenario.profiles))
         self.keys = list(accumulate(1 / (rank + 1) ** self.load.zipf for rank in range(self.load.keys)))
         self.tenants = list(accumulate(t.share * t.asks for t in scenario.tenants))
-        self.idle = {}  # node -> connections that rest, the latest used last
+        self.idle = {}  # node -> idle connections, the latest used last
         self.replay = iter(self.load.replay_s)
         self.stopped, self.id_prefix = False, stage.chance('names').getrandbits(32)
         self.until = int(scenario.length_s * 1e6)
@@ -147,7 +146,7 @@
     # --- arrivals ---------------------------------------------------------------------------------------
 
     def begin(self):
-        """Start asking."""
+        """Start the arrivals."""
         self.origin = self.stage.clock()
         if self.load.arrivals == 'replay':
             self.schedule_replay()
@@ -159,7 +158,7 @@
             )
 
     def next_gap(self):
-        """Microseconds to the next arrival."""
+        """Return the microseconds to the next arrival."""
         rate = self.load.rate * self.factor
         return int(1e6 * (self.chance.expovariate(rate) if self.load.arrivals == 'poisson' else 1 / rate)) + 1
 
@@ -174,7 +173,7 @@
             self.schedule_replay()
 
     def on_arrival(self):
-        """One more, whatever became of those before."""
+        """Start a transaction and schedule the next arrival."""
         if self.stopped:
             return
         self.stage.later(self.next_gap(), self.on_arrival)
@@ -184,7 +183,7 @@
         return bisect(sums, self.draw() * sums[-1], 0, len(sums) - 1)
 
     def start_transaction(self):
-        """A client wants something."""
+        """Start a transaction with a random profile, key and tenant."""
         self.last_number += 1
         profile = self.profiles[self.pick_weighted(self.profile_weights)]
         rank = self.pick_weighted(self.keys)
@@ -207,16 +206,16 @@
         self.start_attempt(tx)
 
     def work(self, profile):
-        """Microseconds of a yardstick core, lognormal about the profile's mean."""
+        """Return the work in microseconds of a reference core, lognormal around the profile's mean."""
         if not profile.cv:
             return profile.work_ms * 1_000
         sigma2 = self.stage.log1p(profile.cv**2)
         return profile.work_ms * 1_000 * self.chance.lognormvariate(-sigma2 / 2, sigma2**0.5)
 
-    # --- tries ------------------------------------------------------------------------------------------
+    # --- attempts ---------------------------------------------------------------------------------------
 
     def start_attempt(self, tx):
-        """One more try, at a node that the front believes in."""
+        """Start an attempt at a random open node."""
         node = self.stage.pick_node(self.draw)
         if node is None:
             self.finish(tx, 'unreached')
@@ -225,7 +224,7 @@
         self.dispatch(Attempt(tx, '%08x%06x%x' % (self.id_prefix, tx.number, tx.tries), node))
 
     def dispatch(self, attempt):
-        """Send it on a connection that rests, or a new one."""
+        """Send an attempt on an idle connection or a new one."""
         idle = self.idle.setdefault(attempt.node, [])
         fresh = self.draw() < self.behaviour.fresh
         while idle and not fresh:
@@ -241,11 +240,11 @@
         )
 
     def wait(self, attempt):
-        """How long a try is waited for, microseconds."""
+        """Return the timeout of an attempt in microseconds."""
         return int(attempt.tx.profile.limit_s * self.behaviour.try_share * 1e6)
 
     def write_request(self, connection, attempt):
-        """The connection is up: write."""
+        """Write a request on an open connection and start its timers."""
         stage, tx = self.stage, attempt.tx
         if attempt.timer is not None:
             stage.drop(attempt.timer)
@@ -296,14 +295,14 @@
             connection.transport.resumeProducing()
 
     def cancel_timers(self, attempt):
-        """Its timers are not needed any more."""
+        """Cancel the timers of an attempt."""
         for timer in (attempt.timer, attempt.leave_timer):
             if timer is not None:
                 self.stage.drop(timer)
         attempt.timer = attempt.leave_timer = None
 
     def answered(self, connection, attempt, start_line, fields, body):
-        """A whole answer."""
+        """Handle a complete answer."""
         stage, tx, status = self.stage, attempt.tx, int(start_line[1]) if start_line[1].isdigit() else 0
         self.cancel_timers(attempt)
         after = fields.get('retry-after', '')
@@ -327,13 +326,13 @@
             self.idle.setdefault(connection.node, []).append(connection)
 
     def retry(self, tx, outcome, after):
-        """Try once more, where that does no harm by what the client was told and knows."""
+        """Retry a transaction if a repeat is safe, or finish it."""
         behaviour, now = self.behaviour, self.stage.clock()
         may = tx.tries <= behaviour.retries and not self.stopped
         if outcome != 'refused':
             may = may and tx.profile.effect != 'single_shot'
         if tx.profile.effect == 'guarded' and tx.first is not None:
-            # Past that a repeat of the client's own could come outside of the window.
+            # A later repeat could arrive outside the deduplication window.
             may = may and now - tx.first < tx.profile.window_s * 1e6 / 4
         if not may:
             self.finish(tx, outcome)
@@ -344,8 +343,10 @@
         self.stage.later(int(wait) + 1, self.start_attempt, tx)
 
     def on_unreachable(self, attempt):
-        """The node took no connection: nothing was sent, unless this was the second try of one that crossed
-        with a close. That one may have run: the node is gone, and nobody knows."""
+        """Handle a failed connect.
+
+        Nothing was sent, unless an earlier connection closed on this request: then it may have run.
+        """
         self.cancel_timers(attempt)
         if attempt.sent_at is not None:
             self.stage.see('cut', attempt.id)
@@ -353,7 +354,7 @@
         self.retry(attempt.tx, 'refused' if attempt.sent_at is None else 'failed', '')
 
     def on_timeout(self, attempt):
-        """No answer in time; one that has begun is read to its end."""
+        """Give up an attempt without an answer; a large answer that has begun is read to its end."""
         if attempt.connection is not None and attempt.connection.parser.begun_large:
             attempt.timer = self.stage.later(300_000, self.on_timeout, attempt)
             return
@@ -366,7 +367,7 @@
         self.retry(attempt.tx, 'failed', '')
 
     def leave_early(self, attempt):
-        """The client goes before its answer."""
+        """Close the connection before the answer."""
         connection, attempt.connection = attempt.connection, None
         if connection is None or connection.attempt is not attempt:
             return
@@ -377,7 +378,7 @@
         self.finish(attempt.tx, 'left')
 
     def connection_closed(self, connection):
-        """A connection is over."""
+        """Handle the end of a connection."""
         idle = self.idle.get(connection.node)
         if idle and connection in idle:
             idle.remove(connection)
@@ -391,21 +392,21 @@
             and not connection.parser.buffer
         )
         if crossed_close and not attempt.crossed_close:
-            attempt.crossed_close = True  # the node had closed between requests: once more, on a new one
+            attempt.crossed_close = True  # closed between requests: send again on a new connection
             self.dispatch(attempt)
             return
         self.stage.see('cut', attempt.id)
         self.retry(attempt.tx, 'failed', '')
 
     def finish(self, tx, outcome):
-        """What became of it."""
+        """Record the outcome of a transaction."""
         self.open -= 1
         self.stage.see('over', tx.number, outcome, self.stage.clock() - tx.since)
 
-    # --- bad clients ------------------------------------------------------------------------------------
+    # --- misbehaving clients ----------------------------------------------------------------------------
 
     def connect_misbehaving(self):
-        """Somebody who sends what cannot be read, or nothing."""
+        """Open a connection that sends malformed data or nothing."""
         if self.stopped:
             return
         self.stage.later(int(self.chance.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving)
@@ -435,7 +436,7 @@
 
 
 class MisbehavingClient(HttpConnection):
-    """A bad client's connection: it is owed an error or a close."""
+    """Connection of a misbehaving client; the node must answer with an error or close it."""
 
     def __init__(self, crowd, node, kind):
         super().__init__()
