--- a/lilacdyke/lab/cli.py
+++ b/lilacdyke/lab/cli.py
@@ -52,8 +52,8 @@
         self.bar.__enter__()
         return self
 
-    def __exit__(self, *given):
-        return self.bar.__exit__(*given)
+    def __exit__(self, *exc_info):
+        return self.bar.__exit__(*exc_info)
 
     def at(self, done, what=None):
         self.bar.update(self.task, completed=done, **({'description': what} if what else {}))
@@ -64,12 +64,12 @@
     from rich.console import Console
     from rich.table import Table
 
-    made = Table(title=title, title_justify='left', box=None, header_style='bold', pad_edge=False)
+    output = Table(title=title, title_justify='left', box=None, header_style='bold', pad_edge=False)
     for column in columns:
-        made.add_column(column, justify='left' if column == columns[0] else 'right', no_wrap=True)
+        output.add_column(column, justify='left' if column == columns[0] else 'right', no_wrap=True)
     for row in rows:
-        made.add_row(*[str(cell) for cell in row])
-    Console(width=None if sys.stdout.isatty() else 140).print(made)
+        output.add_row(*[str(cell) for cell in row])
+    Console(width=None if sys.stdout.isatty() else 140).print(output)
 
 
 def print_outcome(outcome):
@@ -132,7 +132,7 @@
     """Run one scenario, check it and print its figures."""
     from . import runs, witness
 
-    given = load_scenario(name)
+    chosen = load_scenario(name)
     patch = None
     if baseline:
         from .baselines import BASELINES
@@ -146,16 +146,18 @@
     if ground == 'loopback':
         from . import loopback
 
-        outcome = loopback.one(given, seed, rows=bool(record))
+        outcome = loopback.one(chosen, seed, rows=bool(record))
     else:
         with Progress(50, name) as bar:
             outcome = runs.one(
-                given, seed, patch, rows=bool(record), progress=lambda part: bar.at(int(part * 50))
+                chosen, seed, patch, rows=bool(record), progress=lambda part: bar.at(int(part * 50))
             )
     if record:
         from .scenario import plain
 
-        witness.save(record, {'scenario': plain(given), 'seed': outcome.seed, 'ground': ground}, outcome.rows)
+        witness.save(
+            record, {'scenario': plain(chosen), 'seed': outcome.seed, 'ground': ground}, outcome.rows
+        )
     if as_json:
         click.echo(json.dumps(outcome.plain()))
     else:
@@ -307,10 +309,10 @@
     from . import compare as comparing
     from . import runs
 
-    given = [load_scenario(name) for name in names]
+    chosen = [load_scenario(name) for name in names]
     try:
-        with Progress(2 * seeds * len(given), 'comparing') as bar:
-            rows, about, whole = comparing.compare(given, against, seeds, runs.cores(jobs), bar.at)
+        with Progress(2 * seeds * len(chosen), 'comparing') as bar:
+            rows, about, whole = comparing.compare(chosen, against, seeds, runs.cores(jobs), bar.at)
     except comparing.CannotCompare as err:
         click.echo('lilacdyke: %s' % err, err=True)
         sys.exit(2)
@@ -351,9 +353,9 @@
     from . import runs
     from . import sweep as sweeping
 
-    given = load_scenario(name)
+    chosen = load_scenario(name)
     try:
-        points = sweeping.points(given, field, values)
+        points = sweeping.points(chosen, field, values)
     except BadScenario as err:
         click.echo('lilacdyke: %s' % err, err=True)
         sys.exit(2)
--- a/lilacdyke/lab/draw.py
+++ b/lilacdyke/lab/draw.py
@@ -122,9 +122,9 @@
         share=0.08,
         revenue=4.0,
     )
-    found = [read, note]
+    result = [read, note]
     if shape == 'shared' or rng.random() < 0.3:
-        found.append(
+        result.append(
             Profile(
                 name='commit',
                 effect='single_shot',
@@ -137,7 +137,7 @@
                 revenue=2.0,
             )
         )
-    return found
+    return result
 
 
 def scenario(seed, kinds=None, most=4):
@@ -174,7 +174,7 @@
     length = rng.uniform(5, 8)
     hit_rate = rng.uniform(0.86, 0.95)
     origin_load = rate * mean * ((1 - hit_rate) * 1.5 + 0.15)
-    made = Scenario(
+    base = Scenario(
         name='drawn-%d' % seed,
         about='drawn from seed %d, shape %s' % (seed, shape),
         seed=seed,
@@ -237,66 +237,66 @@
         limits=Limits(sockets=rng.choice([1024, 256])),
         events=timeline(rng, length, kinds or KINDS, most),
     )
-    return check(with_machine_faults(with_large_bodies(made, seed), seed))
+    return check(with_machine_faults(with_large_bodies(base, seed), seed))
 
 
-def with_machine_faults(made, seed):
+def with_machine_faults(base, seed):
     """Add clock steps and failing system calls to one scenario in three.
 
     Uses a random source of its own, so that the rest of the seed's scenario does not change.
     """
     rng = Random('machines/%d' % seed)
     if rng.random() >= 1 / 3:
-        return made
-    found = []
+        return base
+    result = []
     for _ in range(rng.randint(1, 3)):
         kind = rng.choice(('step', 'calls'))
         size = rng.choice(STEPS_S) if kind == 'step' else rng.randint(1, len(OWN_FAILURES))
-        found.append(
+        result.append(
             Event(
-                at_s=round(rng.uniform(0, made.length_s * 0.7), 3),
+                at_s=round(rng.uniform(0, base.length_s * 0.7), 3),
                 kind=kind,
                 count=rng.choice([1, 1, 2, 3]),
                 for_s=round(rng.uniform(0.02, 0.4), 3),
                 size=size,
             )
         )
-    return replace(made, events=sorted([*made.events, *found], key=lambda event: event.at_s))
+    return replace(base, events=sorted([*base.events, *result], key=lambda event: event.at_s))
 
 
-def with_large_bodies(made, seed):
+def with_large_bodies(base, seed):
     """Add large values or writes, and answers in all HTTP/1.1 framings, to one scenario in four.
 
     Uses a random source of its own, so that the rest of the seed's scenario does not change.
     """
     rng = Random('bodies/%d' % seed)
     if rng.random() >= 0.25:
-        return made
+        return base
     caches = replace(
-        made.caches,
+        base.caches,
         untold=rng.choice([0.2, 0.5, 1.0]),
         give_ms=rng.choice([0.0, 200.0, 900.0, 2_400.0]),
     )
     load = replace(
-        made.load,
+        base.load,
         large_share=rng.choice([0.0, 0.05, 0.2]),
         large_bytes=rng.choice([70_000, 150_000, 300_000]),
         write_bytes=rng.choice([100, 100, 100_000]),
     )
-    return replace(made, caches=caches, load=load)
+    return replace(base, caches=caches, load=load)
 
 
-def without_large_bodies(made):
+def without_large_bodies(base):
     """Return the scenario without large bodies and slow reads.
 
     With them the arrival of a hop would not show when a forwarder let it through.
     """
     plain = Load()
     return replace(
-        made,
-        clients=replace(made.clients, slow_read=0.0, leave=0.0),
-        caches=replace(made.caches, untold=0.0, give_ms=0.0),
-        load=replace(made.load, large_share=0.0, write_bytes=plain.write_bytes),
+        base,
+        clients=replace(base.clients, slow_read=0.0, leave=0.0),
+        caches=replace(base.caches, untold=0.0, give_ms=0.0),
+        load=replace(base.load, large_share=0.0, write_bytes=plain.write_bytes),
     )
 
 
@@ -324,27 +324,27 @@
 def planned(seed, kinds=None, most=5):
     """Return the scenario of a seed with planners and limits, some of which the load exceeds."""
     rng = Random('planned/%d' % seed)
-    made = scenario(seed, kinds or PLANNED, most)
-    rate, read = made.load.rate, made.profiles[0].name
+    base = scenario(seed, kinds or PLANNED, most)
+    rate, read = base.load.rate, base.profiles[0].name
     bounds = [
         Bound(name='reads', what='requests', most=round(rate * rng.uniform(0.3, 0.9), 1), profile=read),
         Bound(name='open', what='open', most=rng.randint(2, 12), floor=rng.choice([None, None, 2.0])),
     ]
-    if made.caches.mode == 'aside':
+    if base.caches.mode == 'aside':
         bounds.append(
             Bound(name='fetches', what='fetches', most=round(max(2.0, rate * rng.uniform(0.05, 0.3)), 1))
         )
     bounds.append(Bound(name='cold', what='cold', most=round(rng.uniform(2, 12), 1)))
-    bounds.append(Bound(name='links', what='links', most=rng.randint(4, 20) * made.nodes))
+    bounds.append(Bound(name='links', what='links', most=rng.randint(4, 20) * base.nodes))
     planning = Planning(
         planners=rng.choice([1, 2, 3, 3]),
         lease_s=rng.choice([0.4, 0.8]),
-        seats=made.nodes - rng.choice([0, 0, 0, 1]),
+        seats=base.nodes - rng.choice([0, 0, 0, 1]),
         bounds=[
             bounds[index] for index in sorted(rng.sample(range(len(bounds)), rng.randint(1, len(bounds))))
         ],
     )
-    return check(replace(without_large_bodies(made), name='planned-%d' % seed, planning=planning))
+    return check(replace(without_large_bodies(base), name='planned-%d' % seed, planning=planning))
 
 
 # Weights of the kinds of fault in fleets with verdicts.
@@ -380,8 +380,8 @@
     It has several nodes per zone and enough traffic to detect bad servers.
     """
     rng = Random('watched/%d' % seed)
-    made = scenario(seed, kinds or WATCHED, most)
-    work = sum(p.share * p.work_ms for p in made.profiles) / sum(p.share for p in made.profiles) / 1_000
+    base = scenario(seed, kinds or WATCHED, most)
+    work = sum(p.share * p.work_ms for p in base.profiles) / sum(p.share for p in base.profiles) / 1_000
     servers = rng.choice([5, 8, 12])
     rate = min(250.0, rng.uniform(0.2, 0.7) * servers * 2 / work)
     lease = rng.choice([0.4, 0.8])
@@ -393,19 +393,19 @@
         bounds=bounds,
     )
     zones = rng.choice([1, 2, 2, 3])
-    events = [replace(event, what=[], count=min(event.count, 2)) for event in made.events]
-    made = without_large_bodies(made)
+    events = [replace(event, what=[], count=min(event.count, 2)) for event in base.events]
+    base = without_large_bodies(base)
     return check(
         replace(
-            made,
+            base,
             name='watched-%d' % seed,
-            length_s=max(made.length_s, 8.0),
+            length_s=max(base.length_s, 8.0),
             nodes=rng.randint(3, 6),
             zones=zones,
             planning=planning,
             events=events,
-            kinds=[replace(made.kinds[0], count=servers, cores=2)],
-            load=replace(made.load, rate=round(rate, 1)),
+            kinds=[replace(base.kinds[0], count=servers, cores=2)],
+            load=replace(base.load, rate=round(rate, 1)),
         )
     )
 
@@ -414,11 +414,11 @@
     """Return random faults at random times; they may overlap."""
     names = sorted(kinds)
     weights = [kinds[name] for name in names]
-    found = []
+    result = []
     for _ in range(rng.randint(1, most)):
         kind = rng.choices(names, weights)[0]
         low, high = SIZES.get(kind, (4, 4))
-        found.append(
+        result.append(
             Event(
                 at_s=round(rng.uniform(0, length * 0.7), 3),
                 kind=kind,
@@ -427,4 +427,4 @@
                 size=round(rng.uniform(low, high), 3),
             )
         )
-    return sorted(found, key=lambda event: event.at_s)
+    return sorted(result, key=lambda event: event.at_s)
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -48,11 +48,11 @@
 
     def hold(self, name):
         """Lock a name on this machine until the process ends. Return None if another process holds it."""
-        held = self.process.net.held_names
-        owner = held.get((self.process.address, name))
+        owners = self.process.net.held_names
+        owner = owners.get((self.process.address, name))
         if owner is not None and owner.alive:
             return None
-        held[self.process.address, name] = self.reactor
+        owners[self.process.address, name] = self.reactor
         return name
 
     def let_go(self, name):
@@ -68,7 +68,7 @@
 class NodeProcess:
     """Simulated node process."""
 
-    def __init__(self, ground, place, text):
+    def __init__(self, ground, place, config):
         self.ground, self.place, self.leaving = ground, place, False
         self.path = os.path.join(ground.folder, place.name + '.json')
         limits = ground.scenario.limits
@@ -77,7 +77,7 @@
             ground.world, self.process, self.ended, (limits.turn_us, limits.event_us), ground.error
         )
         self.system = SimulatedSystem(self.reactor, self.process)
-        self.write(text)
+        self.write(config)
         before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
         self.node = Node(page(self.path), self.reactor, self.system)
         if ground.stage.offices:
@@ -87,15 +87,15 @@
         self.node.start()
         ground.world.current_reactor = before
 
-    def write(self, tree):
+    def write(self, config):
         with open(self.path, 'w', encoding='utf-8') as file:
-            json.dump(tree, file)
+            json.dump(config, file)
 
     def term(self):
         self.reactor.callFromThread(self.node.drain)
 
-    def hup(self, tree):
-        self.write(tree)
+    def hup(self, config):
+        self.write(config)
         self.reactor.callFromThread(self.node.reread, self.path)
 
     def kill(self):
@@ -230,8 +230,8 @@
     def connect(self, address, factory, bind):
         self.stand_in_reactor.connectTCP(*address, factory, timeout=None, bindAddress=bind)
 
-    def start_node(self, place, text):
-        return NodeProcess(self, place, text)
+    def start_node(self, place, config):
+        return NodeProcess(self, place, config)
 
     def start_planner(self, office):
         return PlannerProcess(self, office)
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -57,7 +57,7 @@
         self.write(page)
         with open(self.log, 'wb') as log:
             self.popen = subprocess.Popen(
-                [*ground.program(place.name), 'serve', '--config', self.path, *self.fleet()],
+                [*ground.program(place.name), 'serve', '--config', self.path, *self.fleet_arguments()],
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
@@ -69,7 +69,7 @@
             json.dump(page, file)
         os.replace(self.path + '.new', self.path)
 
-    def fleet(self):
+    def fleet_arguments(self):
         """Write the fleet file and return the arguments that name it; none without planners."""
         if not self.ground.stage.offices:
             return []
@@ -88,7 +88,7 @@
 
     def counts(self):
         """Return the counters of the process's last log line, or None; record the errors it logged."""
-        found = {}
+        counters = {}
         with open(self.log, encoding='utf-8', errors='replace') as file:
             for line in file:
                 words = (
@@ -99,10 +99,10 @@
                 if words.get('level') in ('error', 'critical'):
                     self.ground.stage.see('error', self.place.name, line.strip()[:300])
                 if words.get('event') == 'stopped':
-                    found = {name: int(value) for name, value in words.items() if value.isdigit()}
-        if not found:
+                    counters = {name: int(value) for name, value in words.items() if value.isdigit()}
+        if not counters:
             return None
-        return dict(found, out=0, hops=0, clients=0, links=0, descriptors=0, most=0, waits=0)
+        return dict(counters, out=0, hops=0, clients=0, links=0, descriptors=0, most=0, waits=0)
 
     def term(self):
         self.signal(signal.SIGTERM)
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -77,9 +77,9 @@
 class NodeConnection(HttpConnection):
     """Client connection to a node."""
 
-    def __init__(self, crowd, node, first):
+    def __init__(self, crowd, node, attempt):
         super().__init__()
-        self.crowd, self.node, self.pending, self.attempt = crowd, node, first, None
+        self.crowd, self.node, self.pending, self.attempt = crowd, node, attempt, None
         self.used, self.ending, self.fresh = 0, False, False
 
     def clock(self):
@@ -91,7 +91,7 @@
         if pending is None or pending.connection is not self:
             self.crowd.mark_idle(self)
         else:
-            self.ask(pending)
+            self.send(pending)
 
     def on_connect_failed(self):
         """Report the attempt that waited for the connection as unreachable."""
@@ -99,7 +99,7 @@
         if pending is not None and pending.connection is self:
             self.crowd.on_unreachable(pending)
 
-    def ask(self, attempt):
+    def send(self, attempt):
         """Send a request."""
         self.attempt, attempt.connection = attempt, self
         self.used += 1
@@ -114,7 +114,7 @@
         self.ending = fields.get('connection', '').lower() == 'close'
         if len(body) > LARGE_BODY:
             self.crowd.stage.see('begun', attempt.id, begun)
-        self.crowd.answered(self, attempt, start_line, fields, body)
+        self.crowd.on_answer(self, attempt, start_line, fields, body)
 
     def on_malformed(self, err):
         self.crowd.stage.see('stray', self.node.name, 'not HTTP')
@@ -130,8 +130,8 @@
     def __init__(self, stage):
         self.stage, scenario = stage, stage.scenario
         self.behaviour, self.load = scenario.clients, scenario.load
-        self.chance = stage.chance('clients')
-        self.draw = self.chance.random
+        self.rng = stage.chance('clients')
+        self.draw = self.rng.random
         self.last_number, self.open = 0, 0
         self.factor, self.hot = 1.0, None  # rate multiplier; (number of hot keys, their share)
         self.profiles = scenario.profiles
@@ -153,14 +153,12 @@
         else:
             self.stage.later(self.next_gap(), self.on_arrival)
         if self.behaviour.rude:
-            self.stage.later(
-                int(self.chance.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving
-            )
+            self.stage.later(int(self.rng.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving)
 
     def next_gap(self):
         """Return the microseconds to the next arrival."""
         rate = self.load.rate * self.factor
-        return int(1e6 * (self.chance.expovariate(rate) if self.load.arrivals == 'poisson' else 1 / rate)) + 1
+        return int(1e6 * (self.rng.expovariate(rate) if self.load.arrivals == 'poisson' else 1 / rate)) + 1
 
     def schedule_replay(self):
         at = next(self.replay, None)
@@ -179,8 +177,8 @@
         self.stage.later(self.next_gap(), self.on_arrival)
         self.start_transaction()
 
-    def pick_weighted(self, sums):
-        return bisect(sums, self.draw() * sums[-1], 0, len(sums) - 1)
+    def pick_weighted(self, cumulative):
+        return bisect(cumulative, self.draw() * cumulative[-1], 0, len(cumulative) - 1)
 
     def start_transaction(self):
         """Start a transaction with a random profile, key and tenant."""
@@ -210,7 +208,7 @@
         if not profile.cv:
             return profile.work_ms * 1_000
         sigma2 = self.stage.log1p(profile.cv**2)
-        return profile.work_ms * 1_000 * self.chance.lognormvariate(-sigma2 / 2, sigma2**0.5)
+        return profile.work_ms * 1_000 * self.rng.lognormvariate(-sigma2 / 2, sigma2**0.5)
 
     # --- attempts ---------------------------------------------------------------------------------------
 
@@ -230,16 +228,16 @@
         while idle and not fresh:
             connection = idle.pop()
             if connection.up and not connection.ending:
-                connection.ask(attempt)
+                connection.send(attempt)
                 return
         connection = NodeConnection(self, attempt.node, attempt)
         connection.fresh, attempt.connection = fresh, connection
-        attempt.timer = self.stage.later(self.wait(attempt), self.on_timeout, attempt)
+        attempt.timer = self.stage.later(self.timeout(attempt), self.on_timeout, attempt)
         self.stage.connect(
             attempt.node.address, SingleConnectionFactory(connection), self.stage.client_address(attempt.node)
         )
 
-    def wait(self, attempt):
+    def timeout(self, attempt):
         """Return the timeout of an attempt in microseconds."""
         return int(attempt.tx.profile.limit_s * self.behaviour.try_share * 1e6)
 
@@ -248,8 +246,12 @@
         stage, tx = self.stage, attempt.tx
         if attempt.timer is not None:
             stage.drop(attempt.timer)
-        wait, profile = self.wait(attempt), tx.profile
-        fields = [('Host', 'lab.internal'), ('Req-Id', attempt.id), ('Req-Deadline', '%.4f' % (wait / 1e6))]
+        timeout, profile = self.timeout(attempt), tx.profile
+        fields = [
+            ('Host', 'lab.internal'),
+            ('Req-Id', attempt.id),
+            ('Req-Deadline', '%.4f' % (timeout / 1e6)),
+        ]
         if tx.idempotency_key:
             fields.append(('Idempotency-Key', tx.idempotency_key))
         if tx.tenant:
@@ -273,7 +275,7 @@
                 tx.key,
                 tx.idempotency_key,
                 now,
-                wait,
+                timeout,
                 tx.tries,
                 int(connection.used == 1),
             )
@@ -282,12 +284,12 @@
                 'PUT' if profile.write else 'GET', '/%s/%s' % (profile.name, tx.key), fields, attempt.body
             )
         )
-        attempt.timer = stage.later(wait + 300_000, self.on_timeout, attempt)
+        attempt.timer = stage.later(timeout + 300_000, self.on_timeout, attempt)
         if self.behaviour.leave and self.draw() < self.behaviour.leave:
-            attempt.leave_timer = stage.later(int(wait * self.draw() * 0.3), self.leave_early, attempt)
+            attempt.leave_timer = stage.later(int(timeout * self.draw() * 0.3), self.leave_early, attempt)
         if self.behaviour.slow_read and self.draw() < self.behaviour.slow_read:
             connection.transport.pauseProducing()
-            stage.later(int(wait * 0.1), self.resume_reading, connection)
+            stage.later(int(timeout * 0.1), self.resume_reading, connection)
 
     @staticmethod
     def resume_reading(connection):
@@ -301,12 +303,12 @@
                 self.stage.drop(timer)
         attempt.timer = attempt.leave_timer = None
 
-    def answered(self, connection, attempt, start_line, fields, body):
+    def on_answer(self, connection, attempt, start_line, fields, body):
         """Handle a complete answer."""
         stage, tx, status = self.stage, attempt.tx, int(start_line[1]) if start_line[1].isdigit() else 0
         self.cancel_timers(attempt)
-        after = fields.get('retry-after', '')
-        stage.see('answer', attempt.id, status, digest(body), after)
+        retry_after = fields.get('retry-after', '')
+        stage.see('answer', attempt.id, status, digest(body), retry_after)
         if connection.ending or connection.fresh:
             connection.transport.loseConnection()
         else:
@@ -314,7 +316,7 @@
         if status == 200:
             self.finish(tx, 'served')
         elif status in (429, 503):
-            self.retry(tx, 'refused', after)
+            self.retry(tx, 'refused', retry_after)
         elif 400 <= status < 500 and status != 409:
             self.finish(tx, 'rejected')
         else:
@@ -325,7 +327,7 @@
         if connection.up and not connection.ending:
             self.idle.setdefault(connection.node, []).append(connection)
 
-    def retry(self, tx, outcome, after):
+    def retry(self, tx, outcome, retry_after):
         """Retry a transaction if a repeat is safe, or finish it."""
         behaviour, now = self.behaviour, self.stage.clock()
         may = tx.tries <= behaviour.retries and not self.stopped
@@ -337,10 +339,10 @@
         if not may:
             self.finish(tx, outcome)
             return
-        wait = behaviour.wait_ms * 1_000 * 2 ** (tx.tries - 1) * (0.5 + self.draw())
-        if after and self.draw() < behaviour.honour:
-            wait = max(wait, float(after) * 1e6)
-        self.stage.later(int(wait) + 1, self.start_attempt, tx)
+        backoff = behaviour.wait_ms * 1_000 * 2 ** (tx.tries - 1) * (0.5 + self.draw())
+        if retry_after and self.draw() < behaviour.honour:
+            backoff = max(backoff, float(retry_after) * 1e6)
+        self.stage.later(int(backoff) + 1, self.start_attempt, tx)
 
     def on_unreachable(self, attempt):
         """Handle a failed connect.
@@ -409,13 +411,13 @@
         """Open a connection that sends malformed data or nothing."""
         if self.stopped:
             return
-        self.stage.later(int(self.chance.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving)
+        self.stage.later(int(self.rng.expovariate(self.behaviour.rude) * 1e6), self.connect_misbehaving)
         node = self.stage.pick_node(self.draw)
         if node is not None:
-            kinds = sorted(MISBEHAVIOURS)
-            kind = kinds[int(self.draw() * len(kinds))]
-            made = MisbehavingClient(self, node, kind)
-            self.stage.connect(node.address, SingleConnectionFactory(made), self.stage.client_address(node))
+            names = sorted(MISBEHAVIOURS)
+            kind = names[int(self.draw() * len(names))]
+            client = MisbehavingClient(self, node, kind)
+            self.stage.connect(node.address, SingleConnectionFactory(client), self.stage.client_address(node))
 
 
 HEAD = b'GET /read/k HTTP/1.1\r\nHost: x\r\n'
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -17,18 +17,18 @@
 
     def __init__(self, stage):
         self.stage, self.rows, self.version, self.agents = stage, {}, 1, []
-        self.chance = stage.chance('roster')
+        self.rng = stage.chance('roster')
 
     def put(self, name, state, quiet=False, **fields):
         """Change a server's row. Each agent applies the change after its own delay, or at once if `quiet`."""
         self.version += 1
-        row = dict(self.rows.get(name, {}), name=name, state=state, **fields)
+        server = dict(self.rows.get(name, {}), name=name, state=state, **fields)
         if state == 'gone':
             self.rows.pop(name, None)
         else:
-            self.rows[name] = row
+            self.rows[name] = server
         for agent in self.agents:
-            agent.schedule_change(self.version, row, quiet)
+            agent.schedule_change(self.version, server, quiet)
 
     def restarted(self, name, started):
         if name in self.rows:
@@ -36,7 +36,7 @@
 
     def snapshot(self):
         """Return a copy of the list."""
-        return {name: dict(row) for name, row in self.rows.items()}
+        return {name: dict(server) for name, server in self.rows.items()}
 
 
 class Agent(Factory):
@@ -52,7 +52,7 @@
         self.coming, self.next_change_at = [], 0  # earliest time of the next change, to keep the order
         self.log = []  # (version, row) of applied changes
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
-        self.chance = stage.chance('agent ' + place.name)
+        self.rng = stage.chance('agent ' + place.name)
         self.roster.agents.append(self)
         self.heartbeat_started = False
 
@@ -75,42 +75,42 @@
 
     # --- list of servers --------------------------------------------------------------------------------
 
-    def schedule_change(self, version, row, quiet):
+    def schedule_change(self, version, server, quiet):
         """Schedule a change after a random lag."""
         low, high = self.stage.scenario.discovery.lag_s
         now = self.stage.clock()
-        wait = 0 if quiet else int((low + (high - low) * self.chance.random()) * 1e6) + self.lag
+        wait = 0 if quiet else int((low + (high - low) * self.rng.random()) * 1e6) + self.lag
         self.next_change_at = max(now + wait, self.next_change_at)
         if self.next_change_at <= now:
-            self.apply_change(version, row)
+            self.apply_change(version, server)
         else:
-            self.stage.later(self.next_change_at - now, self.apply_change, version, row)
+            self.stage.later(self.next_change_at - now, self.apply_change, version, server)
 
-    def apply_change(self, version, row):
+    def apply_change(self, version, server):
         """Apply a change and send it on all watches."""
-        self.stage.see('due', self.node, row['name'], row['state'])
+        self.stage.see('due', self.node, server['name'], server['state'])
         self.version = version
-        if row['state'] == 'gone':
-            self.rows.pop(row['name'], None)
+        if server['state'] == 'gone':
+            self.rows.pop(server['name'], None)
         else:
-            self.rows[row['name']] = row
-        self.log.append((version, row))
+            self.rows[server['name']] = server
+        self.log.append((version, server))
         if len(self.log) > 5_000:
             del self.log[:2_500]
         if not self.silent:
             for watch in list(self.watches):
                 watch.send_changes()
 
-    def entry(self, row):
-        started = row['started']
+    def entry(self, server):
+        started = server['started']
         return {
-            'instanceId': row['name'],
-            'hostPort': self.stage.ground.seen_as(self.number, row['address']),
-            'zone': row['zone'],
-            'machineType': row['kind'],
-            'cell': row['cell'],
-            'lifecycle': LIFECYCLES[row['state']],
-            'weight': row['weight'],
+            'instanceId': server['name'],
+            'hostPort': self.stage.ground.seen_as(self.number, server['address']),
+            'zone': server['zone'],
+            'machineType': server['kind'],
+            'cell': server['cell'],
+            'lifecycle': LIFECYCLES[server['state']],
+            'weight': server['weight'],
             'startedAtMs': self.stage.unix_ms(started) if started else 0,
         }
 
@@ -119,7 +119,7 @@
         return {
             'generation': self.version,
             'reset': True,
-            'instances': [self.entry(row) for row in self.rows.values()],
+            'instances': [self.entry(server) for server in self.rows.values()],
         }
 
     def changes_since(self, version):
@@ -133,14 +133,14 @@
         ):
             return self.page()
         latest = {}
-        for at, row in self.log:
+        for at, server in self.log:
             if at > version:
-                latest.pop(row['name'], None)
-                latest[row['name']] = row
+                latest.pop(server['name'], None)
+                latest[server['name']] = server
         return {
             'generation': self.version,
             'reset': False,
-            'instances': [self.entry(row) for row in latest.values()],
+            'instances': [self.entry(server) for server in latest.values()],
         }
 
     def send_heartbeat(self):
@@ -177,18 +177,18 @@
 
     def on_message(self, begun, start_line, fields, body):
         path, _, query = start_line[1].partition('?')
-        asked = dict(pair.partition('=')[::2] for pair in query.split('&') if pair)
+        query_args = dict(pair.partition('=')[::2] for pair in query.split('&') if pair)
         if path != '/v1/endpoints':
             self.put(answer(404))
-        elif asked.get('stream') != '1':
+        elif query_args.get('stream') != '1':
             self.record_told(self.agent.page())
             self.put(answer(200, json.dumps(self.agent.page()).encode()))
         elif self.agent.silent:
             self.agent.watches[self] = None  # answered after the silence ends
-            self.at = int(asked['index']) if 'index' in asked else None
+            self.at = int(query_args['index']) if 'index' in query_args else None
         else:
             self.agent.watches[self] = None
-            self.at = int(asked['index']) if 'index' in asked else None
+            self.at = int(query_args['index']) if 'index' in query_args else None
             self.send_changes()
 
     def send_changes(self):
@@ -207,9 +207,9 @@
         see, node = self.agent.stage.see, self.agent.node
         states = {value: key for key, value in LIFECYCLES.items()}
         if page['reset']:
-            see('told', node, '*', ','.join(row['instanceId'] for row in page['instances']))
-        for row in page['instances']:
-            see('told', node, row['instanceId'], states[row['lifecycle']])
+            see('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
+        for server in page['instances']:
+            see('told', node, server['instanceId'], states[server['lifecycle']])
 
     def write(self, data):
         if self.watching:
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -72,7 +72,7 @@
         clock,
         later,
         drop,
-        chance,
+        rng,
         see,
         started=0,
         origin=False,
@@ -85,7 +85,7 @@
         self.fall_us = int(1e6 * (scenario.origin.fall_s if origin else scenario.rules.fall_s))
         self.down_us = int(1e6 * (scenario.origin.down_s if origin else scenario.caches.down_s))
         self.error_rate = getattr(kind, 'error_rate', 0.0)
-        self.clock, self.later, self.drop, self.chance, self.see = clock, later, drop, chance, see
+        self.clock, self.later, self.drop, self.rng, self.see = clock, later, drop, rng, see
         self.started = started  # start time in microseconds of the run; 0: long before it
         self.kept = OrderedDict()  # key -> (version, expiry)
         self.fetching = {}  # key -> jobs waiting for this server's own fetch (mode through)
@@ -118,10 +118,10 @@
         """Return whether an unexpired value is cached."""
         if self.origin:
             return True
-        held = self.kept.get(key)
-        if held is None:
+        entry = self.kept.get(key)
+        if entry is None:
             return False
-        if held[1] <= self.clock():
+        if entry[1] <= self.clock():
             del self.kept[key]
             return False
         self.kept.move_to_end(key)
@@ -214,7 +214,7 @@
     def complete(self, job):
         """Determine a job's outcome and apply its effect."""
         fleet = self.fleet
-        if self.chance.random() < self.error_rate:
+        if self.rng.random() < self.error_rate:
             job.outcome = 'error'
             self.apply(job)
             return
@@ -256,20 +256,20 @@
             return
         self.fetching.setdefault(job.key, []).append(job)
         origin = self.fleet.origin
-        asked = Job(
+        origin_job = Job(
             '%s/%s' % (self.name, job.hop), job.id, '', job.key, FetchProfile, job.work * 1.5, job.until, None
         )
-        asked.done = lambda _: self.fetched(job.key, True)
-        if origin is None or not origin.offer(asked) or origin.fallen:
+        origin_job.done = lambda _: self.fetched(job.key, True)
+        if origin is None or not origin.offer(origin_job) or origin.fallen:
             self.later(1, self.fetched, job.key, False)
 
-    def fetched(self, key, well):
+    def fetched(self, key, succeeded):
         """Complete the jobs that waited for a fetch."""
         jobs = self.fetching.pop(key, [])
-        if well:
+        if succeeded:
             self.store(key)
         for job in jobs:
-            job.outcome = 'served' if well else 'error'
+            job.outcome = 'served' if succeeded else 'error'
             self.see('effect', job.hop, job.id, job.idempotency_key)
             if not self.hung:
                 job.done(job)
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -50,14 +50,14 @@
         elif 'req-id' not in fields:
             self.put(answer(404))
         else:
-            self.server.hop(self, begun, start_line, fields, body)
+            self.server.receive_hop(self, begun, start_line, fields, body)
 
     def put_piece(self, data):
         """Write a piece of an answer and restart the idle timeout."""
         self.last = self.clock()
         self.put(data)
 
-    def finish(self):
+    def end(self):
         """Close the connection after all data is written."""
         if self.up:
             self.transport.loseConnection()
@@ -83,11 +83,11 @@
             number,
         )
         self.connections, self.port, self.cap = {}, None, 1 << 30
-        self.idle = int(stage.scenario.caches.idle_s * 1e6)
+        self.idle_us = int(stage.scenario.caches.idle_s * 1e6)
         self.garbled = self.halved = self.extra = 0.0  # share of answers with each fault
         self.refusing = False
         self.handshake = int(stage.scenario.caches.handshake_ms * 1_000)
-        self.chance = stage.chance('server ' + self.name)
+        self.rng = stage.chance('server ' + self.name)
         model.on_fall = self.fall
 
     def buildProtocol(self, addr):
@@ -97,7 +97,7 @@
 
     # --- hops -------------------------------------------------------------------------------------------
 
-    def hop(self, connection, begun, start_line, fields, body):
+    def receive_hop(self, connection, begun, start_line, fields, body):
         """Validate and record a complete hop and pass it to the model."""
         stage, model = self.stage, self.model
         parts = start_line[1].split('?')[0].split('/')
@@ -147,11 +147,13 @@
         if job.outcome == 'declined':
             connection.put(answer(503, b'full\n', 'Srv-Declined: 1\r\n'))
             return
-        headers, ends, large = '', False, None
+        headers, until_close, large = '', False, None
         caches = self.model.caches
         if caches.tells and not self.model.origin:
-            word = 'hit' if not job.miss else 'pending' if self.model.fetch_running(job.key) else 'miss'
-            headers = 'Srv-Cache: %s\r\n' % word
+            cache_status = (
+                'hit' if not job.miss else 'pending' if self.model.fetch_running(job.key) else 'miss'
+            )
+            headers = 'Srv-Cache: %s\r\n' % cache_status
         if caches.reports:
             headers += 'Srv-Load: {"queue":%d}\r\n' % len(self.model.waiting)
         if job.outcome == 'miss':
@@ -167,9 +169,9 @@
             )
             body += FILL[: max(0, self.size(job.key) - len(body))]
             self.stage.see('made', job.hop, job.id, digest(body))
-            data, ends = self.frame_answer(body, headers)
+            data, until_close = self.frame_answer(body, headers)
             large = job if len(body) > LARGE_BODY else None
-        self.send_answer(connection, data, ends, large)
+        self.send_answer(connection, data, until_close, large)
 
     def begin_large_answer(self, connection, job, length_known):
         """Record the start of a large answer.
@@ -202,62 +204,62 @@
     def frame_answer(self, body, headers):
         """Return a 200 answer in a random framing, and whether its body ends with the connection."""
         untold = self.model.caches.untold
-        if not untold or self.chance.random() >= untold:
+        if not untold or self.rng.random() >= untold:
             return answer(200, body, headers), False
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             return chunked_answer(body, headers, CHUNK), False
         return close_delimited_answer(body, headers), True
 
-    def send_answer(self, connection, data, ends=False, large=None):
+    def send_answer(self, connection, data, until_close=False, large=None):
         """Send an answer, possibly with an injected fault.
 
-        ends: the connection closes after it. large: the job, if the answer is large.
+        until_close: the connection closes after it. large: the job, if the answer is large.
         """
-        drawn = self.chance.random() if self.garbled or self.halved or self.extra else 1.0
-        if drawn < self.garbled:
+        draw = self.rng.random() if self.garbled or self.halved or self.extra else 1.0
+        if draw < self.garbled:
             connection.put(
                 (
                     b'\x00\xff\r\nnoise',
                     b'HTTP/1.1 200 X\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabcde',
                     b'HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc',
                     b'HTTP/1.1 2x0 X\r\n\r\n',
-                )[self.chance.randrange(4)]
+                )[self.rng.randrange(4)]
             )
             return
         if large is not None:
             self.begin_large_answer(connection, large, b'Content-Length' in data[: data.index(b'\r\n\r\n')])
-        if drawn < self.garbled + self.halved:
-            connection.put(data[: self.chance.randrange(1, len(data))])
+        if draw < self.garbled + self.halved:
+            connection.put(data[: self.rng.randrange(1, len(data))])
             self.record_break(connection)
             # After an orderly close, half of a close-delimited answer would be valid.
-            (connection.transport.abortConnection if ends else connection.transport.loseConnection)()
-        elif drawn < self.garbled + self.halved + self.extra and not ends:
-            connection.put(data + (data, b'noise')[self.chance.randrange(2)])
+            (connection.transport.abortConnection if until_close else connection.transport.loseConnection)()
+        elif draw < self.garbled + self.halved + self.extra and not until_close:
+            connection.put(data + (data, b'noise')[self.rng.randrange(2)])
         else:
-            if self.chance.random() < self.model.caches.ahead:
+            if self.rng.random() < self.model.caches.ahead:
                 data = b'HTTP/1.1 103 Early\r\nX: 1\r\n\r\n' + data
-            self.write_answer(connection, data, ends)
+            self.write_answer(connection, data, until_close)
 
     def record_break(self, connection):
         """Record that the server itself ends a connection during or after a large answer."""
         if connection.large_job is not None:
             self.stage.see('broke', connection.large_job.hop, connection.large_job.id)
 
-    def write_answer(self, connection, data, ends):
+    def write_answer(self, connection, data, until_close):
         """Send an answer: at once, or in pieces if it is large and give_ms is set."""
-        every = self.piece_interval()
-        if not every or len(data) <= LARGE_BODY:
+        interval = self.piece_interval()
+        if not interval or len(data) <= LARGE_BODY:
             connection.put(data)
-            if ends:
-                connection.finish()
+            if until_close:
+                connection.end()
             return
         size = -(-len(data) // PIECES)
         for number in range(PIECES):
             self.stage.later(
-                1 + every * number, connection.put_piece, data[size * number : size * (number + 1)]
+                1 + interval * number, connection.put_piece, data[size * number : size * (number + 1)]
             )
-        if ends:
-            self.stage.later(2 + every * (PIECES - 1), connection.finish)
+        if until_close:
+            self.stage.later(2 + interval * (PIECES - 1), connection.end)
 
     # --- start and stop ---------------------------------------------------------------------------------
 
@@ -305,7 +307,7 @@
         caches = self.model.caches
         if self.port is not None:
             self.model.stall(self.clock() + int(caches.pause_ms * 1_000))
-        self.stage.later(int(caches.pause_every_s * 1e6 * self.chance.uniform(0.7, 1.3)), self.pause)
+        self.stage.later(int(caches.pause_every_s * 1e6 * self.rng.uniform(0.7, 1.3)), self.pause)
 
     def restart(self):
         """Restart with an empty cache."""
@@ -320,7 +322,7 @@
         for connection in [
             connection
             for connection in self.connections
-            if connection.job is None and now - connection.last > self.idle
+            if connection.job is None and now - connection.last > self.idle_us
         ]:
             self.connections.pop(connection, None)
             connection.transport.loseConnection()
--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -44,7 +44,7 @@
     def __init__(self, stage):
         self.stage = stage
 
-    def ask(self, place, address, method, path, done):
+    def send(self, place, address, method, path, done):
         """Send a request to an address of a node."""
         self.stage.connect(
             address,
@@ -61,7 +61,7 @@
                 self.stage.see('hand', place.name, what, name)
 
         if running is not None and not running.leaving:
-            self.ask(place, place.operator_address, 'POST', '/v1/' + path, done)
+            self.send(place, place.operator_address, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
         """Probe a node's readiness and record the status. A frozen or leaving node does not answer."""
@@ -72,4 +72,4 @@
                 self.stage.see('hand', place.name, what, str(status))
 
         if running is not None and not running.leaving:
-            self.ask(place, place.address, 'GET', '/ready', done)
+            self.send(place, place.address, 'GET', '/ready', done)
--- a/lilacdyke/lab/service.py
+++ b/lilacdyke/lab/service.py
@@ -19,8 +19,8 @@
 
 def earned_share(parts):
     """Return the share of revenue earned, from (earned, possible) pairs."""
-    asked = sum(pair[1] for pair in parts)
-    return sum(pair[0] for pair in parts) / asked if asked else 1.0
+    possible = sum(pair[1] for pair in parts)
+    return sum(pair[0] for pair in parts) / possible if possible else 1.0
 
 
 def figures(scenario, rows):
@@ -28,7 +28,7 @@
     profiles = {profile.name: profile for profile in scenario.profiles}
     first, counts, total_work, useful_work = {}, Counter(), 0, 0
     outcomes, answers, latencies = Counter(), Counter(), HdrHistogram(1, 120_000_000, 3)
-    earned, asked, windows = defaultdict(float), defaultdict(float), defaultdict(list)
+    earned, possible, windows = defaultdict(float), defaultdict(float), defaultdict(list)
     works = {}
     for row in rows:
         kind = row[0]
@@ -48,15 +48,15 @@
             profile = begun[1] if begun else scenario.profiles[0]
             if outcome == 'left':
                 continue
-            got = earned_revenue(profile, outcome, latency)
-            earned[profile.name] += got
-            asked[profile.name] += profile.revenue
-            windows[(at - latency) // WINDOW].append((got, profile.revenue))
+            income = earned_revenue(profile, outcome, latency)
+            earned[profile.name] += income
+            possible[profile.name] += profile.revenue
+            windows[(at - latency) // WINDOW].append((income, profile.revenue))
             if outcome == 'served':
                 latencies.record_value(max(1, latency))
                 useful_work += profile.work_ms * 1_000
-    by_profile = {name: earned[name] / asked[name] if asked[name] else 1.0 for name in profiles}
-    whole = earned_share([(earned[name], asked[name]) for name in profiles])
+    by_profile = {name: earned[name] / possible[name] if possible[name] else 1.0 for name in profiles}
+    whole = earned_share([(earned[name], possible[name]) for name in profiles])
     full = [parts for parts in windows.values() if len(parts) >= 10] or [parts for parts in windows.values()]
     worst = min((earned_share(parts) for parts in full), default=whole)
     prices, served = scenario.prices, max(1, outcomes['served'])
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -323,9 +323,7 @@
         for server in self.servers.values():
             server.open()
             if self.scenario.caches.pause_every_s and not server.model.origin:
-                self.later(
-                    int(self.scenario.caches.pause_every_s * 1e6 * server.chance.random()), server.pause
-                )
+                self.later(int(self.scenario.caches.pause_every_s * 1e6 * server.rng.random()), server.pause)
         for agent in self.agents:
             agent.open()
         for name, most in self.limit_values.items():
--- a/tests/lab/test_parts.py
+++ b/tests/lab/test_parts.py
@@ -21,7 +21,7 @@
 
 class ServerModel(unittest.TestCase):
     def setUp(self):
-        self.world, self.fleet, self.seen, self.ended = World(1), Fleet(), [], []
+        self.world, self.fleet, self.rows, self.finished = World(1), Fleet(), [], []
 
     def model(self, name='c0', origin=False, started=0, cores=1, queue=1, zone='a', **other):
         scenario = Scenario(
@@ -38,7 +38,7 @@
             self.world.later,
             self.world.cancel,
             Random(1),
-            lambda *row: self.seen.append(row),
+            lambda *row: self.rows.append(row),
             started,
             origin,
         )
@@ -54,15 +54,15 @@
             profile,
             work,
             until,
-            lambda job: self.ended.append((job.hop, job.outcome, self.world.now)),
+            lambda job: self.finished.append((job.hop, job.outcome, self.world.now)),
         )
 
     def test_jobs_run_in_order_and_a_full_queue_declines(self):
         made = self.model(origin=True)
-        taken = [made.offer(self.job(number)) for number in range(3)]
+        accepted = [made.offer(self.job(number)) for number in range(3)]
         self.world.run(10**6)
         self.assertEqual(
-            (taken, self.ended), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
+            (accepted, self.finished), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
         )
 
     def test_capacity_grows_during_warm_up(self):
@@ -82,7 +82,9 @@
         again.id = 'id1'
         origin.offer(again)
         self.world.run(10**6)
-        self.assertEqual(([row[1] for row in self.ended], cache.has_fresh('k')), (['miss', 'served'], True))
+        self.assertEqual(
+            ([row[1] for row in self.finished], cache.has_fresh('k')), (['miss', 'served'], True)
+        )
 
     def test_write_invalidates_cached_copies(self):
         cache, origin = self.model(), self.model('origin', origin=True)
@@ -97,7 +99,7 @@
             made.offer(self.job(number, NOTE, idempotency_key='m'))
             self.world.run(self.world.now + wait)
         self.assertEqual(
-            [row[:2] for row in self.seen if row[0] != 'worked'],
+            [row[:2] for row in self.rows if row[0] != 'worked'],
             [('effect', 1), ('repeat', 2), ('effect', 3)],
         )
 
@@ -107,7 +109,7 @@
         one.offer(self.job(1, profile, idempotency_key='m'))
         other.offer(self.job(2, profile, idempotency_key='m'))
         self.world.run(10**5)
-        self.assertEqual([row[0] for row in self.seen if row[0] != 'worked'], ['effect', 'effect'])
+        self.assertEqual([row[0] for row in self.rows if row[0] != 'worked'], ['effect', 'effect'])
 
     def test_cancelled_job_does_not_finish(self):
         made, job = self.model(queue=5), self.job(1)
@@ -115,7 +117,7 @@
         made.offer(self.job(2))
         made.cancel(job)
         self.world.run(10**6)
-        self.assertEqual([row[0] for row in self.ended], [2])
+        self.assertEqual([row[0] for row in self.finished], [2])
 
     def test_cold_server_fails_under_overload(self):
         made = self.model(started=1, queue=10_000)
@@ -131,9 +133,9 @@
         made.hung = True
         made.offer(self.job(1))
         self.world.run(10**6)
-        before = list(self.ended)
+        before = list(self.finished)
         made.thaw()
-        self.assertEqual((before, self.ended[0][:2]), ([], (1, 'served')))
+        self.assertEqual((before, self.finished[0][:2]), ([], (1, 'served')))
 
     def test_least_recently_used_value_is_evicted(self):
         made = self.model()
@@ -154,18 +156,18 @@
         )
         for at in range(len(data)):
             parser.feed(data[at : at + 1])
-            got = parser.next_message()
-            if got:
-                found.append((got[0][0], got[2]))
+            message = parser.next_message()
+            if message:
+                found.append((message[0][0], message[2]))
         self.assertEqual(found, [('PUT', b'abc'), ('GET', b'')])
 
     def test_chunked_bodies_are_parsed_byte_by_byte(self):
         parser, data, found = Parser(), chunked_answer(b'abcdefg', '', 3) + answer(200, b'x'), []
         for at in range(len(data)):
             parser.feed(data[at : at + 1])
-            got = parser.next_message()
-            if got:
-                found.append(got[2])
+            message = parser.next_message()
+            if message:
+                found.append(message[2])
         self.assertEqual(found, [b'abcdefg', b'x'])
 
     def test_malformed_messages_are_rejected(self):
@@ -200,8 +202,8 @@
             'name = "x"\n[[profiles]]\nname = "r"\ngoal_s = 9': 'past its limit',
             'name = "x"\n[[events]]\nat_s = 99\nkind = "burst"': 'past the end',
         }
-        for text, told in cases.items():
-            with self.subTest(told=told), self.assertRaisesRegex(BadScenario, told) as caught:
+        for text, expected in cases.items():
+            with self.subTest(expected=expected), self.assertRaisesRegex(BadScenario, expected) as caught:
                 scenarios.read(text)
             self.assertNotIn('\n', str(caught.exception))
 
