--- a/tests/lab/test_parts.py
+++ b/tests/lab/test_parts.py
@@ -27,7 +27,7 @@
         scenario = Scenario(
             name='x', caches=scenarios.Caches(**other), rules=scenarios.Rules(warm_s=10.0, cold_from=0.2)
         )
-        made = Model(
+        server = Model(
             name,
             scenario,
             Kind(cores=cores, queue=queue),
@@ -42,8 +42,8 @@
             started,
             origin,
         )
-        self.fleet.servers[name] = made
-        return made
+        self.fleet.servers[name] = server
+        return server
 
     def job(self, number, profile=READ, key='k', idempotency_key='', work=10_000, until=10**9):
         return Job(
@@ -58,19 +58,19 @@
         )
 
     def test_jobs_run_in_order_and_a_full_queue_declines(self):
-        made = self.model(origin=True)
-        accepted = [made.offer(self.job(number)) for number in range(3)]
+        server = self.model(origin=True)
+        accepted = [server.offer(self.job(number)) for number in range(3)]
         self.world.run(10**6)
         self.assertEqual(
             (accepted, self.finished), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
         )
 
     def test_capacity_grows_during_warm_up(self):
-        made = self.model(started=1)
+        server = self.model(started=1)
         self.world.now = 1
-        first = made.capacity_share()
+        first = server.capacity_share()
         self.assertEqual(
-            (first, round(made.capacity_share(5_000_001), 6), made.capacity_share(10**8)), (0.2, 0.6, 1.0)
+            (first, round(server.capacity_share(5_000_001), 6), server.capacity_share(10**8)), (0.2, 0.6, 1.0)
         )
 
     def test_value_is_stored_when_the_origin_serves_a_missed_key(self):
@@ -94,9 +94,9 @@
         self.assertFalse(cache.has_fresh('k'))
 
     def test_repeat_of_an_idempotency_key_is_dropped_only_within_its_window(self):
-        made = self.model(origin=True)
+        server = self.model(origin=True)
         for number, wait in ((1, 500_000), (2, 2_000_000), (3, 500_000)):
-            made.offer(self.job(number, NOTE, idempotency_key='m'))
+            server.offer(self.job(number, NOTE, idempotency_key='m'))
             self.world.run(self.world.now + wait)
         self.assertEqual(
             [row[:2] for row in self.rows if row[0] != 'worked'],
@@ -112,39 +112,39 @@
         self.assertEqual([row[0] for row in self.rows if row[0] != 'worked'], ['effect', 'effect'])
 
     def test_cancelled_job_does_not_finish(self):
-        made, job = self.model(queue=5), self.job(1)
-        made.offer(job)
-        made.offer(self.job(2))
-        made.cancel(job)
+        server, job = self.model(queue=5), self.job(1)
+        server.offer(job)
+        server.offer(self.job(2))
+        server.cancel(job)
         self.world.run(10**6)
         self.assertEqual([row[0] for row in self.finished], [2])
 
     def test_cold_server_fails_under_overload(self):
-        made = self.model(started=1, queue=10_000)
+        server = self.model(started=1, queue=10_000)
         fallen = []
-        made.on_fall = lambda: fallen.append(self.world.now)
+        server.on_fall = lambda: fallen.append(self.world.now)
         self.world.now = 1
         for number in range(200):
-            made.offer(self.job(number))
+            server.offer(self.job(number))
         self.assertEqual(len(fallen), 1)
 
     def test_hung_server_answers_after_it_recovers(self):
-        made = self.model(origin=True)
-        made.hung = True
-        made.offer(self.job(1))
+        server = self.model(origin=True)
+        server.hung = True
+        server.offer(self.job(1))
         self.world.run(10**6)
         before = list(self.finished)
-        made.thaw()
+        server.thaw()
         self.assertEqual((before, self.finished[0][:2]), ([], (1, 'served')))
 
     def test_least_recently_used_value_is_evicted(self):
-        made = self.model()
-        made.keeps = 2
+        server = self.model()
+        server.keeps = 2
         for key in ('a', 'b'):
-            made.store(key)
-        made.has_fresh('a')
-        made.store('c')
-        self.assertEqual([made.has_fresh(key) for key in 'abc'], [True, False, True])
+            server.store(key)
+        server.has_fresh('a')
+        server.store('c')
+        self.assertEqual([server.has_fresh(key) for key in 'abc'], [True, False, True])
 
 
 class WireParser(unittest.TestCase):
@@ -209,29 +209,33 @@
 
     def test_scenarios_round_trip_through_toml(self):
         for seed in range(30):
-            made = draw.scenario(seed)
-            self.assertEqual(scenarios.read(scenarios.write(made)), made)
+            scenario = draw.scenario(seed)
+            self.assertEqual(scenarios.read(scenarios.write(scenario)), scenario)
 
     def test_large_bodies_change_nothing_else_of_a_drawn_scenario(self):
         drawn = [draw.scenario(seed) for seed in range(100)]
         self.assertGreater(
-            sum(bool(made.load.large_share and made.caches.untold and made.caches.give_ms) for made in drawn),
+            sum(
+                bool(scenario.load.large_share and scenario.caches.untold and scenario.caches.give_ms)
+                for scenario in drawn
+            ),
             4,
         )
-        self.assertGreater(sum(made.load.write_bytes > 65_536 for made in drawn), 4)
-        with mock.patch.object(draw, 'with_large_bodies', lambda made, seed: made):
+        self.assertGreater(sum(scenario.load.write_bytes > 65_536 for scenario in drawn), 4)
+        with mock.patch.object(draw, 'with_large_bodies', lambda scenario, seed: scenario):
             plain = [draw.scenario(seed) for seed in range(100)]
         self.assertEqual(
-            [replace(made, caches=was.caches, load=was.load) for made, was in zip(drawn, plain)], plain
+            [replace(scenario, caches=was.caches, load=was.load) for scenario, was in zip(drawn, plain)],
+            plain,
         )
-        self.assertEqual([made.caches.untold for made in map(draw.planned, range(20))], [0.0] * 20)
+        self.assertEqual([scenario.caches.untold for scenario in map(draw.planned, range(20))], [0.0] * 20)
 
     def test_put_sets_a_field_by_its_path(self):
-        made = put(draw.scenario(1), 'load.rate', '7')
-        self.assertEqual(made.load.rate, 7)
+        scenario = put(draw.scenario(1), 'load.rate', '7')
+        self.assertEqual(scenario.load.rate, 7)
         for path in ('load.speed', 'kinds.9.count', 'nodes.x'):
             with self.subTest(path=path), self.assertRaises(BadScenario):
-                put(made, path, '1')
+                put(scenario, path, '1')
 
     def test_put_rejects_a_value_out_of_range(self):
         with self.assertRaises(BadScenario):
@@ -240,12 +244,12 @@
 
 class Shrinking(unittest.TestCase):
     def test_shrinking_removes_what_the_failure_does_not_need(self):
-        made = draw.scenario(3)
+        scenario = draw.scenario(3)
         needed = Event(at_s=1.0, kind='hung', what=[0], for_s=1.0)
-        made.events = [Event(at_s=0.5, kind='burst'), needed, Event(at_s=2.0, kind='miss')]
-        small, played = shrink(made, lambda candidate: needed in candidate.events)
+        scenario.events = [Event(at_s=0.5, kind='burst'), needed, Event(at_s=2.0, kind='miss')]
+        small, played = shrink(scenario, lambda candidate: needed in candidate.events)
         self.assertEqual((small.events, small.nodes, small.servers, played <= 150), ([needed], 1, 1, True))
 
     def test_shrinking_keeps_a_scenario_that_cannot_be_reduced(self):
-        made = draw.scenario(3)
-        self.assertEqual(shrink(made, lambda candidate: False)[0], made)
+        scenario = draw.scenario(3)
+        self.assertEqual(shrink(scenario, lambda candidate: False)[0], scenario)
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -20,7 +20,7 @@
     def test_record_does_not_depend_on_process_or_hash_seed(self):
         text, hashes = scenarios.write(scenarios.load('overlap')), set()
         for seed in ('0', '1', '77'):
-            done = subprocess.run(
+            result = subprocess.run(
                 (
                     sys.executable,
                     '-c',
@@ -32,12 +32,12 @@
                 env=dict(os.environ, PYTHONHASHSEED=seed),
                 check=True,
             )
-            hashes.add(done.stdout.strip())
+            hashes.add(result.stdout.strip())
         self.assertEqual(len(hashes), 1)
 
     def test_different_seeds_give_different_records(self):
-        given = draw.scenario(4)
-        self.assertNotEqual(runs.one(given, 1).hash, runs.one(given, 2).hash)
+        scenario = draw.scenario(4)
+        self.assertNotEqual(runs.one(scenario, 1).hash, runs.one(scenario, 2).hash)
 
 
 class FixedScenarios(unittest.TestCase):
@@ -45,47 +45,47 @@
 
     @classmethod
     def setUpClass(cls):
-        given = [
+        cases = [
             (name, scenarios.load(name)) for name in scenarios.shipped_names() if name != 'fleet'
         ]  # takes minutes
-        given += [('seed %d' % seed, draw.scenario(seed)) for seed in range(16)]
-        given += [(name, scenarios.load(os.path.join(KEPT, name))) for name in sorted(os.listdir(KEPT))]
-        cls.names, cls.ended = [name for name, _ in given], {}
+        cases += [('seed %d' % seed, draw.scenario(seed)) for seed in range(16)]
+        cases += [(name, scenarios.load(os.path.join(KEPT, name))) for name in sorted(os.listdir(KEPT))]
+        cls.names, cls.outcomes = [name for name, _ in cases], {}
         runs.many(
-            [(scenarios.write(made), made.seed, None) for _, made in given],
+            [(scenarios.write(scenario), scenario.seed, None) for _, scenario in cases],
             runs.cores(0),
-            cls.ended.__setitem__,
+            cls.outcomes.__setitem__,
         )
 
     def test_no_rule_is_broken(self):
         for index, name in enumerate(self.names):
             with self.subTest(name=name):
-                outcome = self.ended[index]
+                outcome = self.outcomes[index]
                 self.assertEqual(
                     (getattr(outcome, 'broken', outcome), outcome.figures['transactions'] > 0), ([], True)
                 )
 
     def test_calm_scenario_earns_most_of_its_revenue(self):
-        self.assertGreater(self.ended[self.names.index('calm')].figures['G'], 0.95)
+        self.assertGreater(self.outcomes[self.names.index('calm')].figures['G'], 0.95)
 
     def test_faults_reduce_the_revenue_in_goal(self):
         worse = [
             name
             for name in ('cut', 'kills', 'overlap', 'standstill')
-            if self.ended[self.names.index(name)].figures['whole'] < 0.995
+            if self.outcomes[self.names.index(name)].figures['whole'] < 0.995
         ]
         self.assertGreaterEqual(len(worse), 3)
 
 
 class Mutants(unittest.TestCase):
     def test_every_mutant_is_detected(self):
-        caught = hunt.hunt(sorted(mutants.MUTANTS), 40, runs.cores(0), lambda done: None)
+        caught = hunt.hunt(sorted(mutants.MUTANTS), 40, runs.cores(0), lambda completed: None)
         self.assertEqual([name for name in mutants.MUTANTS if caught.get(name) is None], [])
 
 
 class Loopback(unittest.TestCase):
     def test_real_processes_survive_a_kill_a_reload_and_a_freeze(self):
-        given = scenarios.read("""
+        scenario = scenarios.read("""
 name = "short"
 length_s = 5
 nodes = 2
@@ -106,7 +106,7 @@
 what = [0]
 for_s = 0.5
 """)
-        outcome = loopback.one(given)
+        outcome = loopback.one(scenario)
         self.assertEqual(outcome.broken, [])
         self.assertGreater(outcome.figures['outcomes']['served'], 100)
 
@@ -117,8 +117,8 @@
             file.write('name = "x"\nspeed = 1\n')
             file.flush()
             for words in (['run', file.name], ['run', 'nothing-such'], ['sweep', 'calm', 'load.speed', '1']):
-                done = CliRunner().invoke(main, ['lab', *words])
-                self.assertEqual((done.exit_code, len(done.output.splitlines())), (2, 1), done.output)
+                result = CliRunner().invoke(main, ['lab', *words])
+                self.assertEqual((result.exit_code, len(result.output.splitlines())), (2, 1), result.output)
 
     def test_run_writes_a_record_and_report_reads_a_truncated_one(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -128,15 +128,15 @@
                 file.write(
                     'name = "small"\nlength_s = 2\n[load]\nrate = 30\n[[events]]\nat_s = 0.5\nkind = "slow"\n'
                 )
-            done = CliRunner().invoke(main, ['lab', 'run', small, '--record', path, '--json'])
-            told = json.loads(done.output.splitlines()[-1])
+            result = CliRunner().invoke(main, ['lab', 'run', small, '--record', path, '--json'])
+            summary = json.loads(result.output.splitlines()[-1])
             with open(path, 'rb+') as file:
                 file.truncate(os.path.getsize(path) - 7)  # cuts the last row short
             _, rows = witness.load(path)
             report.write(page, [path])
             with open(page, encoding='utf-8') as file:
                 text = file.read()
-        self.assertEqual((done.exit_code, told['broken'], rows[-1][0] in witness.ROWS), (0, [], True))
+        self.assertEqual((result.exit_code, summary['broken'], rows[-1][0] in witness.ROWS), (0, [], True))
         self.assertIn('No rule broken', text)
         self.assertEqual(text.count('<img'), 4)
 
