--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -1,47 +1,46 @@
-"""Discovery: the roster and its changes, and an agent on each node's machine that tells them late.
+"""Simulated discovery: the roster of servers, and an agent for each node that delivers changes with a delay.
 
-Owns versions, lags and watches. What an agent has written to a node, or should have at the latest, counts as
-told. Must never tell a change before the ones that came ahead of it.
+Changes reach a node in order. Both the delivery to a node and the time at which a change is due are recorded.
 """
 
 import json
 
 from twisted.internet.protocol import Factory
 
-from .wire import Talker, answer
+from .wire import HttpConnection, answer
 
-LIFE = {'ready': 'SERVING', 'draining': 'DRAINING', 'gone': 'DELETED'}
+LIFECYCLES = {'ready': 'SERVING', 'draining': 'DRAINING', 'gone': 'DELETED'}
 
 
 class Roster:
-    """All servers as they are, and the log of changes."""
+    """Current list of servers; passes changes on to the agents."""
 
     def __init__(self, stage):
         self.stage, self.rows, self.version, self.agents = stage, {}, 1, []
-        self.chance = stage.chance('roster')
+        self.rng = stage.chance('roster')
 
     def put(self, name, state, quiet=False, **fields):
-        """A server has changed; agents learn it each in their time."""
+        """Change a server's row. Each agent applies the change after its own delay, or at once if `quiet`."""
         self.version += 1
-        row = dict(self.rows.get(name, {}), name=name, state=state, **fields)
+        server = dict(self.rows.get(name, {}), name=name, state=state, **fields)
         if state == 'gone':
             self.rows.pop(name, None)
         else:
-            self.rows[name] = row
+            self.rows[name] = server
         for agent in self.agents:
-            agent.learn(self.version, row, quiet)
+            agent.schedule_change(self.version, server, quiet)
 
     def restarted(self, name, started):
         if name in self.rows:
             self.put(name, 'ready', started=started)
 
-    def whole(self):
-        """A copy of the list."""
-        return {name: dict(row) for name, row in self.rows.items()}
+    def snapshot(self):
+        """Return a copy of the list."""
+        return {name: dict(server) for name, server in self.rows.items()}
 
 
 class Agent(Factory):
-    """One node's agent: it knows the list up to a version and tells it."""
+    """Discovery agent of one node, which serves the list as of some version."""
 
     noisy = False
 
@@ -49,82 +48,82 @@
         self.stage, self.node, self.address, self.port = stage, place.name, place.agent, None
         self.number = place.number
         self.roster = stage.roster
-        self.rows, self.version = self.roster.whole(), self.roster.version
-        self.coming, self.ready_at = [], 0  # changes on their way here, in order
-        self.log = []  # (version, row) of changes known here
+        self.rows, self.version = self.roster.snapshot(), self.roster.version
+        self.coming, self.next_change_at = [], 0  # earliest time of the next change, to keep the order
+        self.log = []  # (version, row) of applied changes
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
-        self.chance = stage.chance('agent ' + place.name)
+        self.rng = stage.chance('agent ' + place.name)
         self.roster.agents.append(self)
-        self.beating = False
+        self.heartbeat_started = False
 
     def buildProtocol(self, addr):
-        return Ask(self)
+        return AgentConnection(self)
 
     def open(self):
         self.port = self.stage.listen(self, self.address)
-        if not self.beating:
-            self.beating = True
-            self.beat()
+        if not self.heartbeat_started:
+            self.heartbeat_started = True
+            self.send_heartbeat()
 
     def move(self, address):
-        """The agent is elsewhere: the old address takes nobody new, and closes the open ones in a while."""
+        """Move to another address; open watches are closed a while later."""
         if self.port is not None:
             self.port.stopListening()
         old, self.address = list(self.watches), address
         self.port = self.stage.listen(self, address)
         self.stage.later(1_500_000, lambda: [watch.transport.loseConnection() for watch in old if watch.up])
 
-    # --- what it knows ----------------------------------------------------------------------------------
+    # --- list of servers --------------------------------------------------------------------------------
 
-    def learn(self, version, row, quiet):
-        """A change is on its way."""
+    def schedule_change(self, version, server, quiet):
+        """Schedule a change after a random lag."""
         low, high = self.stage.scenario.discovery.lag_s
         now = self.stage.clock()
-        wait = 0 if quiet else int((low + (high - low) * self.chance.random()) * 1e6) + self.lag
-        self.ready_at = max(now + wait, self.ready_at)
-        if self.ready_at <= now:
-            self.know(version, row)
+        wait = 0 if quiet else int((low + (high - low) * self.rng.random()) * 1e6) + self.lag
+        self.next_change_at = max(now + wait, self.next_change_at)
+        if self.next_change_at <= now:
+            self.apply_change(version, server)
         else:
-            self.stage.later(self.ready_at - now, self.know, version, row)
+            self.stage.later(self.next_change_at - now, self.apply_change, version, server)
 
-    def know(self, version, row):
-        """It is here, and goes out on the watches."""
-        self.stage.see('due', self.node, row['name'], row['state'])
+    def apply_change(self, version, server):
+        """Apply a change and send it on all watches."""
+        self.stage.see('due', self.node, server['name'], server['state'])
         self.version = version
-        if row['state'] == 'gone':
-            self.rows.pop(row['name'], None)
+        if server['state'] == 'gone':
+            self.rows.pop(server['name'], None)
         else:
-            self.rows[row['name']] = row
-        self.log.append((version, row))
+            self.rows[server['name']] = server
+        self.log.append((version, server))
         if len(self.log) > 5_000:
             del self.log[:2_500]
         if not self.silent:
             for watch in list(self.watches):
-                watch.tell()
+                watch.send_changes()
 
-    def entry(self, row):
-        started = row['started']
+    def entry(self, server):
+        started = server['started']
         return {
-            'instanceId': row['name'],
-            'hostPort': self.stage.ground.seen_as(self.number, row['address']),
-            'zone': row['zone'],
-            'machineType': row['kind'],
-            'cell': row['cell'],
-            'lifecycle': LIFE[row['state']],
-            'weight': row['weight'],
+            'instanceId': server['name'],
+            'hostPort': self.stage.ground.seen_as(self.number, server['address']),
+            'zone': server['zone'],
+            'machineType': server['kind'],
+            'cell': server['cell'],
+            'lifecycle': LIFECYCLES[server['state']],
+            'weight': server['weight'],
             'startedAtMs': self.stage.unix_ms(started) if started else 0,
         }
 
     def page(self):
-        """The whole list as it knows it."""
+        """Return the whole list."""
         return {
             'generation': self.version,
             'reset': True,
-            'instances': [self.entry(row) for row in self.rows.values()],
+            'instances': [self.entry(server) for server in self.rows.values()],
         }
 
-    def since(self, version):
-        """What changed after a version, or the whole list."""
+    def changes_since(self, version):
+        """Return the changes after a version, or the whole list if the log does not reach back to it."""
         if (
             version is None
             or version > self.version
@@ -134,40 +133,40 @@
         ):
             return self.page()
         latest = {}
-        for at, row in self.log:
+        for at, server in self.log:
             if at > version:
-                latest.pop(row['name'], None)
-                latest[row['name']] = row
+                latest.pop(server['name'], None)
+                latest[server['name']] = server
         return {
             'generation': self.version,
             'reset': False,
-            'instances': [self.entry(row) for row in latest.values()],
+            'instances': [self.entry(server) for server in latest.values()],
         }
 
-    def beat(self):
-        """An empty line now and then."""
+    def send_heartbeat(self):
+        """Send an empty line on all watches, periodically."""
         if not self.silent:
             for watch in list(self.watches):
                 watch.write(b'\n')
-        self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.beat)
+        self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.send_heartbeat)
 
     def hush(self, on):
-        """Discovery is down, or back."""
+        """Stop sending, or resume and send what was missed."""
         self.silent = on
         if not on:
             for watch in list(self.watches):
-                watch.tell()
+                watch.send_changes()
 
     def cut(self, half):
-        """Watches end, in the middle of a line if asked."""
+        """Close all watches; with `half`, in the middle of a line."""
         for watch in list(self.watches):
             if half and watch.up:
                 watch.write(b'{"generation":%d,"reset":false,"instances":[{"inst' % (self.version + 1))
             watch.transport.loseConnection()
 
 
-class Ask(Talker):
-    """A node's connection to its agent."""
+class AgentConnection(HttpConnection):
+    """Connection of a node to its agent."""
 
     def __init__(self, agent):
         super().__init__()
@@ -176,45 +175,45 @@
     def clock(self):
         return self.agent.stage.clock()
 
-    def message(self, begun, words, fields, body):
-        path, _, query = words[1].partition('?')
-        asked = dict(pair.partition('=')[::2] for pair in query.split('&') if pair)
+    def on_message(self, begun, start_line, fields, body):
+        path, _, query = start_line[1].partition('?')
+        query_args = dict(pair.partition('=')[::2] for pair in query.split('&') if pair)
         if path != '/v1/endpoints':
             self.put(answer(404))
-        elif asked.get('stream') != '1':
-            self.told(self.agent.page())
+        elif query_args.get('stream') != '1':
+            self.record_told(self.agent.page())
             self.put(answer(200, json.dumps(self.agent.page()).encode()))
         elif self.agent.silent:
-            self.agent.watches[self] = None  # it answers once it is back
-            self.at = int(asked['index']) if 'index' in asked else None
+            self.agent.watches[self] = None  # answered after the silence ends
+            self.at = int(query_args['index']) if 'index' in query_args else None
         else:
             self.agent.watches[self] = None
-            self.at = int(asked['index']) if 'index' in asked else None
-            self.tell()
+            self.at = int(query_args['index']) if 'index' in query_args else None
+            self.send_changes()
 
-    def tell(self):
-        """All that this watch has not been told."""
+    def send_changes(self):
+        """Send the changes that this watch does not have yet."""
         if not self.watching:
             self.watching = True
             self.put(b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n')
         elif self.at == self.agent.version:
             return
-        page = self.agent.since(self.at)
+        page = self.agent.changes_since(self.at)
         self.at = self.agent.version
-        self.told(page)
+        self.record_told(page)
         self.write(json.dumps(page).encode() + b'\n')
 
-    def told(self, page):
+    def record_told(self, page):
         see, node = self.agent.stage.see, self.agent.node
-        states = {value: key for key, value in LIFE.items()}
+        states = {value: key for key, value in LIFECYCLES.items()}
         if page['reset']:
-            see('told', node, '*', ','.join(row['instanceId'] for row in page['instances']))
-        for row in page['instances']:
-            see('told', node, row['instanceId'], states[row['lifecycle']])
+            see('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
+        for server in page['instances']:
+            see('told', node, server['instanceId'], states[server['lifecycle']])
 
     def write(self, data):
         if self.watching:
             self.put(b'%x\r\n%s\r\n' % (len(data), data))
 
-    def ended(self):
+    def on_close(self):
         self.agent.watches.pop(self, None)
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -1,8 +1,7 @@
-"""A cache server as a queue: cores, speed, what waits, what is kept, cold starts, falling over, repeats by
-mark.
+"""Queueing model of a cache server: cores, queue, cached values, warm-up, overload failure, deduplication.
 
-Owns what a server does with work, without I/O: bytes are servers.py's. The origin is one of these that has
-every value. Must never use a clock or chance but those it is given.
+Has no I/O; connections are in servers.py. The origin is a server that has every value. The clock and the
+random source are passed in.
 """
 
 from collections import OrderedDict, deque
@@ -14,7 +13,7 @@
     __slots__ = (
         'hop',
         'id',
-        'mark',
+        'idempotency_key',
         'key',
         'write',
         'effect',
@@ -30,31 +29,37 @@
         'miss',
     )
 
-    def __init__(self, hop, id_, mark, key, profile, work, until, done):
-        self.hop, self.id, self.mark, self.key, self.work, self.until = hop, id_, mark, key, work, until
+    def __init__(self, hop, id_, idempotency_key, key, profile, work, until, done):
+        self.hop, self.id, self.idempotency_key, self.key, self.work, self.until = (
+            hop,
+            id_,
+            idempotency_key,
+            key,
+            work,
+            until,
+        )
         self.write, self.effect = profile.write, profile.effect
         self.group, self.window = profile.group, int(profile.window_s * 1e6)
-        self.done = done  # called with the job once: outcome is set
+        self.done = done  # called once with the job, after outcome is set
         self.state, self.timer, self.began, self.outcome, self.miss = 'new', None, 0, None, False
 
 
 class Fleet:
-    """What the servers know of each other, as the platform gives it: marks by group, values, who missed
-    what."""
+    """State shared by all servers: idempotency keys by group, versions of values, and misses."""
 
     def __init__(self):
         self.servers, self.origin = {}, None
-        self.marks = {}  # (scope, mark) -> when it first ran
-        self.versions = {}  # key -> how often it was written
-        self.missed = {}  # id -> servers that lacked its key
+        self.first_runs = {}  # (scope, idempotency key) -> time of the first run
+        self.versions = {}  # key -> number of writes
+        self.missed = {}  # request id -> servers that missed its key
 
     def scope(self, server, job):
-        """Who drops the repeats of a mark that this server has run."""
+        """Return the scope within which servers drop repeats of a job's idempotency key."""
         return 'all' if job.group == 'all' else (server.zone if job.group == 'zone' else server.cell)
 
 
 class Model:
-    """One server. clock(), later(microseconds, call, *given) and drop(what later gave) are the ground's."""
+    """One server. clock(), later(microseconds, call, *args) and drop(timer) belong to the environment."""
 
     def __init__(
         self,
@@ -67,7 +72,7 @@
         clock,
         later,
         drop,
-        chance,
+        rng,
         see,
         started=0,
         origin=False,
@@ -76,22 +81,22 @@
         self.kind, self.caches, self.rules = kind.name, scenario.caches, scenario.rules
         self.cores, self.speed, self.queue_limit = kind.cores, kind.speed, kind.queue
         self.keeps = getattr(kind, 'keeps', 0)
-        self.multiple = scenario.origin.fall_multiple if origin else scenario.rules.fall_multiple
+        self.overload_multiple = scenario.origin.fall_multiple if origin else scenario.rules.fall_multiple
         self.fall_us = int(1e6 * (scenario.origin.fall_s if origin else scenario.rules.fall_s))
         self.down_us = int(1e6 * (scenario.origin.down_s if origin else scenario.caches.down_s))
         self.error_rate = getattr(kind, 'error_rate', 0.0)
-        self.clock, self.later, self.drop, self.chance, self.see = clock, later, drop, chance, see
-        self.started = started  # 0: long ago; else when, microseconds of the run
-        self.kept = OrderedDict()  # key -> (version, until when)
-        self.fetching = {}  # key -> jobs that wait for a fetch of this server's own (mode through)
+        self.clock, self.later, self.drop, self.rng, self.see = clock, later, drop, rng, see
+        self.started = started  # start time in microseconds of the run; 0: long before it
+        self.kept = OrderedDict()  # key -> (version, expiry)
+        self.fetching = {}  # key -> jobs waiting for this server's own fetch (mode through)
         self.running, self.waiting = {}, deque()
-        self.sent, self.load = deque(), 0.0  # work that came lately, for falling over
-        self.slow, self.hung, self.draining, self.fallen, self.standing = 1.0, False, False, False, 0
-        self.fell = lambda: None  # told when it falls over
-        self.frozen = deque()  # jobs that a hung server has finished and does not answer
+        self.recent_work, self.load = deque(), 0.0  # (time, work) within the overload window, and its sum
+        self.slow, self.hung, self.draining, self.fallen, self.stalled_until = 1.0, False, False, False, 0
+        self.on_fall = lambda: None  # called at an overload failure
+        self.unanswered = deque()  # finished jobs of a hung server
 
-    def presence(self, at=None):
-        """What it can do of its whole capacity at that time."""
+    def capacity_share(self, at=None):
+        """Return the share of the full capacity that is available, below 1 during warm-up."""
         if not self.started:
             return 1.0
         age = ((self.clock() if at is None else at) - self.started) / (self.rules.warm_s * 1e6)
@@ -99,8 +104,8 @@
 
     # --- values -----------------------------------------------------------------------------------------
 
-    def keep(self, key, version=None):
-        """Take a value in; the one used longest ago makes way."""
+    def store(self, key, version=None):
+        """Cache a value and evict the least recently used ones beyond the limit."""
         self.kept[key] = (
             self.fleet.versions.get(key, 0) if version is None else version,
             self.clock() + int(self.caches.ttl_s * 1e6),
@@ -109,61 +114,62 @@
         while len(self.kept) > self.keeps:
             self.kept.popitem(last=False)
 
-    def has(self, key):
-        """Whether a value is here and good."""
+    def has_fresh(self, key):
+        """Return whether an unexpired value is cached."""
         if self.origin:
             return True
-        held = self.kept.get(key)
-        if held is None:
+        entry = self.kept.get(key)
+        if entry is None:
             return False
-        if held[1] <= self.clock():
+        if entry[1] <= self.clock():
             del self.kept[key]
             return False
         self.kept.move_to_end(key)
         return True
 
-    def fetched_now(self, key):
-        """Whether the origin is at work on a fetch of a key: then a miss is `pending`, where servers tell
-        so."""
+    def fetch_running(self, key):
+        """Return whether the origin is fetching a key, so that a miss is reported as `pending`."""
         origin = self.fleet.origin
         if not self.caches.coalesce or origin is None:
             return False
         return any(job.key == key and not job.write for job in (*origin.running.values(), *origin.waiting))
 
     def void(self, key):
-        """A write has changed it."""
+        """Drop a value that a write has changed."""
         self.kept.pop(key, None)
 
     # --- work -------------------------------------------------------------------------------------------
 
     def offer(self, job):
-        """A hop has come whole. False: it is declined, and surely never ran."""
+        """Accept a complete hop. Return False if it is declined, in which case it never runs."""
         now = self.clock()
-        self.push(now, job.work)
+        self.track_load(now, job.work)
         if self.fallen:
-            return True  # its connections are being reset
+            return True  # no answer: its connections are being reset
         if self.draining or job.until <= now or len(self.waiting) >= self.queue_limit:
             return False
-        if len(self.running) < self.cores and now >= self.standing:
+        if len(self.running) < self.cores and now >= self.stalled_until:
             self.start(job)
         else:
             job.state = 'waiting'
             self.waiting.append(job)
         return True
 
-    def push(self, now, work):
-        """Guards nobody: a server that is sent more than the multiple of what it can do, for the time, falls
-        over."""
+    def track_load(self, now, work):
+        """Add work to the overload window and fail if it exceeds the multiple of the capacity.
+
+        Only the origin and servers in warm-up fail.
+        """
         if not self.origin and not self.started:
             return
-        sent = self.sent
-        sent.append((now, work))
+        recent_work = self.recent_work
+        recent_work.append((now, work))
         self.load += work
-        while sent and sent[0][0] <= now - self.fall_us:
-            self.load -= sent.popleft()[1]
-        capacity = self.cores * self.speed * self.presence() * self.fall_us
-        if self.load > 1.15 * self.multiple * capacity + 2 * work and not self.fallen:
-            if self.origin or self.presence() < 1:
+        while recent_work and recent_work[0][0] <= now - self.fall_us:
+            self.load -= recent_work.popleft()[1]
+        capacity = self.cores * self.speed * self.capacity_share() * self.fall_us
+        if self.load > 1.15 * self.overload_multiple * capacity + 2 * work and not self.fallen:
+            if self.origin or self.capacity_share() < 1:
                 self.fallen = True
                 self.see(
                     'server',
@@ -176,44 +182,44 @@
                     self.started,
                     self.origin,
                 )
-                self.fell()
+                self.on_fall()
 
     def start(self, job):
         now = self.clock()
         job.state, job.began = 'running', now
         self.running[job.hop] = job
-        job.miss = not job.write and not self.has(job.key)
+        job.miss = not job.write and not self.has_fresh(job.key)
         if job.write and not self.origin and self.caches.mode == 'aside':
             job.miss = True
         work = job.work * (self.caches.miss_cost if job.miss else 1.0)
-        took = int(work * self.slow / (self.speed * self.presence())) + 1
-        job.timer = self.later(took, self.finish, job)
+        duration = int(work * self.slow / (self.speed * self.capacity_share())) + 1
+        job.timer = self.later(duration, self.finish, job)
 
     def finish(self, job):
-        """Its work is done, unless all stands still."""
-        if self.clock() < self.standing:
-            job.timer = self.later(self.standing - self.clock(), self.finish, job)
+        """Finish a job, after the end of a stall if there is one."""
+        if self.clock() < self.stalled_until:
+            job.timer = self.later(self.stalled_until - self.clock(), self.finish, job)
             return
         job.timer = None
         self.see('worked', job.hop, self.clock() - job.began)
         del self.running[job.hop]
         job.state = 'done'
-        self.settle(job)
-        self.next()
+        self.complete(job)
+        self.start_waiting()
         if self.hung:
-            self.frozen.append(job)
+            self.unanswered.append(job)
         elif job.outcome is not None:
             job.done(job)
 
-    def settle(self, job):
-        """What came of it, and what it changed."""
+    def complete(self, job):
+        """Determine a job's outcome and apply its effect."""
         fleet = self.fleet
-        if self.chance.random() < self.error_rate:
+        if self.rng.random() < self.error_rate:
             job.outcome = 'error'
-            self.run(job)
+            self.apply(job)
             return
         if job.miss:
-            self.see('missed', job.hop, int(self.presence() < 1))
+            self.see('missed', job.hop, int(self.capacity_share() < 1))
             if self.caches.mode == 'through':
                 self.fetch(job)
                 return
@@ -221,57 +227,57 @@
             job.outcome = 'miss'
             return
         job.outcome = 'served'
-        self.run(job)
+        self.apply(job)
         if self.origin and not job.write:
             for name in fleet.missed.pop(job.id, ()):
                 if name in fleet.servers and not fleet.servers[name].fallen:
-                    fleet.servers[name].keep(job.key)
+                    fleet.servers[name].store(job.key)
 
-    def run(self, job):
-        """It takes effect, unless its mark is known."""
+    def apply(self, job):
+        """Apply a job's effect, unless its idempotency key has run within the window."""
         fleet = self.fleet
-        place, now = (fleet.scope(self, job), job.mark), self.clock()
-        first = fleet.marks.get(place) if job.mark else None
+        dedup_key, now = (fleet.scope(self, job), job.idempotency_key), self.clock()
+        first = fleet.first_runs.get(dedup_key) if job.idempotency_key else None
         if first is not None and now - first <= job.window:
-            self.see('repeat', job.hop, job.id, job.mark)
+            self.see('repeat', job.hop, job.id, job.idempotency_key)
             return
-        if job.mark:
-            fleet.marks[place] = now
-        self.see('effect', job.hop, job.id, job.mark)
+        if job.idempotency_key:
+            fleet.first_runs[dedup_key] = now
+        self.see('effect', job.hop, job.id, job.idempotency_key)
         if job.write:
             fleet.versions[job.key] = fleet.versions.get(job.key, 0) + 1
             for server in fleet.servers.values():
                 server.void(job.key)
 
     def fetch(self, job):
-        """Mode through: the server itself asks the origin, over a way of its own."""
+        """Fetch a key from the origin in mode `through`; concurrent reads share one fetch."""
         if job.key in self.fetching and not job.write:
             self.fetching[job.key].append(job)
             return
         self.fetching.setdefault(job.key, []).append(job)
         origin = self.fleet.origin
-        asked = Job(
-            '%s/%s' % (self.name, job.hop), job.id, '', job.key, Plain, job.work * 1.5, job.until, None
+        origin_job = Job(
+            '%s/%s' % (self.name, job.hop), job.id, '', job.key, FetchProfile, job.work * 1.5, job.until, None
         )
-        asked.done = lambda _: self.fetched(job.key, True)
-        if origin is None or not origin.offer(asked) or origin.fallen:
+        origin_job.done = lambda _: self.fetched(job.key, True)
+        if origin is None or not origin.offer(origin_job) or origin.fallen:
             self.later(1, self.fetched, job.key, False)
 
-    def fetched(self, key, well):
-        """The origin has answered, or not."""
+    def fetched(self, key, succeeded):
+        """Complete the jobs that waited for a fetch."""
         jobs = self.fetching.pop(key, [])
-        if well:
-            self.keep(key)
+        if succeeded:
+            self.store(key)
         for job in jobs:
-            job.outcome = 'served' if well else 'error'
-            self.see('effect', job.hop, job.id, job.mark)
+            job.outcome = 'served' if succeeded else 'error'
+            self.see('effect', job.hop, job.id, job.idempotency_key)
             if not self.hung:
                 job.done(job)
 
-    def next(self):
-        """The one that waited longest; who is over its time, or gone, is dropped unrun."""
+    def start_waiting(self):
+        """Start waiting jobs in order, skipping cancelled ones and declining those past their deadline."""
         now = self.clock()
-        while self.waiting and len(self.running) < self.cores and now >= self.standing:
+        while self.waiting and len(self.running) < self.cores and now >= self.stalled_until:
             job = self.waiting.popleft()
             if job.state != 'waiting':
                 continue
@@ -282,7 +288,7 @@
             self.start(job)
 
     def cancel(self, job):
-        """Nobody waits for it any more."""
+        """Cancel a job, unless the server continues running work."""
         if job.state == 'waiting':
             job.state = 'gone'
             self.see('dropped', job.hop, 0)
@@ -293,25 +299,25 @@
             del self.running[job.hop]
             self.see('dropped', job.hop, 1)
             self.see('worked', job.hop, self.clock() - job.began)
-            self.next()
+            self.start_waiting()
 
-    # --- troubles ---------------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------------
 
     def thaw(self):
-        """A hung server answers again what it has done meanwhile."""
+        """End a hang and answer the jobs finished meanwhile."""
         self.hung = False
-        while self.frozen:
-            job = self.frozen.popleft()
+        while self.unanswered:
+            job = self.unanswered.popleft()
             if job.outcome is not None:
                 job.done(job)
 
-    def stand(self, until):
-        """All its cores stand still until then."""
-        self.standing = until
-        self.later(max(1, until - self.clock()), self.next)
+    def stall(self, until):
+        """Stall all cores until the given time."""
+        self.stalled_until = until
+        self.later(max(1, until - self.clock()), self.start_waiting)
 
-    def wipe(self):
-        """The process has ended: what it worked on and kept is gone."""
+    def clear_all(self):
+        """Discard all jobs and cached values at the end of the process."""
         for job in self.running.values():
             if job.timer is not None:
                 self.drop(job.timer)
@@ -320,14 +326,14 @@
         for job in self.waiting:
             job.state = 'gone'
         self.waiting.clear()
-        self.frozen.clear()
+        self.unanswered.clear()
         self.kept.clear()
         self.fetching.clear()
-        self.sent.clear()
+        self.recent_work.clear()
         self.load = 0.0
 
 
-class Plain:
-    """What a fetch of a server's own is, as a profile."""
+class FetchProfile:
+    """Profile of a fetch by the server itself."""
 
     write, effect, group, window_s = False, 'free', 'all', 1.0
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -1,7 +1,6 @@
-"""Cache servers and the origin on the wire: connections, declines, spoilt answers, probes.
+"""HTTP side of the simulated cache servers and origin: connections, answers, probes and injected faults.
 
-Owns what comes and goes in bytes; what a server does with a hop is the model's. Must never answer a hop
-twice, nor one that was cancelled.
+The processing of a hop is in model.py. A hop is answered at most once, and not after a cancel.
 """
 
 from zlib import crc32
@@ -9,20 +8,20 @@
 from twisted.internet.protocol import Factory
 
 from .model import Job
-from .wire import LARGE, Talker, answer, answer_in_chunks, answer_until_the_end, digest
+from .wire import LARGE_BODY, HttpConnection, answer, chunked_answer, close_delimited_answer, digest
 
 FILL = b'lilacdyke-lab-' * 30_000
-PIECES = 8  # in so many a large answer is given, where that takes time
+PIECES = 8  # number of pieces of a large answer that is sent over time
 CHUNK = 16_000  # bytes of one chunk
 
 
-class Seat(Talker):
-    """One connection at a server."""
+class ServerConnection(HttpConnection):
+    """Connection at a server."""
 
     def __init__(self, server):
         super().__init__()
         self.server, self.job, self.used = server, None, False
-        self.giving = None  # the hop whose large answer was the last to be given here
+        self.large_job = None  # job of the last large answer on this connection
 
     def clock(self):
         return self.server.stage.clock()
@@ -30,20 +29,20 @@
     def connectionMade(self):
         super().connectionMade()
         server = self.server
-        server.seats[self] = None
+        server.connections[self] = None
         self.node = server.stage.ground.node_of(self.transport)
         server.stage.see('link', server.name, self.node)
-        if server.stage.mosts:
-            server.stage.see('seats', server.name, len(server.seats))
-        self.quiet()
+        if server.stage.limit_values:
+            server.stage.see('seats', server.name, len(server.connections))
+        self.touch()
 
-    def quiet(self):
-        """It ends unless something is asked on it in time."""
+    def touch(self):
+        """Restart the idle timeout."""
         self.last = self.clock()
 
-    def message(self, begun, words, fields, body):
-        self.last, self.giving = self.clock(), None
-        if words[1] in ('/health', '/status/load'):
+    def on_message(self, begun, start_line, fields, body):
+        self.last, self.large_job = self.clock(), None
+        if start_line[1] in ('/health', '/status/load'):
             self.put(answer(200, b'{}'))
         elif self.job is not None:
             self.server.stage.see('error', self.node, 'a second request on a busy connection')
@@ -51,27 +50,27 @@
         elif 'req-id' not in fields:
             self.put(answer(404))
         else:
-            self.server.hop(self, begun, words, fields, body)
+            self.server.receive_hop(self, begun, start_line, fields, body)
 
     def put_piece(self, data):
-        """A piece of an answer: the connection does not stand idle."""
+        """Write a piece of an answer and restart the idle timeout."""
         self.last = self.clock()
         self.put(data)
 
-    def finish(self):
-        """All is said on it: an orderly end."""
+    def end(self):
+        """Close the connection after all data is written."""
         if self.up:
             self.transport.loseConnection()
 
-    def ended(self):
-        self.server.seats.pop(self, None)
+    def on_close(self):
+        self.server.connections.pop(self, None)
         job, self.job = self.job, None
         if job is not None:
             self.server.model.cancel(job)
 
 
 class CacheServer(Factory):
-    """One server: its model, its port, and what goes wrong with its answers."""
+    """One server: its model, its port and the faults in its answers."""
 
     noisy = False
 
@@ -83,78 +82,82 @@
             address,
             number,
         )
-        self.seats, self.port, self.cap = {}, None, 1 << 30
-        self.idle = int(stage.scenario.caches.idle_s * 1e6)
-        self.garbled = self.halved = self.extra = 0.0  # shares of answers
+        self.connections, self.port, self.cap = {}, None, 1 << 30
+        self.idle_us = int(stage.scenario.caches.idle_s * 1e6)
+        self.garbled = self.halved = self.extra = 0.0  # share of answers with each fault
         self.refusing = False
         self.handshake = int(stage.scenario.caches.handshake_ms * 1_000)
-        self.chance = stage.chance('server ' + self.name)
-        model.fell = self.fall
+        self.rng = stage.chance('server ' + self.name)
+        model.on_fall = self.fall
 
     def buildProtocol(self, addr):
-        if len(self.seats) >= self.cap:
+        if len(self.connections) >= self.cap:
             return None
-        return Seat(self)
+        return ServerConnection(self)
 
     # --- hops -------------------------------------------------------------------------------------------
 
-    def hop(self, seat, begun, words, fields, body):
-        """A hop has come whole."""
+    def receive_hop(self, connection, begun, start_line, fields, body):
+        """Validate and record a complete hop and pass it to the model."""
         stage, model = self.stage, self.model
-        parts = words[1].split('?')[0].split('/')
+        parts = start_line[1].split('?')[0].split('/')
         profile = stage.profiles.get(parts[1]) if len(parts) > 2 else None
         id_, number = fields['req-id'], stage.number()
-        if profile is not None and stage.strangers:
-            stage.asked.setdefault(id_, profile.work_ms * 1_000)
-        if profile is None or id_ not in stage.asked:
-            stage.see('error', seat.node, 'a hop that no client asked for: %s' % id_[:40])
-            seat.put(answer(400))
+        if profile is not None and stage.serve_unknown:
+            stage.work_of.setdefault(id_, profile.work_ms * 1_000)
+        if profile is None or id_ not in stage.work_of:
+            stage.see('error', connection.node, 'a hop that no client asked for: %s' % id_[:40])
+            connection.put(answer(400))
             return
-        mark = fields.get('idempotency-key', '') if profile.effect == 'guarded' else ''
-        work = stage.asked[id_] * (stage.scenario.origin.work if model.origin else 1.0)
+        idempotency_key = fields.get('idempotency-key', '') if profile.effect == 'guarded' else ''
+        work = stage.work_of[id_] * (stage.scenario.origin.work if model.origin else 1.0)
         try:
             until = self.clock() + int(float(fields.get('req-deadline', '10')) * 1e6)
         except ValueError:
-            seat.put(answer(400))
+            connection.put(answer(400))
             return
-        if (words[0] == 'PUT') != profile.write:
-            stage.see('error', seat.node, 'a method changed on the way: %s' % words[0])
-        if profile.write and digest(body) != stage.bodies.get(id_, digest(body) if stage.strangers else None):
-            stage.see('error', seat.node, 'a body changed on the way')
+        if (start_line[0] == 'PUT') != profile.write:
+            stage.see('error', connection.node, 'a method changed on the way: %s' % start_line[0])
+        if profile.write and digest(body) != stage.body_digests.get(
+            id_, digest(body) if stage.serve_unknown else None
+        ):
+            stage.see('error', connection.node, 'a body changed on the way')
         key = parts[-1]
-        stage.see('hop', number, self.name, id_, mark, seat.node, begun, int(work), key)
-        if not seat.used and self.handshake:
-            seat.used, work = True, work + self.handshake
-        job = Job(number, id_, mark, key, profile, work, until, None)
-        job.done = lambda job: self.reply(seat, job)
-        seat.job = job
+        stage.see('hop', number, self.name, id_, idempotency_key, connection.node, begun, int(work), key)
+        if not connection.used and self.handshake:
+            connection.used, work = True, work + self.handshake
+        job = Job(number, id_, idempotency_key, key, profile, work, until, None)
+        job.done = lambda job: self.reply(connection, job)
+        connection.job = job
         if not model.offer(job):
             job.outcome = 'declined'
-            self.reply(seat, job)
+            self.reply(connection, job)
 
     def clock(self):
         return self.stage.clock()
 
-    def reply(self, seat, job):
-        """Answer, if the hop is still waited for on its connection."""
+    def reply(self, connection, job):
+        """Answer a hop if its connection still waits for it."""
         if job.outcome == 'declined':
             self.stage.see('refused', job.hop)
-        if seat.job is not job:
+        if connection.job is not job:
             return
-        seat.job = None
-        seat.last = self.clock()
+        connection.job = None
+        connection.last = self.clock()
         if job.outcome == 'declined':
-            seat.put(answer(503, b'full\n', 'Srv-Declined: 1\r\n'))
+            connection.put(answer(503, b'full\n', 'Srv-Declined: 1\r\n'))
             return
-        note, ends, large = '', False, None
+        headers, until_close, large = '', False, None
         caches = self.model.caches
         if caches.tells and not self.model.origin:
-            word = 'hit' if not job.miss else 'pending' if self.model.fetched_now(job.key) else 'miss'
-            note = 'Srv-Cache: %s\r\n' % word
+            cache_status = (
+                'hit' if not job.miss else 'pending' if self.model.fetch_running(job.key) else 'miss'
+            )
+            headers = 'Srv-Cache: %s\r\n' % cache_status
         if caches.reports:
-            note += 'Srv-Load: {"queue":%d}\r\n' % len(self.model.waiting)
+            headers += 'Srv-Load: {"queue":%d}\r\n' % len(self.model.waiting)
         if job.outcome == 'miss':
-            data = answer(404, b'', note)
+            data = answer(404, b'', headers)
         elif job.outcome == 'error':
             data = answer(500, b'error\n')
         else:
@@ -166,100 +169,107 @@
             )
             body += FILL[: max(0, self.size(job.key) - len(body))]
             self.stage.see('made', job.hop, job.id, digest(body))
-            data, ends = self.framed(body, note)
-            large = job if len(body) > LARGE else None
-        self.spoil(seat, data, ends, large)
-
-    def begin_giving(self, seat, job, told):
-        """A large answer begins. told: whether its length is. One whose length is not told is known for large
-        only as its second piece comes: until then nobody can tell it from one whose server hangs."""
-        seat.giving = job
-        wait = 0 if told else self.between_pieces()
+            data, until_close = self.frame_answer(body, headers)
+            large = job if len(body) > LARGE_BODY else None
+        self.send_answer(connection, data, until_close, large)
+
+    def begin_large_answer(self, connection, job, length_known):
+        """Record the start of a large answer.
+
+        Without a known length it counts as large only from its second piece on: before, a node cannot tell it
+        from the answer of a hung server.
+        """
+        connection.large_job = job
+        wait = 0 if length_known else self.piece_interval()
         if wait:
-            self.stage.later(wait, self.see_giving, seat, job)
+            self.stage.later(wait, self.record_large_answer, connection, job)
         else:
-            self.see_giving(seat, job)
+            self.record_large_answer(connection, job)
 
-    def see_giving(self, seat, job):
-        if seat.giving is job and seat.up:
+    def record_large_answer(self, connection, job):
+        if connection.large_job is job and connection.up:
             self.stage.see('giving', job.hop, job.id)
 
-    def between_pieces(self):
-        """Microseconds between two pieces of a large answer; 0: it is given at once."""
+    def piece_interval(self):
+        """Return the microseconds between two pieces of a large answer; 0: it is sent at once."""
         return int(self.model.caches.give_ms * 1_000) // PIECES
 
     def size(self, key):
-        """Bytes of a key's value."""
+        """Return the size of a key's value in bytes."""
         load = self.stage.scenario.load
         return (
             load.large_bytes if crc32(key.encode()) % 1_000 < load.large_share * 1_000 else load.value_bytes
         )
 
-    def framed(self, body, note):
-        """A good answer in one of its forms, and whether it lasts until the connection ends."""
+    def frame_answer(self, body, headers):
+        """Return a 200 answer in a random framing, and whether its body ends with the connection."""
         untold = self.model.caches.untold
-        if not untold or self.chance.random() >= untold:
-            return answer(200, body, note), False
-        if self.chance.random() < 0.5:
-            return answer_in_chunks(body, note, CHUNK), False
-        return answer_until_the_end(body, note), True
-
-    def spoil(self, seat, data, ends=False, large=None):
-        """Send an answer, as it is or as a trouble makes it. ends: the connection ends behind it; large: the
-        hop whose large answer it is, None: it is none."""
-        drawn = self.chance.random() if self.garbled or self.halved or self.extra else 1.0
-        if drawn < self.garbled:
-            seat.put(
+        if not untold or self.rng.random() >= untold:
+            return answer(200, body, headers), False
+        if self.rng.random() < 0.5:
+            return chunked_answer(body, headers, CHUNK), False
+        return close_delimited_answer(body, headers), True
+
+    def send_answer(self, connection, data, until_close=False, large=None):
+        """Send an answer, possibly with an injected fault.
+
+        until_close: the connection closes after it. large: the job, if the answer is large.
+        """
+        draw = self.rng.random() if self.garbled or self.halved or self.extra else 1.0
+        if draw < self.garbled:
+            connection.put(
                 (
                     b'\x00\xff\r\nnoise',
                     b'HTTP/1.1 200 X\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabcde',
                     b'HTTP/1.1 200 X\r\nContent-Length: 3000000000\r\n\r\nabc',
                     b'HTTP/1.1 2x0 X\r\n\r\n',
-                )[self.chance.randrange(4)]
+                )[self.rng.randrange(4)]
             )
             return
         if large is not None:
-            self.begin_giving(seat, large, b'Content-Length' in data[: data.index(b'\r\n\r\n')])
-        if drawn < self.garbled + self.halved:
-            seat.put(data[: self.chance.randrange(1, len(data))])
-            self.breaks_off(seat)
-            # An orderly end would make half of an answer that lasts until then a whole one.
-            (seat.transport.abortConnection if ends else seat.transport.loseConnection)()
-        elif drawn < self.garbled + self.halved + self.extra and not ends:
-            seat.put(data + (data, b'noise')[self.chance.randrange(2)])
+            self.begin_large_answer(connection, large, b'Content-Length' in data[: data.index(b'\r\n\r\n')])
+        if draw < self.garbled + self.halved:
+            connection.put(data[: self.rng.randrange(1, len(data))])
+            self.record_break(connection)
+            # After an orderly close, half of a close-delimited answer would be valid.
+            (connection.transport.abortConnection if until_close else connection.transport.loseConnection)()
+        elif draw < self.garbled + self.halved + self.extra and not until_close:
+            connection.put(data + (data, b'noise')[self.rng.randrange(2)])
         else:
-            if self.chance.random() < self.model.caches.ahead:
+            if self.rng.random() < self.model.caches.ahead:
                 data = b'HTTP/1.1 103 Early\r\nX: 1\r\n\r\n' + data
-            self.give(seat, data, ends)
-
-    def breaks_off(self, seat):
-        """It ends a connection by itself, be it in the middle of a large answer."""
-        if seat.giving is not None:
-            self.stage.see('broke', seat.giving.hop, seat.giving.id)
-
-    def give(self, seat, data, ends):
-        """Send an answer: at once, or a large one as slowly as it is read from somewhere."""
-        every = self.between_pieces()
-        if not every or len(data) <= LARGE:
-            seat.put(data)
-            if ends:
-                seat.finish()
+            self.write_answer(connection, data, until_close)
+
+    def record_break(self, connection):
+        """Record that the server itself ends a connection during or after a large answer."""
+        if connection.large_job is not None:
+            self.stage.see('broke', connection.large_job.hop, connection.large_job.id)
+
+    def write_answer(self, connection, data, until_close):
+        """Send an answer: at once, or in pieces if it is large and give_ms is set."""
+        interval = self.piece_interval()
+        if not interval or len(data) <= LARGE_BODY:
+            connection.put(data)
+            if until_close:
+                connection.end()
             return
         size = -(-len(data) // PIECES)
         for number in range(PIECES):
-            self.stage.later(1 + every * number, seat.put_piece, data[size * number : size * (number + 1)])
-        if ends:
-            self.stage.later(2 + every * (PIECES - 1), seat.finish)
+            self.stage.later(
+                1 + interval * number, connection.put_piece, data[size * number : size * (number + 1)]
+            )
+        if until_close:
+            self.stage.later(2 + interval * (PIECES - 1), connection.end)
 
-    # --- coming and going -------------------------------------------------------------------------------
+    # --- start and stop ---------------------------------------------------------------------------------
 
     def open(self):
-        """Listen."""
+        """Start listening."""
         self.port = self.stage.listen(self, self.address)
         self.model.fallen = False
-        self.say('up')
+        self.record_state('up')
 
-    def say(self, what):
+    def record_state(self, what):
         model = self.model
         self.stage.see(
             'server',
@@ -274,41 +284,45 @@
         )
 
     def close(self, what='down'):
-        """The process ends: its port and connections with it."""
+        """End the process, with its port and connections."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        for seat in list(self.seats):
-            self.breaks_off(seat)
-            seat.job = None
-            seat.up = False
-            seat.transport.abortConnection()
-        self.seats.clear()
-        self.model.wipe()
-        self.say(what)
+        for connection in list(self.connections):
+            self.record_break(connection)
+            connection.job = None
+            connection.up = False
+            connection.transport.abortConnection()
+        self.connections.clear()
+        self.model.clear_all()
+        self.record_state(what)
 
     def fall(self):
-        """It was pushed over: down for a time, then back, cold."""
+        """Fail from overload, and restart cold after the downtime."""
         self.stage.later(0, self.close, 'overturned')
         self.stage.later(self.model.down_us, self.restart)
 
     def pause(self):
-        """It stands still now and then, at times of its own."""
+        """Stall the server at random intervals."""
         caches = self.model.caches
         if self.port is not None:
-            self.model.stand(self.clock() + int(caches.pause_ms * 1_000))
-        self.stage.later(int(caches.pause_every_s * 1e6 * self.chance.uniform(0.7, 1.3)), self.pause)
+            self.model.stall(self.clock() + int(caches.pause_ms * 1_000))
+        self.stage.later(int(caches.pause_every_s * 1e6 * self.rng.uniform(0.7, 1.3)), self.pause)
 
     def restart(self):
-        """Up again, cold."""
+        """Restart with an empty cache."""
         if self.port is None and not self.stage.closing and self.stage.at_work(self.name):
             self.model.started = 0 if self.model.origin else self.clock()
             self.open()
             self.stage.roster.restarted(self.name, self.model.started)
 
-    def sweep(self):
-        """Connections that have stood idle for too long end."""
+    def close_idle(self):
+        """Close connections past the idle timeout."""
         now = self.clock()
-        for seat in [seat for seat in self.seats if seat.job is None and now - seat.last > self.idle]:
-            self.seats.pop(seat, None)
-            seat.transport.loseConnection()
+        for connection in [
+            connection
+            for connection in self.connections
+            if connection.job is None and now - connection.last > self.idle_us
+        ]:
+            self.connections.pop(connection, None)
+            connection.transport.loseConnection()
--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -1,14 +1,14 @@
-"""Operators' staff: they call nodes at their operators' address, and look at what a node says to clients.
+"""Simulated operators: requests to the operator address of a node, and readiness probes.
 
-Owns each call's connection and what became of it. Must never tell a node anything in another way.
+Each request uses a connection of its own.
 """
 
-from .clients import Dialled
-from .wire import Talker, request
+from .clients import SingleConnectionFactory
+from .wire import HttpConnection, request
 
 
-class Call(Talker):
-    """One call, on a connection of its own; done(status) at its answer, 0 without one."""
+class OperatorCall(HttpConnection):
+    """Request on its own connection. done(status) is called once, with 0 if there is no answer."""
 
     def __init__(self, stage, method, path, done):
         super().__init__()
@@ -21,37 +21,39 @@
         super().connectionMade()
         self.put(self.text)
 
-    def message(self, begun, words, fields, body):
-        self.over(int(words[1]) if words[1].isdigit() else 0)
+    def on_message(self, begun, start_line, fields, body):
+        self.finish(int(start_line[1]) if start_line[1].isdigit() else 0)
         self.transport.loseConnection()
 
-    def failed(self):
-        """No connection."""
-        self.over(0)
+    def on_connect_failed(self):
+        """Report that no connection could be opened."""
+        self.finish(0)
 
-    def ended(self):
-        self.over(0)
+    def on_close(self):
+        self.finish(0)
 
-    def over(self, status):
+    def finish(self, status):
         done, self.done = self.done, None
         if done is not None:
             done(status)
 
 
-class Staff:
-    """Who calls."""
+class Operators:
+    """Sends operators' requests."""
 
     def __init__(self, stage):
         self.stage = stage
 
-    def ask(self, place, address, method, path, done):
-        """One call to an address of a node."""
+    def send(self, place, address, method, path, done):
+        """Send a request to an address of a node."""
         self.stage.connect(
-            address, Dialled(Call(self.stage, method, path, done)), self.stage.client_address(place)
+            address,
+            SingleConnectionFactory(OperatorCall(self.stage, method, path, done)),
+            self.stage.client_address(place),
         )
 
     def tell(self, place, path, what, name):
-        """A call at a node's door; its yes is seen."""
+        """Send a command to a node's operator address and record its success."""
         running = place.running
 
         def done(status):
@@ -59,11 +61,10 @@
                 self.stage.see('hand', place.name, what, name)
 
         if running is not None and not running.leaving:
-            self.ask(place, place.door, 'POST', '/v1/' + path, done)
+            self.send(place, place.operator_address, 'POST', '/v1/' + path, done)
 
     def look(self, place, what):
-        """What a node says to who asks whether it is ready; at a standstill or on its way out it says
-        nothing."""
+        """Probe a node's readiness and record the status. A frozen or leaving node does not answer."""
         running = place.running
 
         def done(status):
@@ -71,4 +72,4 @@
                 self.stage.see('hand', place.name, what, str(status))
 
         if running is not None and not running.leaving:
-            self.ask(place, place.address, 'GET', '/ready', done)
+            self.send(place, place.address, 'GET', '/ready', done)
--- a/lilacdyke/lab/parts/wire.py
+++ b/lilacdyke/lab/parts/wire.py
@@ -1,79 +1,79 @@
-"""HTTP/1.1 as the stand-ins speak it: requests in, answers out, and the other way round.
+"""HTTP/1.1 of the simulated clients and servers: parsing, framing and connections.
 
-Owns a reader of its own, apart from the node's: a fault in one must not hide in the other. Must never be
-lenient where the protocol page is strict, nor decide what is answered.
+The parser is independent of the node's, so that a fault in one is not hidden by the same fault in the other.
+It is as strict as the node's protocol.
 """
 
 from zlib import crc32
 
 from twisted.internet.protocol import Protocol
 
-LARGE = 65_536  # bytes of an answer from which its first ones are timed
+LARGE_BODY = 65_536  # bytes; for larger answers the arrival of the first byte is recorded
 
 
-class Malformed(Exception):
-    """Bytes that are no message."""
+class MalformedMessage(Exception):
+    """Raised for data that is not an HTTP/1.1 message."""
 
 
 class Parser:
-    """Messages out of a stream: (first line's words, fields, body) each, fields by lower-case name."""
+    """Splits a stream into messages: (words of the start line, fields by lower-case name, body)."""
 
-    __slots__ = ('buffer', 'head', 'need', 'scanned', 'chunks')
+    __slots__ = ('buffer', 'head', 'body_length', 'scanned', 'chunks')
 
     def __init__(self):
-        self.buffer, self.head, self.need, self.scanned = bytearray(), None, 0, 0
-        self.chunks = None  # the data of a chunked body so far
+        self.buffer, self.head, self.body_length, self.scanned = bytearray(), None, 0, 0
+        self.chunks = None  # data of a chunked body so far, or None
 
     def feed(self, data):
         self.buffer += data
 
-    def take(self):
-        """The next one, or None."""
+    def next_message(self):
+        """Return the next complete message, or None."""
         if self.head is None:
             end = self.buffer.find(b'\r\n\r\n', max(0, self.scanned - 3))
             self.scanned = len(self.buffer)
             if end < 0:
                 if len(self.buffer) > 65_536:
-                    raise Malformed('endless head')
+                    raise MalformedMessage('endless head')
                 return None
             self.head = self.parse(bytes(self.buffer[:end]))
             del self.buffer[: end + 4]
             self.scanned = 0
             self.frame(self.head[1])
-        body = self.counted() if self.chunks is None else self.chunked()
+        body = self.fixed_body() if self.chunks is None else self.chunked_body()
         if body is None:
             return None
-        (words, fields), self.head, self.chunks = self.head, None, None
-        return words, fields, body
+        (start_line, fields), self.head, self.chunks = self.head, None, None
+        return start_line, fields, body
 
     def frame(self, fields):
-        """How long the body is."""
+        """Determine the framing of the body."""
         length, coding = fields.get('content-length', '0'), fields.get('transfer-encoding')
         if not length.isdigit() or coding not in (None, 'chunked') or coding and 'content-length' in fields:
-            raise Malformed('length')
-        self.need = int(length)
+            raise MalformedMessage('length')
+        self.body_length = int(length)
         if coding:
             self.chunks = bytearray()
 
-    def counted(self):
-        """The body, if all of it is here."""
-        if len(self.buffer) < self.need:
+    def fixed_body(self):
+        """Return a body of known length, or None if it is incomplete."""
+        if len(self.buffer) < self.body_length:
             return None
-        body = bytes(self.buffer[: self.need])
-        del self.buffer[: self.need]
+        body = bytes(self.buffer[: self.body_length])
+        del self.buffer[: self.body_length]
         return body
 
-    def chunked(self):
-        """The same of a body in chunks, which nobody here ends with a trailer."""
+    def chunked_body(self):
+        """Return a chunked body, or None if it is incomplete. Trailers are not supported."""
         while (end := self.buffer.find(b'\r\n')) >= 0:
             try:
                 size = int(self.buffer[:end], 16)
             except ValueError:
-                raise Malformed('chunk size') from None
+                raise MalformedMessage('chunk size') from None
             if len(self.buffer) < end + 2 + size + 2:
                 return None
             if self.buffer[end + 2 + size : end + 4 + size] != b'\r\n':
-                raise Malformed('chunk end')
+                raise MalformedMessage('chunk end')
             self.chunks += self.buffer[end + 2 : end + 2 + size]
             del self.buffer[: end + 4 + size]
             if not size:
@@ -82,31 +82,31 @@
 
     @property
     def begun_large(self):
-        """Whether the beginning of a message is here that is large, or may be."""
-        return self.head is not None and (self.need > LARGE or self.chunks is not None)
+        """Return whether a message has begun that is large or of unknown length."""
+        return self.head is not None and (self.body_length > LARGE_BODY or self.chunks is not None)
 
     @staticmethod
     def parse(head):
         first, *rest = head.decode('latin-1').split('\r\n')
-        words, fields = first.split(' ', 2), {}
-        if len(words) < 3:
-            raise Malformed('first line %r' % first[:80])
+        start_line, fields = first.split(' ', 2), {}
+        if len(start_line) < 3:
+            raise MalformedMessage('first line %r' % first[:80])
         for line in rest:
             name, colon, value = line.partition(':')
             if not colon or not name or name != name.strip():
-                raise Malformed('line %r' % line[:80])
+                raise MalformedMessage('line %r' % line[:80])
             fields[name.lower()] = value.strip()
-        return words, fields
+        return start_line, fields
 
 
-class Talker(Protocol):
-    """A connection's end that reads messages: a subclass has message(words, fields, body), and bad(err)."""
+class HttpConnection(Protocol):
+    """Base of connections that read messages; subclasses define on_message()."""
 
     def __init__(self):
         self.parser, self.begun, self.up = Parser(), None, False
 
     def clock(self):
-        """Microseconds of the run."""
+        """Return the time of the run in microseconds."""
         raise NotImplementedError
 
     def connectionMade(self):
@@ -115,59 +115,59 @@
 
     def dataReceived(self, data):
         if self.begun is None:
-            self.begun = self.clock()  # of the message that these bytes belong to
+            self.begun = self.clock()  # arrival of the first byte of the current message
         parser = self.parser
         parser.feed(data)
         try:
             while True:
-                got = parser.take()
+                got = parser.next_message()
                 if got is None:
                     break
                 begun, self.begun = self.begun, self.clock() if parser.buffer else None
-                self.message(begun, *got)
-        except Malformed as err:
-            self.bad(err)
+                self.on_message(begun, *got)
+        except MalformedMessage as err:
+            self.on_malformed(err)
         if not parser.buffer and parser.head is None:
             self.begun = None
 
     def connectionLost(self, reason=None):
         self.up = False
-        self.ended()
+        self.on_close()
 
-    def ended(self):
-        """The connection is over."""
+    def on_close(self):
+        """Handle the end of the connection."""
 
-    def bad(self, err):
+    def on_malformed(self, err):
         self.transport.abortConnection()
 
     def put(self, data):
-        """Write, if there is somebody to write to."""
+        """Write data if the connection is open."""
         if self.up:
             self.transport.write(data)
 
 
-def answer(status, body=b'', more=''):
-    """An answer's bytes."""
-    return ('HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n' % (status, more, len(body))).encode() + body
+def answer(status, body=b'', headers=''):
+    """Return the bytes of an answer with Content-Length."""
+    return ('HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n' % (status, headers, len(body))).encode() + body
 
 
-def answer_in_chunks(body, more, size):
-    """A good answer in chunks of a size."""
+def chunked_answer(body, headers, size):
+    """Return the bytes of a chunked 200 answer."""
     pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return (
-        b'HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n' % more.encode()
+        b'HTTP/1.1 200 X\r\n%sTransfer-Encoding: chunked\r\n\r\n' % headers.encode()
         + b''.join(b'%x\r\n%s\r\n' % (len(piece), piece) for piece in pieces)
         + b'0\r\n\r\n'
     )
 
 
-def answer_until_the_end(body, more):
-    """A good answer that lasts until the connection ends."""
-    return b'HTTP/1.1 200 X\r\n%sConnection: close\r\n\r\n' % more.encode() + body
+def close_delimited_answer(body, headers):
+    """Return the bytes of a 200 answer whose body ends with the connection."""
+    return b'HTTP/1.1 200 X\r\n%sConnection: close\r\n\r\n' % headers.encode() + body
 
 
 def request(method, path, fields, body=b''):
-    """A request's bytes."""
+    """Return the bytes of a request."""
     lines = ''.join('%s: %s\r\n' % pair for pair in fields)
     if body or method != 'GET':
         lines += 'Content-Length: %d\r\n' % len(body)
@@ -175,5 +175,5 @@
 
 
 def digest(body):
-    """What tells bodies apart in a record."""
+    """Return a checksum that identifies a body in a record."""
     return '%08x%x' % (crc32(body), len(body))
--- a/tests/lab/test_parts.py
+++ b/tests/lab/test_parts.py
@@ -1,4 +1,4 @@
-"""Stand-ins, scenarios and shrinking, without a network."""
+"""Cache server models, the HTTP parser, scenario files and shrinking, without a network."""
 
 import unittest
 from random import Random
@@ -9,7 +9,7 @@
 from lilacdyke.lab import draw
 from lilacdyke.lab import scenario as scenarios
 from lilacdyke.lab.parts.model import Fleet, Job, Model
-from lilacdyke.lab.parts.wire import Malformed, Parser, answer, answer_in_chunks
+from lilacdyke.lab.parts.wire import MalformedMessage, Parser, answer, chunked_answer
 from lilacdyke.lab.scenario import BadScenario, Event, Kind, Profile, Scenario
 from lilacdyke.lab.shrink import shrink
 from lilacdyke.lab.sweep import put
@@ -19,15 +19,15 @@
 NOTE = Profile(name='note', effect='guarded', write=True, window_s=1.0)
 
 
-class Servers(unittest.TestCase):
+class ServerModel(unittest.TestCase):
     def setUp(self):
-        self.world, self.fleet, self.seen, self.ended = World(1), Fleet(), [], []
+        self.world, self.fleet, self.rows, self.finished = World(1), Fleet(), [], []
 
     def model(self, name='c0', origin=False, started=0, cores=1, queue=1, zone='a', **other):
         scenario = Scenario(
             name='x', caches=scenarios.Caches(**other), rules=scenarios.Rules(warm_s=10.0, cold_from=0.2)
         )
-        made = Model(
+        server = Model(
             name,
             scenario,
             Kind(cores=cores, queue=queue),
@@ -38,40 +38,42 @@
             self.world.later,
             self.world.cancel,
             Random(1),
-            lambda *row: self.seen.append(row),
+            lambda *row: self.rows.append(row),
             started,
             origin,
         )
-        self.fleet.servers[name] = made
-        return made
+        self.fleet.servers[name] = server
+        return server
 
-    def job(self, number, profile=READ, key='k', mark='', work=10_000, until=10**9):
+    def job(self, number, profile=READ, key='k', idempotency_key='', work=10_000, until=10**9):
         return Job(
             number,
             'id%d' % number,
-            mark,
+            idempotency_key,
             key,
             profile,
             work,
             until,
-            lambda job: self.ended.append((job.hop, job.outcome, self.world.now)),
+            lambda job: self.finished.append((job.hop, job.outcome, self.world.now)),
         )
 
-    def test_a_core_serves_one_after_the_other_and_declines_what_it_has_no_room_for(self):
-        made = self.model(origin=True)
-        taken = [made.offer(self.job(number)) for number in range(3)]
+    def test_jobs_run_in_order_and_a_full_queue_declines(self):
+        server = self.model(origin=True)
+        accepted = [server.offer(self.job(number)) for number in range(3)]
         self.world.run(10**6)
         self.assertEqual(
-            (taken, self.ended), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
+            (accepted, self.finished), ([True, True, False], [(0, 'served', 10_001), (1, 'served', 20_002)])
         )
 
-    def test_a_cold_one_is_slow_and_warms_up(self):
-        made = self.model(started=1)
+    def test_capacity_grows_during_warm_up(self):
+        server = self.model(started=1)
         self.world.now = 1
-        first = made.presence()
-        self.assertEqual((first, round(made.presence(5_000_001), 6), made.presence(10**8)), (0.2, 0.6, 1.0))
+        first = server.capacity_share()
+        self.assertEqual(
+            (first, round(server.capacity_share(5_000_001), 6), server.capacity_share(10**8)), (0.2, 0.6, 1.0)
+        )
 
-    def test_a_miss_and_then_what_the_origin_stores(self):
+    def test_value_is_stored_when_the_origin_serves_a_missed_key(self):
         cache, origin = self.model(miss_cost=0.5), self.model('origin', origin=True)
         del self.fleet.servers['origin']
         cache.offer(self.job(1))
@@ -80,71 +82,73 @@
         again.id = 'id1'
         origin.offer(again)
         self.world.run(10**6)
-        self.assertEqual(([row[1] for row in self.ended], cache.has('k')), (['miss', 'served'], True))
+        self.assertEqual(
+            ([row[1] for row in self.finished], cache.has_fresh('k')), (['miss', 'served'], True)
+        )
 
-    def test_a_write_voids_copies(self):
+    def test_write_invalidates_cached_copies(self):
         cache, origin = self.model(), self.model('origin', origin=True)
-        cache.keep('k')
-        origin.offer(self.job(1, NOTE, mark='m'))
+        cache.store('k')
+        origin.offer(self.job(1, NOTE, idempotency_key='m'))
         self.world.run(10**6)
-        self.assertFalse(cache.has('k'))
+        self.assertFalse(cache.has_fresh('k'))
 
-    def test_a_repeat_of_a_mark_is_dropped_within_its_window_only(self):
-        made = self.model(origin=True)
+    def test_repeat_of_an_idempotency_key_is_dropped_only_within_its_window(self):
+        server = self.model(origin=True)
         for number, wait in ((1, 500_000), (2, 2_000_000), (3, 500_000)):
-            made.offer(self.job(number, NOTE, mark='m'))
+            server.offer(self.job(number, NOTE, idempotency_key='m'))
             self.world.run(self.world.now + wait)
         self.assertEqual(
-            [row[:2] for row in self.seen if row[0] != 'worked'],
+            [row[:2] for row in self.rows if row[0] != 'worked'],
             [('effect', 1), ('repeat', 2), ('effect', 3)],
         )
 
-    def test_a_group_by_site_does_not_know_another_sites_marks(self):
+    def test_zone_group_does_not_share_idempotency_keys_between_zones(self):
         profile = Profile(name='note', effect='guarded', write=True, group='zone', window_s=1.0)
         one, other = self.model(origin=True), self.model('c1', origin=True, zone='b')
-        one.offer(self.job(1, profile, mark='m'))
-        other.offer(self.job(2, profile, mark='m'))
+        one.offer(self.job(1, profile, idempotency_key='m'))
+        other.offer(self.job(2, profile, idempotency_key='m'))
         self.world.run(10**5)
-        self.assertEqual([row[0] for row in self.seen if row[0] != 'worked'], ['effect', 'effect'])
+        self.assertEqual([row[0] for row in self.rows if row[0] != 'worked'], ['effect', 'effect'])
 
-    def test_work_stops_when_it_is_cancelled(self):
-        made, job = self.model(queue=5), self.job(1)
-        made.offer(job)
-        made.offer(self.job(2))
-        made.cancel(job)
+    def test_cancelled_job_does_not_finish(self):
+        server, job = self.model(queue=5), self.job(1)
+        server.offer(job)
+        server.offer(self.job(2))
+        server.cancel(job)
         self.world.run(10**6)
-        self.assertEqual([row[0] for row in self.ended], [2])
+        self.assertEqual([row[0] for row in self.finished], [2])
 
-    def test_one_that_is_sent_too_much_while_cold_falls_over(self):
-        made = self.model(started=1, queue=10_000)
+    def test_cold_server_fails_under_overload(self):
+        server = self.model(started=1, queue=10_000)
         fallen = []
-        made.fell = lambda: fallen.append(self.world.now)
+        server.on_fall = lambda: fallen.append(self.world.now)
         self.world.now = 1
         for number in range(200):
-            made.offer(self.job(number))
+            server.offer(self.job(number))
         self.assertEqual(len(fallen), 1)
 
-    def test_a_hung_one_answers_once_it_is_well(self):
-        made = self.model(origin=True)
-        made.hung = True
-        made.offer(self.job(1))
+    def test_hung_server_answers_after_it_recovers(self):
+        server = self.model(origin=True)
+        server.hung = True
+        server.offer(self.job(1))
         self.world.run(10**6)
-        before = list(self.ended)
-        made.thaw()
-        self.assertEqual((before, self.ended[0][:2]), ([], (1, 'served')))
+        before = list(self.finished)
+        server.thaw()
+        self.assertEqual((before, self.finished[0][:2]), ([], (1, 'served')))
 
-    def test_the_least_used_value_makes_way(self):
-        made = self.model()
-        made.keeps = 2
+    def test_least_recently_used_value_is_evicted(self):
+        server = self.model()
+        server.keeps = 2
         for key in ('a', 'b'):
-            made.keep(key)
-        made.has('a')
-        made.keep('c')
-        self.assertEqual([made.has(key) for key in 'abc'], [True, False, True])
+            server.store(key)
+        server.has_fresh('a')
+        server.store('c')
+        self.assertEqual([server.has_fresh(key) for key in 'abc'], [True, False, True])
 
 
-class Wire(unittest.TestCase):
-    def test_messages_however_cut(self):
+class WireParser(unittest.TestCase):
+    def test_messages_are_parsed_byte_by_byte(self):
         parser, data, found = (
             Parser(),
             b'PUT /a/k HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n',
@@ -152,21 +156,21 @@
         )
         for at in range(len(data)):
             parser.feed(data[at : at + 1])
-            got = parser.take()
-            if got:
-                found.append((got[0][0], got[2]))
+            message = parser.next_message()
+            if message:
+                found.append((message[0][0], message[2]))
         self.assertEqual(found, [('PUT', b'abc'), ('GET', b'')])
 
-    def test_chunks_however_cut(self):
-        parser, data, found = Parser(), answer_in_chunks(b'abcdefg', '', 3) + answer(200, b'x'), []
+    def test_chunked_bodies_are_parsed_byte_by_byte(self):
+        parser, data, found = Parser(), chunked_answer(b'abcdefg', '', 3) + answer(200, b'x'), []
         for at in range(len(data)):
             parser.feed(data[at : at + 1])
-            got = parser.take()
-            if got:
-                found.append(got[2])
+            message = parser.next_message()
+            if message:
+                found.append(message[2])
         self.assertEqual(found, [b'abcdefg', b'x'])
 
-    def test_what_is_no_message(self):
+    def test_malformed_messages_are_rejected(self):
         for data in (
             b'HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\nz\r\n',
             b'HTTP/1.1 200 X\r\nTransfer-Encoding: gzip\r\n\r\n',
@@ -178,15 +182,15 @@
         ):
             parser = Parser()
             parser.feed(data)
-            with self.subTest(data=data), self.assertRaises(Malformed):
-                parser.take()
+            with self.subTest(data=data), self.assertRaises(MalformedMessage):
+                parser.next_message()
 
 
 class Scenarios(unittest.TestCase):
-    def test_all_that_ship_are_read(self):
-        self.assertGreater(len([scenarios.load(name) for name in scenarios.named()]), 12)
+    def test_shipped_scenarios_load(self):
+        self.assertGreater(len([scenarios.load(name) for name in scenarios.shipped_names()]), 12)
 
-    def test_what_is_wrong_is_one_line(self):
+    def test_scenario_errors_are_one_line(self):
         cases = {
             'name = "x"\nfoo = 1': 'foo',
             'name = 1': 'name',
@@ -198,50 +202,54 @@
             'name = "x"\n[[profiles]]\nname = "r"\ngoal_s = 9': 'past its limit',
             'name = "x"\n[[events]]\nat_s = 99\nkind = "burst"': 'past the end',
         }
-        for text, told in cases.items():
-            with self.subTest(told=told), self.assertRaisesRegex(BadScenario, told) as caught:
+        for text, expected in cases.items():
+            with self.subTest(expected=expected), self.assertRaisesRegex(BadScenario, expected) as caught:
                 scenarios.read(text)
             self.assertNotIn('\n', str(caught.exception))
 
-    def test_written_and_read_it_is_the_same(self):
+    def test_scenarios_round_trip_through_toml(self):
         for seed in range(30):
-            made = draw.scenario(seed)
-            self.assertEqual(scenarios.read(scenarios.write(made)), made)
+            scenario = draw.scenario(seed)
+            self.assertEqual(scenarios.read(scenarios.write(scenario)), scenario)
 
-    def test_some_fleets_have_large_bodies_of_no_told_length_and_the_rest_of_a_seed_is_as_it_was(self):
+    def test_large_bodies_change_nothing_else_of_a_drawn_scenario(self):
         drawn = [draw.scenario(seed) for seed in range(100)]
         self.assertGreater(
-            sum(bool(made.load.large_share and made.caches.untold and made.caches.give_ms) for made in drawn),
+            sum(
+                bool(scenario.load.large_share and scenario.caches.untold and scenario.caches.give_ms)
+                for scenario in drawn
+            ),
             4,
         )
-        self.assertGreater(sum(made.load.write_bytes > 65_536 for made in drawn), 4)
-        with mock.patch.object(draw, 'with_large_bodies', lambda made, seed: made):
+        self.assertGreater(sum(scenario.load.write_bytes > 65_536 for scenario in drawn), 4)
+        with mock.patch.object(draw, 'with_large_bodies', lambda scenario, seed: scenario):
             plain = [draw.scenario(seed) for seed in range(100)]
         self.assertEqual(
-            [replace(made, caches=was.caches, load=was.load) for made, was in zip(drawn, plain)], plain
+            [replace(scenario, caches=was.caches, load=was.load) for scenario, was in zip(drawn, plain)],
+            plain,
         )
-        self.assertEqual([made.caches.untold for made in map(draw.planned, range(20))], [0.0] * 20)
+        self.assertEqual([scenario.caches.untold for scenario in map(draw.planned, range(20))], [0.0] * 20)
 
-    def test_a_quantity_is_put_in_by_its_path(self):
-        made = put(draw.scenario(1), 'load.rate', '7')
-        self.assertEqual(made.load.rate, 7)
+    def test_put_sets_a_field_by_its_path(self):
+        scenario = put(draw.scenario(1), 'load.rate', '7')
+        self.assertEqual(scenario.load.rate, 7)
         for path in ('load.speed', 'kinds.9.count', 'nodes.x'):
             with self.subTest(path=path), self.assertRaises(BadScenario):
-                put(made, path, '1')
+                put(scenario, path, '1')
 
-    def test_a_value_out_of_range_is_refused(self):
+    def test_put_rejects_a_value_out_of_range(self):
         with self.assertRaises(BadScenario):
             put(draw.scenario(1), 'nodes', '0')
 
 
 class Shrinking(unittest.TestCase):
-    def test_what_does_not_matter_goes(self):
-        made = draw.scenario(3)
+    def test_shrinking_removes_what_the_failure_does_not_need(self):
+        scenario = draw.scenario(3)
         needed = Event(at_s=1.0, kind='hung', what=[0], for_s=1.0)
-        made.events = [Event(at_s=0.5, kind='burst'), needed, Event(at_s=2.0, kind='miss')]
-        small, played = shrink(made, lambda candidate: needed in candidate.events)
+        scenario.events = [Event(at_s=0.5, kind='burst'), needed, Event(at_s=2.0, kind='miss')]
+        small, played = shrink(scenario, lambda candidate: needed in candidate.events)
         self.assertEqual((small.events, small.nodes, small.servers, played <= 150), ([needed], 1, 1, True))
 
-    def test_one_that_needs_all_stays(self):
-        made = draw.scenario(3)
-        self.assertEqual(shrink(made, lambda candidate: False)[0], made)
+    def test_shrinking_keeps_a_scenario_that_cannot_be_reduced(self):
+        scenario = draw.scenario(3)
+        self.assertEqual(shrink(scenario, lambda candidate: False)[0], scenario)
