--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -13,26 +13,13 @@
 class Hop:
     """One attempt of a transaction at a server."""
 
-    __slots__ = (
-        'tx',
-        'server',
-        'index',
-        'sent',
-        'out',
-        'copy',
-        'ran',
-        'failed',
-        'dropped',
-        'weight',
-        'how',
-    )
+    __slots__ = ('tx', 'server', 'index', 'sent', 'out', 'copy', 'ran', 'failed', 'dropped', 'weight', 'how')
 
     def __init__(self, tx, server, now, copy):
         self.tx, self.server, self.sent, self.copy = tx, server, now, copy
         self.index = len(tx.hops)
-        self.weight = (
-            0 if tx.limit is None else 1
-        )  # in the in-flight counts; 0 while the body is still arriving
+        # Its weight in the in-flight counts: 0 while the body is still arriving.
+        self.weight = 0 if tx.limit is None else 1
         self.out, self.ran, self.failed, self.dropped = True, True, False, False  # ran: may have run
         self.how = None  # its ending
 
