--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -64,10 +64,7 @@
         self.spent = False  # the body was streamed to a server and cannot be sent again
         self.hops, self.out, self.done = [], 0, False
         self.rank = None  # caches in rendezvous order, computed on demand
-        self.next_send_at, self.hedge_delay = (
-            None,
-            0,
-        )  # time of the next copy, delay before it
+        self.next_send_at, self.hedge_delay = None, 0  # time of the next copy, delay before it
         self.missed = None  # the first cache that lacked the key
         self.held = False  # waits for another transaction's fetch, or for capacity at the origin
         self.retry_cache = None  # cache to retry after another transaction's fetch
