--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -14,7 +14,7 @@
 
 from . import draw, ground, runs
 from .callfaults import ERRNOS, SOCKET_CALLS, CallFault, CallFaults
-from .judges import GUARDED, judge
+from .judges import GUARD_PREFIX, judge
 from .scenario import Caches, Clients, Event, Kind, Limits, Load, Origin, Rules, Scenario, check
 
 ONCE, ON = 'once', 'on'  # how a call fails: that one, or all from there on for a second
@@ -132,7 +132,7 @@
 def excused(point, rule, broken):
     """Whether a breach is what the failed call itself does: it ended connections, or for a second nobody
     could be let in, heard or told anything."""
-    if broken.rule == 'faults' and GUARDED in broken.text and 'late' in broken.text:
+    if broken.rule == 'faults' and GUARD_PREFIX in broken.text and 'late' in broken.text:
         return point.how == ON and point.call in NEEDED
     if broken.rule != 'answered':
         return False
--- a/lilacdyke/lab/gain.py
+++ b/lilacdyke/lab/gain.py
@@ -81,11 +81,11 @@
     outcome = runs.one(given, seed, rows=True, hashed=False)
     case = Case(given, outcome.rows)
     bad, first, lost, wrong = defaultdict(list), defaultdict(dict), 0, set()
-    names = list(dict.fromkeys(row[2] for row in case.by['server']))
-    for kind, what, begin, end in case.spells:
+    names = list(dict.fromkeys(row[2] for row in case.rows_by_kind['server']))
+    for kind, what, begin, end in case.faults:
         for number in what if kind in ('slow', 'hung', 'garbled', 'crash') else ():
             bad[names[int(number)]].append((begin, end))
-    for row in case.by['hop']:
+    for row in case.rows_by_kind['hop']:
         lost += any(begin + 500_000 <= row[1] <= end for begin, end in bad.get(row[3], ()))
     for word in held.words(case):
         if word.harsh:
--- a/lilacdyke/lab/held.py
+++ b/lilacdyke/lab/held.py
@@ -31,9 +31,9 @@
     out there anyway."""
     last, found = {}, []
     for row in sorted(
-        case.by['word']
-        + [row for row in case.by['told'] if row[4] != 'ready']
-        + [row for row in case.by['hand'] if row[3] == 'out'],
+        case.rows_by_kind['word']
+        + [row for row in case.rows_by_kind['told'] if row[4] != 'ready']
+        + [row for row in case.rows_by_kind['hand'] if row[3] == 'out'],
         key=lambda row: row[1],
     ):
         pair = (row[2], row[4]) if row[0] == 'hand' else row[2:4]
@@ -42,7 +42,9 @@
             had.end = min(had.end, row[1])
         if row[0] == 'word' and row[7]:
             last[pair] = made = Acting(row)
-            made.end = min([made.end, *(to for _, to, _ in case.ups[made.node] if to and to >= made.begin)])
+            made.end = min(
+                [made.end, *(to for _, to, _ in case.lifetimes[made.node] if to and to >= made.begin)]
+            )
             found.append(made)
     return found
 
@@ -52,7 +54,7 @@
 
     def __init__(self, case):
         self.rows, self.times = defaultdict(list), {}
-        for _, at, node, server, how, _, quick in case.by['seen']:
+        for _, at, node, server, how, _, quick in case.rows_by_kind['seen']:
             self.rows[server].append((at, node, how, quick))
         for server, rows in self.rows.items():
             self.times[server] = [row[0] for row in rows]
@@ -71,7 +73,7 @@
 def judged(case):
     """All that is broken about verdicts in a run."""
     span = int(case.scenario.planning.span_s * 1e6)
-    if not span or not case.by['word']:
+    if not span or not case.rows_by_kind['word']:
         return []
     acting, seen = words(case), Evidence(case)
     return [
@@ -106,7 +108,7 @@
         rows, lately = seen.between(one.server, one.begin - 5 * span // 2, one.begin), one.begin - span
         bad = {node for _, node, _, quick in rows if not quick} | {
             'n' + number
-            for kind, who, at, until in case.spells
+            for kind, who, at, until in case.faults
             if kind == 'lie' and at <= one.begin <= until + span
             for number in who
         }
@@ -134,7 +136,7 @@
             rows = seen.between(one.server, one.begin - 60_000_000, one.begin)
             own = max((at for at, node, _, quick in rows if node == one.node and quick), default=None)
             bad = max((at for at, _, _, quick in rows if not quick), default=0)
-            if own is not None and own > bad + EARLY and not any(kind == 'lie' for kind, *_ in case.spells):
+            if own is not None and own > bad + EARLY and not any(kind == 'lie' for kind, *_ in case.faults):
                 yield (
                     'eyes',
                     one.begin,
@@ -147,7 +149,7 @@
     """At no forwarder more are held down than stated, of the servers that there have been at most."""
     count, by_site = set(), defaultdict(set)
     site_of = {}
-    for row in case.by['server']:
+    for row in case.rows_by_kind['server']:
         if not row[9]:
             count.add(row[2])
             by_site[row[5]].add(row[2])
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -12,7 +12,7 @@
 import click
 
 from . import ground
-from .judges import COLD_CHANCE, Case, cold_spells, judge, windows
+from .judges import COLD_ROOT_FACTOR, Case, cold_periods, judge, load_windows
 from .scenario import (
     Bound,
     Caches,
@@ -142,8 +142,8 @@
 def until_held(case):
     """From when a limit was lowered until the last half second in which servers got more than it, the burst
     and one each beyond it."""
-    (_, at, _, most), first = case.by['limit'][-1], {}
-    for row in case.by['hop']:
+    (_, at, _, most), first = case.rows_by_kind['limit'][-1], {}
+    for row in case.rows_by_kind['hop']:
         first[row[4]] = min(first.get(row[4], row[7]), row[7])
     times = sorted(first.values())
     last, tail = at, 0
@@ -205,10 +205,10 @@
                 )
                 rows, _, broken = played(given, seed)
                 wrong += sum(found.rule == 'pushed' for found in broken)
-                for _, came, *spell in cold_spells(Case(given, rows)):
-                    for _, load, calls, _, able in windows(came, *spell, given.rules):
+                for _, came, *spell in cold_periods(Case(given, rows)):
+                    for _, load, calls, _, able in load_windows(came, *spell, given.rules):
                         allowed = multiple * able * calls / load
-                        part = calls / (allowed + COLD_CHANCE * (allowed**0.5 + 1))
+                        part = calls / (allowed + COLD_ROOT_FACTOR * (allowed**0.5 + 1))
                         if part > most:
                             most, budget = part, allowed
             click.echo(
