--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -1,7 +1,7 @@
-"""Troubles: what each kind of event does to the parts of a run, and how it is taken back.
+"""Fault injection: what each kind of event of a scenario does to a run, and how it is undone.
 
-Owns the timeline. Those that need the network or a machine's clock exist only on simulated ground; elsewhere
-they are left out and said so. Must never know how nodes are built, nor tell them anything.
+Faults that need a simulated network or clock exist only in simulation; elsewhere they are skipped, and
+`left_out` lists them. Nodes are never told of a fault.
 """
 
 import errno
@@ -9,7 +9,7 @@
 from .callfaults import CallFault, CallFaults
 from .scenario import TARGETS, Kind
 
-NETWORK = (
+SIMULATED_FAULTS = (
     'cut',
     'delay',
     'resets',
@@ -27,7 +27,7 @@
     'site_cut',
     'calls',
 )
-# Calls that fail for a while with an errno that tells of the machine alone: (call, errno).
+# (call, errno) pairs for failures of the node's own machine.
 OWN_FAILURES = (
     *(
         ('connect', number)
@@ -38,18 +38,27 @@
     *((call, errno.ENOBUFS) for call in ('setsockopt', 'getsockopt')),
     ('accept', errno.ECONNABORTED),
 )
-# Those that only the trial's relays and processes have (trial/faults.py).
-RELAYS = ('way_cut', 'way_tear', 'way_late', 'way_thin', 'way_reset', 'way_refuse', 'way_replay', 'starve')
+# Faults that only the trial's relays and processes have (trial/faults.py).
+RELAY_FAULTS = (
+    'way_cut',
+    'way_tear',
+    'way_late',
+    'way_thin',
+    'way_reset',
+    'way_refuse',
+    'way_replay',
+    'starve',
+)
 
 
-class Liar:
-    """Says the same of all servers, whatever was seen."""
+class FixedEvidence:
+    """Evidence of a node that reports the same of all servers, whatever it saw."""
 
     def __init__(self, view, size):
         self.view, self.size = view, size
 
     def ended(self, now, server, how, lasted):
-        """It does not look."""
+        """Ignore the outcome."""
 
     def report(self, now):
         bad = self.size < 1
@@ -75,13 +84,13 @@
 
 
 class Faults:
-    """Plays a scenario's events on a stage."""
+    """Plays the events of a scenario on a stage."""
 
     def __init__(self, stage):
         self.stage, self.left_out = stage, []
 
     def begin(self):
-        """Hang up all events."""
+        """Schedule all events."""
         for index, event in enumerate(self.stage.scenario.events):
             if not self.plays(event.kind):
                 self.left_out.append(event.kind)
@@ -89,11 +98,15 @@
             self.stage.later(int(event.at_s * 1e6), self.play, index, event)
 
     def plays(self, kind):
-        """Whether this ground has such a trouble."""
-        return self.stage.ground.simulated and kind not in RELAYS or kind not in NETWORK + RELAYS
+        """Return whether this environment supports the kind of fault."""
+        return (
+            self.stage.ground.simulated
+            and kind not in RELAY_FAULTS
+            or kind not in SIMULATED_FAULTS + RELAY_FAULTS
+        )
 
     def targets(self, event, chance):
-        """The numbers it meets: those named, or drawn from those there are."""
+        """Return the numbers of the event's targets: those named, or a random sample."""
         if event.what:
             return list(event.what)
         stage, kind = self.stage, TARGETS.get(event.kind)
@@ -108,11 +121,11 @@
         return sorted(chance.sample(pool, min(event.count, len(pool))))
 
     def caches(self):
-        """The cache servers at work."""
+        """Return the cache servers, without the origin."""
         return [server for server in self.stage.servers.values() if not server.model.origin]
 
     def play(self, index, event):
-        """One event begins."""
+        """Record an event and apply it."""
         if self.stage.closing:
             return
         stage, chance = self.stage, self.stage.chance('event %d' % index)
@@ -122,16 +135,16 @@
         getattr(self, 'do_' + event.kind)(index, event, what, span, chance)
 
     def numbered(self, what):
-        """Servers by number, those still there."""
+        """Return the servers with these numbers that still exist."""
         return [server for server in self.stage.servers.values() if server.number in what]
 
     # --- cache servers ----------------------------------------------------------------------------------
 
-    def set(self, things, field, value, back, span):
-        """Set a field of each, and put it back in time."""
+    def set(self, things, field, value, restored, span):
+        """Set a field of each object, and set it to `restored` after the span."""
         for thing in things:
             setattr(thing, field, value)
-        self.stage.later(span, lambda: [setattr(thing, field, back) for thing in things])
+        self.stage.later(span, lambda: [setattr(thing, field, restored) for thing in things])
 
     def do_slow(self, index, event, what, span, chance):
         self.set([server.model for server in self.numbered(what)], 'slow', event.size, 1.0, span)
@@ -155,33 +168,33 @@
         self.set(self.numbered(what), 'extra', min(1.0, event.size / 10), 0.0, span)
 
     def do_crash(self, index, event, what, span, chance):
-        """The process dies and comes back cold."""
+        """The server crashes, and restarts cold after the span."""
         for server in self.numbered(what):
             if server.port is not None:
                 server.close('crashed')
                 self.stage.later(span, server.restart)
 
     def do_refuse(self, index, event, what, span, chance):
-        """Its port is closed for a while; connections that are open go on."""
+        """The server stops listening for the span; open connections continue."""
         for server in self.numbered(what):
             if server.port is not None:
                 server.port.stopListening()
                 server.port = None
-                self.stage.later(span, self.reopen, server)
+                self.stage.later(span, self.listen_again, server)
 
-    def reopen(self, server):
+    def listen_again(self, server):
         if server.port is None and not self.stage.closing and self.stage.at_work(server.name):
             server.port = self.stage.listen(server, server.address)
 
     def do_miss(self, index, event, what, span, chance):
-        """Kept values go void all over."""
+        """Drop random cached values at all servers."""
         for server in self.caches():
             for key in list(server.model.kept):
                 if chance.random() < min(1.0, event.size / 10):
                     server.model.void(key)
 
     def do_drain(self, index, event, what, span, chance):
-        """They drain, go, and do not come back."""
+        """Servers drain and leave for good."""
         for server in self.numbered(what):
             self.drain(server, span)
 
@@ -204,7 +217,7 @@
         server.close('gone')
 
     def join(self, like, same_address=False):
-        """A new server, cold, in place of one."""
+        """Add a cold server of the same kind as `like`."""
         stage = self.stage
         name = 'c%d' % stage.made
         stage.made += 1
@@ -225,88 +238,91 @@
         stage.roster.put(name, 'ready')
 
     def do_replace(self, index, event, what, span, chance):
-        """Each goes without a drain, and a successor under a new name comes up at its address, cold."""
+        """Remove servers without draining; a cold successor with a new name starts at the same address."""
         for server in self.numbered(what):
             if self.stage.at_work(server.name) and not server.model.draining:
                 self.stage.roster.put(server.name, 'gone')
                 self.remove(server)
-                self.stage.later(50_000, self.join, server, True)  # its port is free by then
+                self.stage.later(50_000, self.join, server, True)  # when the port is free
 
     def do_deploy(self, index, event, what, span, chance):
-        """A rolling deploy: a part of the fleet (size in tenths), `count` at a time, over the span."""
+        """Deploy to a part of the fleet (size in tenths) over the span, in batches of `count`."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         picked = all_[: max(1, int(len(all_) * min(10, event.size) / 10))]
         batches = [picked[at : at + event.count] for at in range(0, len(picked), event.count)]
         for number, batch in enumerate(batches):
             self.stage.later(
-                span * number // len(batches) + 1, self.roll, batch, max(1_000_000, span // len(batches))
+                span * number // len(batches) + 1,
+                self.deploy_batch,
+                batch,
+                max(1_000_000, span // len(batches)),
             )
 
-    def roll(self, batch, span):
+    def deploy_batch(self, batch, span):
         for server in batch:
             if self.stage.at_work(server.name):
                 self.join(server)
                 self.drain(server, span)
 
     def do_shrink(self, index, event, what, span, chance):
-        """The fleet shrinks by a part (size in tenths), evenly over the span."""
+        """Remove a part of the fleet (size in tenths), evenly over the span."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         leaving = all_[len(all_) - min(len(all_) - 1, int(len(all_) * event.size / 10)) :]
         for number, server in enumerate(leaving):
             self.stage.later(span * number // max(1, len(leaving)) + 1, self.drain, server, 2_000_000)
 
-    # --- by hand ----------------------------------------------------------------------------------------
+    # --- operators --------------------------------------------------------------------------------------
 
     def do_suspend(self, index, event, what, span, chance):
-        """Staff takes them out at every node, restarts them meanwhile, and calls them back."""
+        """Operators suspend servers at every node, restart them, and resume them."""
         for server in self.numbered(what):
             for place in self.stage.places:
                 self.stage.staff.tell(place, 'cache-servers/%s/suspend' % server.name, 'out', server.name)
-            self.stage.later(span // 2, self.bounce, server)
-            self.stage.later(span, self.call_back, server)
+            self.stage.later(span // 2, self.restart_server, server)
+            self.stage.later(span, self.resume_server, server)
 
-    def bounce(self, server):
+    def restart_server(self, server):
         if server.port is not None and self.stage.at_work(server.name):
             server.close('restarted')
             self.stage.later(200_000, server.restart)
 
-    def call_back(self, server):
+    def resume_server(self, server):
         for place in self.stage.places:
             self.stage.see('hand', place.name, 'back', server.name)
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
     def do_away(self, index, event, what, span, chance):
-        """Staff has nodes emptied; the front sees it a moment later. They are called back after 4.5 s at the
-        least."""
+        """Operators drain nodes; clients avoid them 0.3 s later. The nodes are activated again after the span,
+        and at least 4.5 s."""
         for place in self.places(what):
             running = place.running
             if running is None or running.leaving:
                 continue
             place.away += 1
             self.stage.staff.tell(place, 'node/drain', 'away', '')
-            self.stage.later(300_000, self.send_elsewhere, place, running)
-            self.stage.later(4_000_000, self.look_in, place, running)
-            self.stage.later(max(4_500_000, span), self.take_in, place, running)
+            self.stage.later(300_000, self.redirect_clients, place, running)
+            self.stage.later(4_000_000, self.record_idle, place, running)
+            self.stage.later(max(4_500_000, span), self.activate_node, place, running)
 
-    def send_elsewhere(self, place, running):
+    def redirect_clients(self, place, running):
         if place.running is running and place.away:
             place.open = False
             self.stage.staff.look(place, 'ready')
 
-    def look_in(self, place, running):
-        """What an emptied node keeps after 4 s."""
+    def record_idle(self, place, running):
+        """Record how many idle clients a drained node keeps after 4 s."""
         if place.running is running and place.away and not running.leaving:
             kept = [seat for seat in self.stage.crowd.idle.get(place, ()) if seat.up and not seat.ending]
             self.stage.see('hand', place.name, 'kept', str(len(kept)))
 
-    def take_in(self, place, running):
+    def activate_node(self, place, running):
         if place.running is running and not running.leaving:
             place.away = max(0, place.away - 1)
             if not place.away:
                 self.stage.staff.tell(place, 'node/activate', 'active', '')
-                self.stage.later(1_000_000, self.open_again, place, running)
+                self.stage.later(1_000_000, self.accept_clients, place, running)
 
-    def open_again(self, place, running):
+    def accept_clients(self, place, running):
         if place.running is running and not running.leaving and not place.away:
             place.open = True
             self.stage.staff.look(place, 'open')
@@ -318,7 +334,7 @@
         return self.stage.ground.network
 
     def do_cut(self, index, event, what, span, chance):
-        """Sites are cut off from the others, without a word; each is whole within."""
+        """Partition sites from the others, without resets; traffic within a site continues."""
         for number in what:
             zone = self.stage.zones[number]
             apart = {
@@ -330,15 +346,15 @@
             self.stage.later(span, self.network.mend, (index, number))
 
     def do_site_cut(self, index, event, what, span, chance):
-        """The nodes of one site are cut off from these servers, and from nothing else."""
+        """Partition the nodes of one site from these servers only."""
         zone = self.stage.zones[index % len(self.stage.zones)]
         hosts = frozenset(place.address[0] for place in self.stage.places if place.zone == zone)
         for server in self.numbered(what):
             self.network.apart[index, server.name] = (server.address[0], hosts)
-            self.stage.later(span, self.together, (index, server.name))
+            self.stage.later(span, self.rejoin, (index, server.name))
 
     def do_vanish(self, index, event, what, span, chance):
-        """Machines are gone without a word, and come back cold."""
+        """Machines disappear without closing connections, and restart cold."""
         for server in self.numbered(what):
             host = server.address[0]
             self.network.vanish(host)
@@ -347,7 +363,7 @@
             self.stage.later(span, server.restart)
 
     def do_delay(self, index, event, what, span, chance):
-        """Bytes to and from them travel longer: size in milliseconds."""
+        """Add latency to and from these servers: size in milliseconds."""
         slower = self.stage.ground.slower
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
@@ -355,14 +371,14 @@
         self.stage.later(span, lambda: [slower.pop(host, None) for host in hosts])
 
     def do_resets(self, index, event, what, span, chance):
-        """Connections to them are reset at any byte: size in hundredths a message."""
+        """Reset connections to these servers at random bytes: size is the percentage of messages."""
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
             self.network.resets[host] = (min(1.0, event.size / 100), chance)
         self.stage.later(span, lambda: [self.network.resets.pop(host, None) for host in hosts])
 
     def do_dribble(self, index, event, what, span, chance):
-        """The nodes' system takes few bytes of each send."""
+        """Sends of these nodes are accepted a few bytes at a time."""
         taken = [self.stage.places[number].running for number in what]
         processes = [running.process for running in taken if running is not None]
         for process in processes:
@@ -370,7 +386,7 @@
         self.stage.later(span, lambda: [self.network.stuck.pop(process, None) for process in processes])
 
     def do_deaf(self, index, event, what, span, chance):
-        """Full accept queues: connects to these servers are not answered."""
+        """Connects to these servers are not answered, as with full accept queues."""
         hosts = [server.address[0] for server in self.numbered(what)]
         self.network.deaf.update(hosts)
         self.stage.later(span, lambda: self.network.deaf.difference_update(hosts))
@@ -381,25 +397,25 @@
         return [self.stage.places[number] for number in what]
 
     def do_kill(self, index, event, what, span, chance):
-        """SIGKILL, and back after the span with its list of that time, which is old by then."""
+        """Kill nodes with SIGKILL; they restart after the span with their old server list."""
         for place in self.places(what):
             self.stage.kill_node(place)
             self.stage.later(max(1, span), self.stage.start_node, place)
 
     def do_term(self, index, event, what, span, chance):
-        """SIGTERM, and back after it has gone."""
+        """Stop nodes with SIGTERM; they restart once they have exited."""
         for place in self.places(what):
             self.stage.term_node(place)
-            self.stage.later(span, self.back, place)
+            self.stage.later(span, self.restart_node, place)
 
-    def back(self, place):
+    def restart_node(self, place):
         if place.running is None:
             self.stage.start_node(place)
         elif not self.stage.closing:
-            self.stage.later(250_000, self.back, place)
+            self.stage.later(250_000, self.restart_node, place)
 
     def do_hup(self, index, event, what, span, chance):
-        """SIGHUP with a page that names another address of discovery."""
+        """Send SIGHUP with settings that name another address of discovery."""
         stage = self.stage
         for place in self.places(what):
             if place.running is not None and not place.running.leaving:
@@ -411,13 +427,13 @@
                 place.running.hup(stage.page(place))
 
     def do_standstill(self, index, event, what, span, chance):
-        """The process stands still; the system beneath it does not."""
+        """Pause the processes, but not their operating systems."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.freeze(span)
 
     def do_clock(self, index, event, what, span, chance):
-        """The machine's clock runs at `size` times the rate of the world's, by at most a part in five."""
+        """The machine's clock runs at `size` times the true rate, within 20 %."""
         rate = min(1.2, max(0.8, event.size))
         for place in self.places(what):
             running = place.running
@@ -426,20 +442,20 @@
                 self.stage.later(span, running.reactor.drift, 1.0)
 
     def do_step(self, index, event, what, span, chance):
-        """Its wall clock is stepped: so many seconds ahead."""
+        """Step the wall clock ahead: size in seconds."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.reactor.step(event.size)
 
     def do_calls(self, index, event, what, span, chance):
-        """Calls of the machine fail: which ones and how, `size` tells, by its place in OWN_FAILURES."""
+        """System calls fail; `size` is the 1-based index in OWN_FAILURES."""
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         for place in self.places(what):
             if place.running is not None:
                 self.fail_calls(place.running.process, call, number, span)
 
     def fail_calls(self, process, call, number, span):
-        """Have a process's calls of one kind fail for so long."""
+        """Make a process's calls of one kind fail for the span."""
         if process.calls is None:
             process.calls = CallFaults(self.stage.clock)
         rule = CallFault(call, number, until=self.stage.clock() + span)
@@ -447,7 +463,7 @@
         self.stage.later(span, process.calls.remove, rule)
 
     def do_descriptors(self, index, event, what, span, chance):
-        """Something else in the process holds all descriptors but a few."""
+        """Leave only `size` free descriptors to the process."""
         for place in self.places(what):
             if place.running is not None:
                 process = place.running.process
@@ -461,49 +477,49 @@
         return [self.stage.offices[number] for number in what]
 
     def do_kill_planner(self, index, event, what, span, chance):
-        """SIGKILL, and back after the span with nothing."""
+        """Kill planners with SIGKILL; they restart after the span without state."""
         for office in self.planners(what):
             self.stage.kill_planner(office)
             self.stage.later(max(1, span), self.stage.start_planner, office)
 
     def do_stop_planner(self, index, event, what, span, chance):
-        """It stands still, and goes on with what it held."""
+        """Pause planners; they continue with the state they had."""
         for office in self.planners(what):
             if office.running is not None:
                 office.running.freeze(span)
 
     def do_cut_planner(self, index, event, what, span, chance):
-        """Cut off from all, without a word."""
+        """Partition planners from everything, without resets."""
         for office in self.planners(what):
             self.network.cut((index, office.name), {office.address[0]})
             self.stage.later(span, self.network.mend, (index, office.name))
 
     def do_part_planner(self, index, event, what, span, chance):
-        """Cut off together with the first half of the nodes."""
+        """Partition planners from the first half of the nodes."""
         half = [place.address[0] for place in self.stage.places[: max(1, len(self.stage.places) // 2)]]
         for office in self.planners(what):
             self.network.apart[index, office.name] = (office.address[0], frozenset(half))
-            self.stage.later(span, self.together, (index, office.name))
+            self.stage.later(span, self.rejoin, (index, office.name))
 
-    def together(self, number):
+    def rejoin(self, number):
         self.network.apart.pop(number, None)
         self.network.release()
 
     def do_late_planner(self, index, event, what, span, chance):
-        """Bytes to and from them travel longer, in order: size in seconds."""
+        """Add latency to and from planners, in order: size in seconds."""
         hosts = [office.address[0] for office in self.planners(what)]
         self.stage.ground.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
         self.stage.later(span, lambda: [self.stage.ground.slower.pop(host, None) for host in hosts])
 
     def do_planner_clock(self, index, event, what, span, chance):
-        """Its clock is up to a part in twenty fast or slow."""
+        """The planner's clock runs up to 5 % fast or slow."""
         for office in self.planners(what):
             if office.running is not None:
                 office.running.reactor.drift(min(1.05, max(0.95, event.size)))
 
     def do_lower(self, index, event, what, span, chance):
-        """Operators lower a limit: size in tenths of what it was at first, but not under what seats own.
-        After the span it is back."""
+        """Operators lower a limit to size tenths of its first value, but not below the seats' own budget.
+        It is restored after the span."""
         bounds = self.stage.scenario.planning.bounds
         if bounds:
             bound = bounds[index % len(bounds)]
@@ -511,25 +527,25 @@
             self.stage.later(span, self.stage.lower, bound.name, bound.most)
 
     def do_lie(self, index, event, what, span, chance):
-        """It tells planners that all servers fail (size under 1), are slow (under 2), or are well."""
+        """Nodes report all servers to planners as failing (size under 1), slow (under 2) or healthy."""
         for place in self.places(what):
             running = place.running
             view = running and running.node.fleet and running.node.fleet.view
             if view:
-                usual, view.seen = view.seen, Liar(view, event.size)
+                usual, view.seen = view.seen, FixedEvidence(view, event.size)
                 self.stage.later(span, setattr, view, 'seen', usual)
 
     # --- clients ----------------------------------------------------------------------------------------
 
     def do_shift(self, index, event, what, span, chance):
-        """Clients come to these nodes only."""
+        """Clients use these nodes only."""
         self.set([self.stage], 'leaning', tuple(what), (), span)
 
     def do_burst(self, index, event, what, span, chance):
         self.set([self.stage.crowd], 'factor', event.size, 1.0, span)
 
     def do_hot(self, index, event, what, span, chance):
-        """`count` keys draw a part of all asked: size in hundredths."""
+        """`count` keys get a part of all requests: size in percent."""
         self.set([self.stage.crowd], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
 
     # --- discovery --------------------------------------------------------------------------------------
@@ -543,11 +559,11 @@
             self.stage.later(span, agent.hush, False)
 
     def do_lag(self, index, event, what, span, chance):
-        """The list runs further behind, everywhere: size in seconds."""
+        """Delay the list at all agents: size in seconds."""
         self.set(self.stage.agents, 'lag', int(event.size * 1e6), 0, span)
 
     def do_stale(self, index, event, what, span, chance):
-        """One agent's list runs behind."""
+        """Delay the list at these agents: size in seconds."""
         self.set(self.agents(what), 'lag', int(event.size * 1e6), 0, span)
 
     def do_cut_watch(self, index, event, what, span, chance):
