--- a/lilacdyke/lab/held.py
+++ b/lilacdyke/lab/held.py
@@ -1,34 +1,33 @@
-"""Judges of verdicts: how long one acts, on how many servers, by whose evidence, and against whose own eyes.
+"""Checks of the verdicts in effect at forwarders: their age, their evidence and how many servers they affect.
 
-Owns what is broken about words that act at forwarders (rows 'word'), beside what all forwarders saw (rows
-'seen'), on the one true clock. Shares no code with the program. Must never take a verdict's own account of
-its age or its witnesses.
+Compares the verdicts (rows 'word') with what all forwarders observed (rows 'seen') by the run's clock. Shares
+no code with the program, and does not rely on the age or the witnesses that a verdict itself states.
 """
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
-HARM, HARM_SITE = 0.2, 0.25  # as stated: parts of all, and of a site's servers
-EARLY = 50_000  # between a hop's end and the row of it, and rounding
+HARM, HARM_SITE = 0.2, 0.25  # largest stated shares of all servers, and of a site's, that may be held down
+ROW_TOLERANCE = 50_000  # microseconds of tolerance between the end of a hop and its row
 
 
-class Acting:
-    """One word at one forwarder: from when to when it acted, and what it said."""
+class ActiveVerdict:
+    """A verdict in effect at one forwarder: its interval and its bounds."""
 
     __slots__ = ('node', 'server', 'begin', 'end', 'least', 'most', 'wait', 'kind')
 
     def __init__(self, row):
         _, self.begin, self.node, self.server, self.least, self.most, self.wait, left, self.kind = row
-        self.end = self.begin + left * 41 // 40  # its clock may be slow
+        self.end = self.begin + left * 41 // 40  # the forwarder's clock may be slow
 
     @property
-    def harsh(self):
+    def is_restraining(self):
         return self.most < 1 or self.wait > 0
 
 
-def words(case):
-    """All words, each until the next on its server at its node, until the node ended, or until the server was
-    out there anyway."""
+def active_verdicts(case):
+    """Return all verdicts in effect. Each ends with the next one for the same node and server, with the
+    node's process, or when the node takes the server out for another reason."""
     last, found = {}, []
     for row in sorted(
         case.rows_by_kind['word']
@@ -41,7 +40,7 @@
         if had is not None:
             had.end = min(had.end, row[1])
         if row[0] == 'word' and row[7]:
-            last[pair] = made = Acting(row)
+            last[pair] = made = ActiveVerdict(row)
             made.end = min(
                 [made.end, *(to for _, to, _ in case.lifetimes[made.node] if to and to >= made.begin)]
             )
@@ -49,8 +48,8 @@
     return found
 
 
-class Evidence:
-    """What was seen of each server: (when, node, how it ended, whether it did well and soon), in order."""
+class Observations:
+    """The observations of each server in order: (time, node, how the hop ended, whether it was quick)."""
 
     def __init__(self, case):
         self.rows, self.times = defaultdict(list), {}
@@ -60,56 +59,60 @@
             self.times[server] = [row[0] for row in rows]
 
     def between(self, server, begin, end):
-        """In that span, ends included."""
+        """Return the observations in [begin, end]."""
         times = self.times.get(server, [])
         return self.rows[server][bisect_left(times, begin) : bisect_right(times, end)]
 
     def last(self, server, at):
-        """When the newest up to then was seen, or None."""
+        """Return the time of the newest observation up to a time, or None."""
         index = bisect_right(self.times.get(server, []), at)
         return self.times[server][index - 1] if index else None
 
 
-def judged(case):
-    """All that is broken about verdicts in a run."""
+def verdict_violations(case):
+    """Return the violations of the rules on verdicts in a run as (rule, time, text)."""
     span = int(case.scenario.planning.span_s * 1e6)
     if not span or not case.rows_by_kind['word']:
         return []
-    acting, seen = words(case), Evidence(case)
+    active, observations = active_verdicts(case), Observations(case)
     return [
-        *stale(case, acting, seen, span),
-        *alone(case, acting, seen, span),
-        *blindly(case, acting, seen),
-        *harmful(case, acting),
+        *check_age(case, active, observations, span),
+        *check_witnesses(case, active, observations, span),
+        *check_own_observations(case, active, observations),
+        *check_share(case, active),
     ]
 
 
-def stale(case, acting, seen, span):
-    """None acts for longer than S after the newest thing that anybody saw of its server."""
-    for one in acting:
-        newest = seen.last(one.server, one.begin)
-        if newest is None or one.end > newest + span + EARLY:
+def check_age(case, active, observations, span):
+    """No verdict stays in effect longer than `span_s` after any node last observed its server."""
+    for verdict in active:
+        newest = observations.last(verdict.server, verdict.begin)
+        if newest is None or verdict.end > newest + span + ROW_TOLERANCE:
             yield (
                 'stale',
-                one.end,
+                verdict.end,
                 '%s held %s for %d ms after anybody saw anything of it'
-                % (one.node, one.server, (one.end - (newest or 0)) // 1_000),
+                % (verdict.node, verdict.server, (verdict.end - (newest or 0)) // 1_000),
             )
 
 
-def alone(case, acting, seen, span):
-    """What one forwarder saw binds nobody, and what one site saw binds no other. A liar may be one of two."""
+def check_witnesses(case, active, observations, span):
+    """A restraining verdict needs bad observations by two nodes, of two sites unless it applies to one site
+    only. One of them may report falsely."""
     zones = {'n%d' % number: number % case.scenario.zones for number in range(case.scenario.nodes)}
-    for one in acting:
-        if not one.harsh:
+    for verdict in active:
+        if not verdict.is_restraining:
             continue
-        # A witness may have been as old as S as a planner looked, its worst hop half as old again, and the
-        # word is not new either.
-        rows, lately = seen.between(one.server, one.begin - 5 * span // 2, one.begin), one.begin - span
+        # An observation may be as old as the span when the planner uses it, its worst hop half a span older,
+        # and the verdict itself up to a span old.
+        rows, lately = (
+            observations.between(verdict.server, verdict.begin - 5 * span // 2, verdict.begin),
+            verdict.begin - span,
+        )
         bad = {node for _, node, _, quick in rows if not quick} | {
             'n' + number
             for kind, who, at, until in case.faults
-            if kind == 'lie' and at <= one.begin <= until + span
+            if kind == 'lie' and at <= verdict.begin <= until + span
             for number in who
         }
         others = {zones[node] for at, node, _, _ in rows if at < lately} & {
@@ -117,36 +120,40 @@
         }
         if (
             len(bad) < 2
-            or {zones[node] for node in bad} != {zones[one.node]}
+            or {zones[node] for node in bad} != {zones[verdict.node]}
             and len({zones[node] for node in bad}) < min(2, len(others))
         ):
             yield (
                 'alone',
-                one.begin,
+                verdict.begin,
                 '%s holds %s down, by what %s saw'
-                % (one.node, one.server, ', '.join(sorted(bad)) or 'nobody'),
+                % (verdict.node, verdict.server, ', '.join(sorted(bad)) or 'nobody'),
             )
 
 
-def blindly(case, acting, seen):
-    """Own eyes first: none begins where the forwarder itself has seen a quick answer since anybody saw
-    anything bad."""
-    for one in acting:
-        if one.harsh:
-            rows = seen.between(one.server, one.begin - 60_000_000, one.begin)
-            own = max((at for at, node, _, quick in rows if node == one.node and quick), default=None)
+def check_own_observations(case, active, observations):
+    """No restraining verdict takes effect where the forwarder itself got a quick answer after the last bad
+    observation by any node."""
+    for verdict in active:
+        if verdict.is_restraining:
+            rows = observations.between(verdict.server, verdict.begin - 60_000_000, verdict.begin)
+            own = max((at for at, node, _, quick in rows if node == verdict.node and quick), default=None)
             bad = max((at for at, _, _, quick in rows if not quick), default=0)
-            if own is not None and own > bad + EARLY and not any(kind == 'lie' for kind, *_ in case.faults):
+            if (
+                own is not None
+                and own > bad + ROW_TOLERANCE
+                and not any(kind == 'lie' for kind, *_ in case.faults)
+            ):
                 yield (
                     'eyes',
-                    one.begin,
+                    verdict.begin,
                     '%s holds %s down, from which it had a quick answer %d ms ago'
-                    % (one.node, one.server, (one.begin - own) // 1_000),
+                    % (verdict.node, verdict.server, (verdict.begin - own) // 1_000),
                 )
 
 
-def harmful(case, acting):
-    """At no forwarder more are held down than stated, of the servers that there have been at most."""
+def check_share(case, active):
+    """No forwarder holds more servers down than stated, as a share of all that have existed."""
     count, by_site = set(), defaultdict(set)
     site_of = {}
     for row in case.rows_by_kind['server']:
@@ -156,22 +163,22 @@
             site_of[row[2]] = row[5]
     changes = sorted(
         (at, step, index)
-        for index, one in enumerate(acting)
-        if one.harsh
-        for at, step in ((one.begin, 1), (one.end, -1))
-        if one.end > one.begin
+        for index, verdict in enumerate(active)
+        if verdict.is_restraining
+        for at, step in ((verdict.begin, 1), (verdict.end, -1))
+        if verdict.end > verdict.begin
     )
     down = defaultdict(lambda: defaultdict(set))
     for at, step, index in changes:
-        one = acting[index]
-        site = site_of.get(one.server)
-        here = down[one.node][site]
-        (here.add if step > 0 else here.discard)(one.server)
-        total = sum(len(servers) for servers in down[one.node].values())
+        verdict = active[index]
+        site = site_of.get(verdict.server)
+        here = down[verdict.node][site]
+        (here.add if step > 0 else here.discard)(verdict.server)
+        total = sum(len(servers) for servers in down[verdict.node].values())
         if total > HARM * len(count) or len(here) > max(1, HARM_SITE * len(by_site[site])):
             yield (
                 'harm',
                 at,
                 '%s holds %d of %d down, %d of %d at site %s'
-                % (one.node, total, len(count), len(here), len(by_site[site]), site),
+                % (verdict.node, total, len(count), len(here), len(by_site[site]), site),
             )
--- a/lilacdyke/lab/judges.py
+++ b/lilacdyke/lab/judges.py
@@ -193,7 +193,7 @@
     least MIN_SENT_SHARE of them reach one."""
     found, reached = [], {row[4] for row in case.rows_by_kind['hop']}
     for _, at, kind, what, until in case.rows_by_kind['fault']:
-        others = [spell for spell in case.faults if spell[0] not in MACHINE_FAULTS]
+        others = [fault for fault in case.faults if fault[0] not in MACHINE_FAULTS]
         if kind != 'calls' or any(begin <= until + RECOVERY_END and at <= end for _, _, begin, end in others):
             continue
         for number in filter(None, what.split(',')):
@@ -389,7 +389,7 @@
     """Check nodes that ignore discovery: a change counts as known `told_s` after discovery had it, was not
     silent, and the node's process was running."""
     found, told_by = [], int(case.scenario.rules.told_s * 1e6)
-    gone, apart = {}, [spell for spell in case.faults if spell[0] in ('silence', 'standstill', 'hup')]
+    gone, apart = {}, [fault for fault in case.faults if fault[0] in ('silence', 'standstill', 'hup')]
     for row in case.rows:
         if row[0] == 'due':
             if row[4] != 'ready':
@@ -769,14 +769,14 @@
     """Yield samples per server of the requests in the last second from nodes where a fleet verdict has it
     down."""
     out = defaultdict(list)
-    for word in held.words(case):
-        if word.kind in ('silent', 'failing'):
-            out[word.node, word.server].append(word)
+    for verdict in held.active_verdicts(case):
+        if verdict.kind in ('silent', 'failing'):
+            out[verdict.node, verdict.server].append(verdict)
     times = defaultdict(list)
     for row in case.rows_by_kind['hop']:
         if any(
-            word.begin + case.travel + case.slack < row[7] < word.end
-            for word in out.get((row[6], row[3]), ())
+            verdict.begin + case.travel + case.slack < row[7] < verdict.end
+            for verdict in out.get((row[6], row[3]), ())
         ):
             times[row[3]].append(row[7])
     for found in times.values():
@@ -911,7 +911,7 @@
 
 def check_verdicts(case):
     """Return the violations of the rules on verdicts, if verdicts are on (held.py)."""
-    return [Violation(*found) for found in held.judged(case)]
+    return [Violation(*found) for found in held.verdict_violations(case)]
 
 
 RULES = {
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -1,6 +1,7 @@
-"""Figures of fleets with planners, in simulated time: what is served when all ask at one node, and how long a lowered limit takes to hold.
+"""Measurements of simulated fleets with planners: service when all clients use one node, the delay of lowered
+limits, and the load of cold servers.
 
-Owns the two measurements and their tables; a run is played and judged as any other. Must never leave a broken rule out.
+Runs are played and checked like any other, and violations are printed with the figures.
 
     python -m lilacdyke.lab.measure demand --nodes 5 --nodes 40
     python -m lilacdyke.lab.measure lowered --seeds 20
@@ -28,17 +29,17 @@
     check,
 )
 
-LENGTH, ONE = 16.0, 6.0  # seconds of a run, and when all clients turn to one node
+LENGTH_S, SHIFT_AT = 16.0, 6.0  # seconds: length of a run, and when all clients move to one node
 
 
-def fleet(nodes, planners, seed, events=(), lease=1.0, rate=None):
-    """A fleet that is asked for as much as its one limit lets through, and enough caches for it."""
+def build_scenario(nodes, planners, seed, events=(), lease=1.0, rate=None):
+    """Return a scenario whose load equals its only limit, with sufficient cache servers."""
     rate = rate or max(60.0, 4.0 * nodes)
     return check(
         Scenario(
             name='measure',
             seed=seed,
-            length_s=LENGTH,
+            length_s=LENGTH_S,
             nodes=nodes,
             kinds=[Kind(count=8, cores=16)],
             caches=Caches(handshake_ms=0.2, warm_share=1.0),
@@ -52,14 +53,14 @@
     )
 
 
-def played(given, seed):
-    """Play and judge: (rows, stage, what was broken)."""
+def play_run(given, seed):
+    """Play and check a scenario; return (rows, stage, violations)."""
     stage = ground.play(given, seed)
     return stage.witness.rows, stage, judge(given, stage.witness.rows)
 
 
-def served_at_one(rows, since, until):
-    """The part of what was asked in a span that was served."""
+def served_share(rows, since, until):
+    """Return the share of the requests made in [since, until) that were served."""
     asked = {row[2] for row in rows if row[0] == 'ask' and since <= row[1] < until}
     return sum(1 for row in rows if row[0] == 'answer' and row[2] in asked and row[3] == 200) / max(
         1, len(asked)
@@ -75,10 +76,10 @@
 @click.option('--nodes', multiple=True, type=int, default=(5, 40))
 @click.option('--seed', default=1, show_default=True)
 def demand(nodes, seed):
-    """All clients turn to one of the forwarders: the part that is served there, and what the links cost."""
-    shift = Event(at_s=ONE, kind='shift', what=[0], for_s=LENGTH)
+    """All clients move to one forwarder: print the share served there and the number of digests."""
+    shift = Event(at_s=SHIFT_AT, kind='shift', what=[0], for_s=LENGTH_S)
     kills = [
-        Event(at_s=ONE - 4 + 1.5 * number, kind='kill_planner', what=[number % 3], for_s=0.3)
+        Event(at_s=SHIFT_AT - 4 + 1.5 * number, kind='kill_planner', what=[number % 3], for_s=0.3)
         for number in range(9)
     ]
     for count in nodes:
@@ -88,9 +89,9 @@
             ('planners killed', 3, [shift, *kills]),
         ):
             begun = time.perf_counter()
-            rows, stage, broken = played(fleet(count, planners, seed, events, lease=2.0), seed)
+            rows, stage, broken = play_run(build_scenario(count, planners, seed, events, lease=2.0), seed)
             early, late = (
-                served_at_one(rows, (0.6 + ONE + begin) * 1e6, (0.6 + ONE + end) * 1e6)
+                served_share(rows, (0.6 + SHIFT_AT + begin) * 1e6, (0.6 + SHIFT_AT + end) * 1e6)
                 for begin, end in ((0, 2), (4, 9))
             )
             digests = sum(
@@ -106,42 +107,42 @@
 @click.option('--seeds', default=20, show_default=True)
 @click.option('--lease', default=1.0, show_default=True)
 def lowered(seeds, lease):
-    """A limit is lowered while all is spent: seconds until servers get no more than the new one, plain and
-    with a third of the fleet cut off."""
+    """Lower a fully used limit: print the seconds until servers get no more than the new one, with and
+    without half of the fleet cut off from the planners."""
     for name, more in (
         ('all reached', []),
         (
             'one half cut off from all planners',
-            [Event(at_s=ONE - 0.02, kind='part_planner', what=[0, 1, 2], for_s=99.0)],
+            [Event(at_s=SHIFT_AT - 0.02, kind='part_planner', what=[0, 1, 2], for_s=99.0)],
         ),
     ):
-        took, wrong = [], 0
+        took, violations = [], 0
         for seed in range(1, seeds + 1):
-            given = fleet(
+            given = build_scenario(
                 6,
                 3,
                 seed,
                 [
                     Event(at_s=0.0, kind='burst', for_s=99.0, size=2.0),
-                    Event(at_s=ONE, kind='lower', for_s=99.0, size=6.0),
+                    Event(at_s=SHIFT_AT, kind='lower', for_s=99.0, size=6.0),
                     *more,
                 ],
                 lease,
                 300.0,
             )
-            rows, _, broken = played(given, seed)
-            wrong += len(broken)
-            took.append(until_held(Case(given, rows)))
+            rows, _, broken = play_run(given, seed)
+            violations += len(broken)
+            took.append(seconds_until_held(Case(given, rows)))
         took.sort()
         click.echo(
             '%s: median %.2f s, most %.2f s, in %d runs with leases of %g s; broken: %d'
-            % (name, took[len(took) // 2], took[-1], seeds, lease, wrong)
+            % (name, took[len(took) // 2], took[-1], seeds, lease, violations)
         )
 
 
-def until_held(case):
-    """From when a limit was lowered until the last half second in which servers got more than it, the burst
-    and one each beyond it."""
+def seconds_until_held(case):
+    """Return the seconds from the lowering of a limit to the last half second in which servers got more than
+    it, with a tolerance of the burst and one request per node."""
     (_, at, _, most), first = case.rows_by_kind['limit'][-1], {}
     for row in case.rows_by_kind['hop']:
         first[row[4]] = min(first.get(row[4], row[7]), row[7])
@@ -159,13 +160,16 @@
 @click.option('--nodes', multiple=True, type=int, default=(5, 25, 200))
 @click.option('--seeds', default=3, show_default=True)
 @click.option(
-    '--multiple', default=2.0, show_default=True, help='of what a cold server can do, at which it falls over'
+    '--multiple',
+    default=2.0,
+    show_default=True,
+    help='load at which a cold server fails, as a multiple of its capacity',
 )
 def cold(nodes, seeds, multiple):
-    """What all nodes together send to cold servers in a window, against the budget N and the chance of 2 x
-    root of N + 2; 1 is a fall. Half of a busy fleet is replaced by servers that the list tells. One that
-    stands at another's address before it does is no case of this: who has not been told sends to it as to a
-    warm one."""
+    """Print the largest load of cold servers in a window, as a share of the budget N plus the tolerance
+    2 * (sqrt(N) + 1); 1 is an overload. Half of a busy fleet is replaced by servers that discovery announces.
+    Servers that take over an address before they are announced are not covered: nodes send to them as if they
+    were warm."""
     deploy = Event(at_s=2.5, kind='deploy', count=2, for_s=6.0, size=5.0)
     for count in nodes:
         third = -(-count // 3)
@@ -187,7 +191,7 @@
                 ],
             ),
         ):
-            most, budget, wrong = 0.0, 0.0, 0
+            most, budget, violations = 0.0, 0.0, 0
             for seed in range(1, seeds + 1):
                 given = check(
                     Scenario(
@@ -203,8 +207,8 @@
                         events=[deploy, *events],
                     )
                 )
-                rows, _, broken = played(given, seed)
-                wrong += sum(found.rule == 'pushed' for found in broken)
+                rows, _, broken = play_run(given, seed)
+                violations += sum(found.rule == 'pushed' for found in broken)
                 for _, came, *spell in cold_periods(Case(given, rows)):
                     for _, load, calls, _, able in load_windows(came, *spell, given.rules):
                         allowed = multiple * able * calls / load
@@ -213,7 +217,7 @@
                             most, budget = part, allowed
             click.echo(
                 '%3d nodes, %s: %.2f of what makes a fall, at a budget of %.0f; pushed: %d in %d runs'
-                % (count, name, most, budget, wrong, seeds)
+                % (count, name, most, budget, violations, seeds)
             )
 
 
