--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -1,35 +1,35 @@
-"""Plain policies to compare with: random choice, least in flight, round robin, rendezvous without copies.
+"""Baseline policies for comparison: random, least in flight, round robin, rendezvous hashing without hedging.
 
-Owns patches of the module's choice, for comparison only: no node is ever run so. The gate, the list and the
-answers stay as they are.
+Each patches only the router's choice of a server for the length of a run; admission, the server list and
+answers are unchanged.
 """
 
 from ..logic import Router
 
 
 class Baseline:
-    """A plain policy as a patch of a run."""
+    """A baseline policy as a patch of a run."""
 
-    def __init__(self, about, pick=None, copies=True):
-        self.about, self.pick, self.copies = about, pick, copies
+    def __init__(self, about, choose=None, hedging=True):
+        self.about, self.choose, self.hedging = about, choose, hedging
 
     def apply(self, ground):
-        """Put it in place for the run."""
-        if self.pick is not None:
-            ground.put(Router, 'pick', self.pick)
-        if not self.copies:
-            usual = Router.take
-
-            def take(router, *given):
-                tx = usual(router, *given)
+        """Patch the router for the run."""
+        if self.choose is not None:
+            ground.put(Router, 'pick', self.choose)
+        if not self.hedging:
+            original = Router.take
+
+            def take(router, *args):
+                tx = original(router, *args)
                 tx.twice = False
                 return tx
 
             ground.put(Router, 'take', take)
 
 
-def able(router, now, tx):
-    """The caches that may get it: ready, not tried, warm enough for one more."""
+def eligible(router, now, tx):
+    """Return the caches that may get the transaction: ready, not tried, and with cold budget left."""
     tried = [hop.server for hop in tx.hops]
     return [
         server
@@ -38,34 +38,42 @@
     ]
 
 
-def at_random(router, now, tx):
-    """Any."""
-    servers = able(router, now, tx)
+def choose_random(router, now, tx):
+    """Choose at random."""
+    servers = eligible(router, now, tx)
     return servers[int(router.chance() * len(servers))] if servers else None
 
 
-def least(router, now, tx):
-    """The one with the fewest of this node's hops out."""
-    servers = able(router, now, tx)
+def choose_least_in_flight(router, now, tx):
+    """Choose the cache with the fewest hops of this node in flight."""
+    servers = eligible(router, now, tx)
     return min(servers, key=lambda server: (server.out, router.chance())) if servers else None
 
 
-def in_turn(router, now, tx):
-    """One after the other."""
-    servers = able(router, now, tx)
-    router.turn_of = getattr(router, 'turn_of', -1) + 1
-    return servers[router.turn_of % len(servers)] if servers else None
+def choose_round_robin(router, now, tx):
+    """Choose the caches in turn."""
+    servers = eligible(router, now, tx)
+    router.round_robin_index = getattr(router, 'round_robin_index', -1) + 1
+    return servers[router.round_robin_index % len(servers)] if servers else None
 
 
-def first_ranked(router, now, tx):
-    """The key's first by rendezvous, whatever its load."""
-    return next(iter([server for server in router.ranked(now, tx) if server in able(router, now, tx)]), None)
+def choose_first_ranked(router, now, tx):
+    """Choose the key's first cache by rendezvous hashing, whatever its load."""
+    return next(
+        iter([server for server in router.ranked(now, tx) if server in eligible(router, now, tx)]), None
+    )
 
 
 BASELINES = {
-    'random': Baseline('any cache by chance, no copies', at_random, copies=False),
-    'least': Baseline('the cache with the fewest hops of this node out, no copies', least, copies=False),
-    'turn': Baseline('one cache after the other, no copies', in_turn, copies=False),
-    'rendezvous': Baseline("the key's first cache by rendezvous, no copies", first_ranked, copies=False),
-    'no-copies': Baseline('as built, without copies', copies=False),
+    'random': Baseline('a random cache, no hedging', choose_random, hedging=False),
+    'least': Baseline(
+        'the cache with the fewest hops of this node in flight, no hedging',
+        choose_least_in_flight,
+        hedging=False,
+    ),
+    'turn': Baseline('round robin, no hedging', choose_round_robin, hedging=False),
+    'rendezvous': Baseline(
+        "the key's first cache by rendezvous hashing, no hedging", choose_first_ranked, hedging=False
+    ),
+    'no-copies': Baseline('as built, without hedging', hedging=False),
 }
