--- a/lilacdyke/lab/bentfiles.py
+++ b/lilacdyke/lab/bentfiles.py
@@ -1,11 +1,10 @@
-"""File calls of the interpreter that fail, fall short, or are where the process is killed.
+"""Fault injection into the interpreter's file calls: failures, short writes, or a killed process.
 
-Owns what stands in place of `os.open`, `os.write` and their kin and of `open`. Used beneath real processes
-(trial/shim.py) and in one process by the sweep of files (filesweep.py). Must never import a library beyond
-the standard one.
+Replaces `open`, `os.open`, `os.write` and related functions. Used in real processes (trial/shim.py) and in
+one process by the sweep of file faults (filesweep.py). Imports only the standard library.
 
-`faults` is asked before each call: fail(call) raises what the call fails with, or gives the most bytes that
-it may move, or None.
+Before each call, faults.fail(call) raises the error that the call fails with, or returns the number of bytes
+that it may write, or None.
 """
 
 import builtins
@@ -16,24 +15,24 @@
 
 
 def failing(faults, real, call):
-    """A function or method that first may fail as this kind of call does."""
+    """Wrap a function so that it fails when the faults say so for this kind of call."""
 
-    def called(*given, **named):
+    def wrapper(*args, **kwargs):
         faults.fail(call)
-        return real(*given, **named)
+        return real(*args, **kwargs)
 
-    return called
+    return wrapper
 
 
 def bend_files(faults):
-    """Files that are opened for writing, by `os` or by `open`, or for reading by `open`; modules are read
-    otherwise."""
+    """Inject faults into files opened for writing by `os` or `open`, or for reading by `open`. Imports of
+    modules are not affected."""
     real = {name: getattr(os, name) for name in ('open', 'write', *FILE_FUNCTIONS)}
 
-    def open_(path, flags, *rest, **named):
+    def open_(path, flags, *rest, **kwargs):
         if flags & (os.O_WRONLY | os.O_RDWR | os.O_DIRECTORY):
             faults.fail('open')
-        return real['open'](path, flags, *rest, **named)
+        return real['open'](path, flags, *rest, **kwargs)
 
     def write(fd, data):
         size = faults.fail('write')
@@ -42,19 +41,19 @@
     os.open, os.write = open_, write
     for name, call in FILE_FUNCTIONS.items():
         setattr(os, name, failing(faults, real[name], call))
-    bend_open(faults)
+    inject_open_faults(faults)
 
 
-def bend_open(faults):
-    """What `open` makes for writing."""
+def inject_open_faults(faults):
+    """Inject faults into files opened by `open`."""
     real_open = builtins.open
 
     class Raw(io.FileIO):
-        """A file whose writes may fail or fall short."""
+        """A raw file whose writes may fail or be short."""
 
-        def __init__(self, *given, **named):
+        def __init__(self, *args, **kwargs):
             faults.fail('open')
-            super().__init__(*given, **named)
+            super().__init__(*args, **kwargs)
 
         def write(self, data):
             size = faults.fail('write')
@@ -64,30 +63,30 @@
             faults.fail('truncate')
             return super().truncate(size)
 
-    def open_(file, mode='r', buffering=-1, encoding=None, errors=None, newline=None, **named):
+    def open_(file, mode='r', buffering=-1, encoding=None, errors=None, newline=None, **kwargs):
         if isinstance(file, int):
-            return real_open(file, mode, buffering, encoding, errors, newline, **named)
+            return real_open(file, mode, buffering, encoding, errors, newline, **kwargs)
         if not set(mode) & set('wax+'):
             faults.fail('read')
-            return real_open(file, mode, buffering, encoding, errors, newline, **named)
+            return real_open(file, mode, buffering, encoding, errors, newline, **kwargs)
         raw = Raw(file, mode.replace('b', '').replace('t', ''))
         if buffering == 0:
             return raw
-        held = io.BufferedRandom(raw) if '+' in mode else io.BufferedWriter(raw)
-        return held if 'b' in mode else io.TextIOWrapper(held, encoding or 'utf-8', errors, newline)
+        buffered = io.BufferedRandom(raw) if '+' in mode else io.BufferedWriter(raw)
+        return buffered if 'b' in mode else io.TextIOWrapper(buffered, encoding or 'utf-8', errors, newline)
 
     builtins.open = io.open = open_
 
 
-def restore(held):
-    """Put back what `saved` gave."""
-    builtins.open, io.open = held['open']
-    for name, function in held['os'].items():
+def restore_functions(originals):
+    """Restore the functions that `current_functions` returned."""
+    builtins.open, io.open = originals['open']
+    for name, function in originals['os'].items():
         setattr(os, name, function)
 
 
-def saved():
-    """What bend_files is about to replace."""
+def current_functions():
+    """Return the functions that bend_files replaces."""
     return {
         'open': (builtins.open, io.open),
         'os': {name: getattr(os, name) for name in ('open', 'write', *FILE_FUNCTIONS)},
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -1,9 +1,8 @@
-"""The sweep of files: a short scenario of a writer's or a voter's file, again and again, each time with one
-call failing, falling short, or being where the process is killed.
+"""Sweep of file faults: plays a short scenario of a writer's or a voter's file repeatedly, each time with one
+call that fails, writes only a part, or at which the process is killed.
 
-Owns the scenarios, the points and the judging, in the manner of SQLite's tests of I/O errors. A run that
-fails is told by its point alone. Must never pass a run whose file cannot be read again, or lacks what was
-told as kept, or has what was told as refused.
+Similar to SQLite's I/O error tests. A failing run is identified by its point alone. A run fails if its file
+cannot be read again, lacks what was acknowledged, or contains what was refused.
 """
 
 import contextlib
@@ -21,20 +20,20 @@
 from .callfaults import ERRNOS, FILE_CALLS, CallFault, CallFaults
 
 KEYS = {'limit': 'number'}
-SHORT_FILE = 4  # lines from which the scenario's writer shortens its file
+COMPACT_LINES = 4  # lines from which the scenario's writer compacts its file
 ONCE, ON, KILL = 'once', 'on', 'kill'
 
 
-class Killed(BaseException):  # noqa: N818  it ends a process and is no error of the program
-    """The process ends here."""
+class Killed(BaseException):  # noqa: N818  not an error: ends the simulated process
+    """The process is killed."""
 
 
 @attrs.frozen
 class Point:
-    """Which call, the how-manieth of its kind, and how it fails: ONCE, ON from there on, or KILL.
+    """The n-th call of one kind and how it fails: ONCE, ON (all from it on), or KILL.
 
-    errno: what it fails with; 0 where the process is killed. prefix: bytes that a write still takes before
-    that; None: the call itself fails.
+    errno: the error; 0 where the process is killed. prefix: bytes that a write accepts before the failure;
+    None: the call itself fails.
     """
 
     scenario: str
@@ -45,7 +44,7 @@
     prefix: int | None = None
 
     def rules(self):
-        """The rules that bring it about."""
+        """Yield the rules that inject the fault."""
         first = self.number
         if self.prefix is not None:
             yield CallFault('write', size=self.prefix, first=first, count=1)
@@ -55,7 +54,7 @@
 
 
 class SweepFaults:
-    """What bentfiles asks: the rules of a point, and the sizes of the writes of a run without one."""
+    """The faults of a point, in the form that bentfiles.py consults; also counts calls."""
 
     def __init__(self, rules=()):
         self.calls = CallFaults()
@@ -72,29 +71,29 @@
         return rule.size
 
     @contextlib.contextmanager
-    def beneath(self):
-        """These faults beneath the file calls of this process meanwhile."""
-        held = bentfiles.saved()
+    def injected(self):
+        """Inject these faults into the file calls of this process."""
+        originals = bentfiles.current_functions()
         bentfiles.bend_files(self)
         try:
             yield
         finally:
-            bentfiles.restore(held)
+            bentfiles.restore_functions(originals)
 
 
-class WriterFile:
-    """A writer that starts on a file, shortens it, and puts changes."""
+class WriterScenario:
+    """A writer that opens its file, compacts it, and stores changes."""
 
-    name, most_prefix = 'writer', 100
+    name, max_prefix = 'writer', 100
 
     def __init__(self, folder):
-        self.folder, self.kept, self.unsure = folder, [], []
-        self.limit = mock.patch.object(store, 'LINES', SHORT_FILE)
+        self.folder, self.acknowledged, self.unacknowledged = folder, [], []
+        self.limit = mock.patch.object(store, 'LINES', COMPACT_LINES)
         with self.limit:
-            self.live((1, 2, 3))
+            self.run_lifetime((1, 2, 3))
 
-    def live(self, values):
-        """One life of the writer."""
+    def run_lifetime(self, values):
+        """Run one process lifetime of the writer."""
         opened = store.Store(self.folder)
         try:
             writer = Writer(Replica('w', 'w'), KEYS, opened.keep, opened.lines)
@@ -104,39 +103,43 @@
             opened.close()
 
     def put(self, writer, value):
-        self.unsure.append(value)  # until it is told, as the process may end
+        self.unacknowledged.append(value)  # until acknowledged, since the process may end
         try:
             writer.put('config', [('limit', str(value))], value)
         except NotKeptError as err:
             if 'may come back' not in str(err):
-                self.unsure.remove(value)
+                self.unacknowledged.remove(value)
         else:
-            self.unsure.remove(value)
-            self.kept.append(value)
+            self.unacknowledged.remove(value)
+            self.acknowledged.append(value)
 
     def run(self):
-        """What happens under faults."""
-        with self.limit, contextlib.suppress(BadLine):  # a start that fails says so in one line
-            self.live((4, 5, 6))
+        """Run with faults injected."""
+        with self.limit, contextlib.suppress(BadLine):  # raised by a failing start
+            self.run_lifetime((4, 5, 6))
 
-    def broken(self):
-        """What is wrong with the file afterwards, or None."""
+    def find_damage(self):
+        """Return what is wrong with the file afterwards, or None."""
         with self.limit:
-            self.live((7,))
+            self.run_lifetime((7,))
         shown = self.values(store.read(self.folder))
-        if [value for value in shown if value not in self.unsure] != self.expected(shown):
-            return 'file has %s, told as kept %s, unsure %s' % (shown, self.kept, self.unsure)
+        if [value for value in shown if value not in self.unacknowledged] != self.expected_values(shown):
+            return 'file has %s, acknowledged %s, unacknowledged %s' % (
+                shown,
+                self.acknowledged,
+                self.unacknowledged,
+            )
         return None
 
-    def expected(self, shown):
-        """What was told as kept, less what a shortening, which always keeps the newest, took together."""
-        lost = [value for value in self.kept if value not in shown]
+    def expected_values(self, shown):
+        """Return the acknowledged values, without those that compaction, which keeps the newest, dropped."""
+        lost = [value for value in self.acknowledged if value not in shown]
         whole = not lost or shown and max(lost) < min(shown)
-        return [value for value in self.kept if value not in lost] if whole else self.kept
+        return [value for value in self.acknowledged if value not in lost] if whole else self.acknowledged
 
     @staticmethod
     def values(lines):
-        """The values that a file holds, in order."""
+        """Return the values in a file, in order."""
         found = []
         for line in lines:
             if isinstance(line, Put):
@@ -146,83 +149,83 @@
         return found
 
 
-class VoterFile:
-    """A voter that writes down ever higher bounds."""
+class VoterScenario:
+    """A voter that stores increasing bounds."""
 
-    name, most_prefix = 'voter', 80
+    name, max_prefix = 'voter', 80
 
     def __init__(self, folder):
-        self.folder, self.told, self.most = folder, 1, 1
+        self.folder, self.acknowledged_bound, self.highest = folder, 1, 1
         Book(folder, 'p0').write(1, ['p0'], 1)
 
     def run(self):
-        """What happens under faults."""
+        """Run with faults injected."""
         book = Book(self.folder, 'p0')
         with contextlib.suppress(BadLine):
             book.read()
             for bound in (1_001, 2_001, 3_001):
-                self.most = bound
+                self.highest = bound
                 with contextlib.suppress(OSError):
                     book.write(bound, ['p0'], 1)
-                    self.told = bound
+                    self.acknowledged_bound = bound
 
-    def broken(self):
-        """What is wrong with the file afterwards, or None."""
+    def find_damage(self):
+        """Return what is wrong with the file afterwards, or None."""
         found = Book(self.folder, 'p0').read().bound
-        if not self.told <= found <= self.most:
-            return 'file has %d, told as kept %d' % (found, self.told)
+        if not self.acknowledged_bound <= found <= self.highest:
+            return 'file has %d, acknowledged %d' % (found, self.acknowledged_bound)
         return None
 
 
-SCENARIOS = {kind.name: kind for kind in (WriterFile, VoterFile)}
+SCENARIOS = {kind.name: kind for kind in (WriterScenario, VoterScenario)}
 
 
 def play(point):
-    """Play a scenario with a point's fault; what is broken, or None."""
+    """Play a scenario with a point's fault; return what is wrong, or None."""
     with tempfile.TemporaryDirectory() as folder:
         made = SCENARIOS[point.scenario](folder)
         try:
-            with SweepFaults(point.rules()).beneath():
+            with SweepFaults(point.rules()).injected():
                 made.run()
         except Killed:
             pass
         except Exception as err:
             return 'raised %s: %s' % (type(err).__name__, str(err).replace(folder, ''))
         try:
-            return made.broken()
+            return made.find_damage()
         except (BadLine, OSError) as err:
             return 'cannot be read again: %s' % str(err).replace(folder, '')
 
 
-def counted(scenario):
-    """How many calls of each kind a run without faults makes."""
+def count_calls(scenario):
+    """Return the number of calls by kind in a run without faults."""
     with tempfile.TemporaryDirectory() as folder:
         made, faults = SCENARIOS[scenario](folder), SweepFaults()
-        with faults.beneath():
+        with faults.injected():
             made.run()
     return {call: faults.calls.made[call] for call in FILE_CALLS if faults.calls.made[call]}
 
 
 def points(scenario, every=1):
-    """All points of a scenario; every: only each so-manieth prefix of a write."""
-    for call, most in counted(scenario).items():
-        for number in range(1, most + 1):
+    """Yield all points of a scenario, with every `every`-th prefix of a write."""
+    for call, count in count_calls(scenario).items():
+        for number in range(1, count + 1):
             yield Point(scenario, call, number, 0, KILL)
             for error in ERRNOS[call]:
                 yield Point(scenario, call, number, error, ONCE)
                 yield Point(scenario, call, number, error, ON)
             if call == 'write':
-                for prefix in range(1, SCENARIOS[scenario].most_prefix, every):
+                for prefix in range(1, SCENARIOS[scenario].max_prefix, every):
                     yield Point(scenario, call, number, 0, KILL, prefix)
                     yield Point(scenario, call, number, ERRNOS[call][0], ONCE, prefix)
 
 
 def sweep(scenario, every=1):
-    """Play all points: (how many, [(point, what is broken)])."""
+    """Play all points; return (number of points, [(point, what is wrong)])."""
     found, count = [], 0
     for point in points(scenario, every):
         count += 1
-        wrong = play(point)
-        if wrong is not None:
-            found.append((point, wrong))
+        damage = play(point)
+        if damage is not None:
+            found.append((point, damage))
     return count, found
