--- a/lilacdyke/lab/callfaults.py
+++ b/lilacdyke/lab/callfaults.py
@@ -1,15 +1,14 @@
-"""Calls to the operating system that fail for a while: which call, which time, and how.
+"""Injected failures of system calls: which call fails, when, and how.
 
-Owns the rules and the counting of calls. The simulated network (network.py) and, beneath a real process's
-libraries, trial/shim.py ask it before each call. Must never import anything that reads a clock or opens a
-socket: the shim is loaded before such a library is.
+The simulated network (network.py) and, in real processes, trial/shim.py consult these rules before each call.
+Imports nothing that reads a clock or opens a socket, since the shim is loaded before such libraries.
 """
 
 import errno
 from collections import Counter
 
-# What the Linux man pages name for calls that otherwise would have succeeded; for accept(2) also the pending
-# network errors that it passes on. EINTR is left out where the interpreter itself calls again (PEP 475).
+# Errors that the Linux man pages document for each call; for accept(2) also the pending network errors that
+# it passes on. EINTR is left out where the interpreter retries by itself (PEP 475).
 ERRNOS = {
     'accept': (
         *(errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO),
@@ -50,11 +49,11 @@
 
 
 class CallFault:
-    """One rule: the calls of one kind that fail, from the first-th on since the rule was set.
+    """A rule that makes calls of one kind fail.
 
-    call: a key of ERRNOS. errno: what it fails with; 0: it does not. count: so many calls; None: all.
-    until: by the caller's clock; None: no end. size: at most so many bytes are taken or given; None: all.
-    kill: the process is killed there instead.
+    call: a key of ERRNOS. errno: the error; 0: none. first: the first call affected, counted from 1 since the
+    rule was set. count: how many calls are affected; None: all. until: end by the caller's clock; None: no
+    end. size: the largest number of bytes moved; None: all. kill: the process is killed instead.
     """
 
     __slots__ = ('call', 'errno', 'first', 'count', 'until', 'size', 'kill', 'seen')
@@ -64,7 +63,7 @@
         self.until, self.size, self.kill, self.seen = until, size, kill, 0
 
     def meets(self, now):
-        """Whether one more call, made now, is one that it is about."""
+        """Count a call made now and return whether the rule applies to it."""
         self.seen += 1
         if self.seen < self.first or self.until is not None and now >= self.until:
             return False
@@ -72,46 +71,46 @@
 
 
 class CallFaults:
-    """The rules of one process, and how many calls of each kind it has made."""
+    """The rules of one process, and its number of calls by kind."""
 
     def __init__(self, clock=lambda: 0):
         self.clock, self.rules, self.made = clock, (), Counter()
         self.failed = Counter()  # by (call, errno)
 
     def put(self, rules):
-        """These rules from now on, and no others."""
+        """Replace all rules."""
         self.rules = tuple(rules)
 
     def add(self, rule):
-        """One more."""
+        """Add a rule."""
         self.rules += (rule,)
 
     def remove(self, rule):
-        """One less."""
+        """Remove a rule."""
         self.rules = tuple(other for other in self.rules if other is not rule)
 
     def check(self, call):
-        """One more call of this kind is made: the rule that it meets, or None."""
+        """Count a call of this kind and return the rule that applies, or None."""
         self.made[call] += 1
-        met = None
+        matched = None
         for rule in self.rules:
             if rule.call == call and rule.meets(self.clock()):
-                met = met or rule
-        if met is not None and met.errno:
-            self.failed[call, met.errno] += 1
-        return met
+                matched = matched or rule
+        if matched is not None and matched.errno:
+            self.failed[call, matched.errno] += 1
+        return matched
 
     def raise_for(self, call):
-        """The same, where no size matters: raises the OSError that the call fails with."""
-        met = self.check(call)
-        if met is not None and met.errno:
-            raise OSError(met.errno, 'injected')
+        """Count a call of this kind and raise OSError if it is to fail."""
+        matched = self.check(call)
+        if matched is not None and matched.errno:
+            raise OSError(matched.errno, 'injected')
 
 
-def parsed(tree, clock):
-    """A rule of plain values, whose `for_s` counts from now."""
+def parsed(values, clock):
+    """Build a rule from plain values; `for_s` counts from now."""
     fields = {
-        name: tree[name] for name in ('call', 'errno', 'first', 'count', 'size', 'kill') if name in tree
+        name: values[name] for name in ('call', 'errno', 'first', 'count', 'size', 'kill') if name in values
     }
-    span = tree.get('for_s')
+    span = values.get('for_s')
     return CallFault(until=None if span is None else clock() + span, **fields)
--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -1,9 +1,8 @@
-"""The sweep of calls: one short fixed scenario of a node, again and again, each time with the n-th call of
-one kind failing, once or from there on for a second, or with the wall clock stepped at the n-th reading.
+"""Sweep of system call failures: plays one short scenario of a node repeatedly, each time with the n-th call
+of one kind failing, once or for a second, or with the wall clock stepped at its n-th reading.
 
-Owns the scenario, the points and how a run is judged, in the manner of SQLite's tests of I/O errors. A run
-that fails is told by its point alone. Must never excuse more of a run than the connections that a failed call
-ends by its own man page.
+Similar to SQLite's I/O error tests. A failing run is identified by its point alone. The only violations
+excused are those that the failed call causes by its man page.
 """
 
 import errno
@@ -17,23 +16,24 @@
 from .judges import GUARD_PREFIX, judge
 from .scenario import Caches, Clients, Event, Kind, Limits, Load, Origin, Rules, Scenario, check
 
-ONCE, ON = 'once', 'on'  # how a call fails: that one, or all from there on for a second
-ON_FOR = 1_000_000  # microseconds
+ONCE, ON = 'once', 'on'  # how calls fail: only the n-th, or all from it on for FAIL_FOR
+FAIL_FOR = 1_000_000  # microseconds
 STEPS_S = (-3_600.0, -3.0, 3.0, 3_600.0)
 WALL = 'wall'
 NODE = 'n0'
 SEED = 1
-# What ends a connection by its man page, whoever asks: the client sees its connection end, which is no fault
-# of the node's. All rules on what is sent hold all the same.
-ENDS_CONNECTION = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE))
-NEEDED = frozenset(('accept', 'recv', 'send'))  # calls without which nobody can be answered
-LATE_AFTER = 1_500_000  # microseconds after such a second, a longest limit and a little, in which that shows
-PLAYED = tuple(call for call in SOCKET_CALLS if call not in ('epoll_ctl', 'epoll_wait', 'close'))
+# Errors that end a connection by the man page: the client is disconnected through no fault of the node. All
+# rules on what is sent still apply.
+DISCONNECT_ERRNOS = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.EPIPE))
+NEEDED = frozenset(('accept', 'recv', 'send'))  # calls without which no client can be answered
+# Microseconds after the failing second in which late answers are excused: the longest limit and a margin.
+LATE_TOLERANCE = 1_500_000
+SWEPT_CALLS = tuple(call for call in SOCKET_CALLS if call not in ('epoll_ctl', 'epoll_wait', 'close'))
 
 
 @attrs.frozen
 class Point:
-    """The how-manieth call of a kind, or reading of the wall clock; what it fails with, or is stepped by."""
+    """The number of a call of one kind with its error, or of a reading of the wall clock with its step."""
 
     call: str
     number: int
@@ -43,8 +43,8 @@
 
 
 def scenario():
-    """Serve, copies to a slow server, large bodies either way, changes of the list, a drain, SIGHUP, and
-    SIGTERM at the end."""
+    """Return a scenario with hedges of a slow server, large bodies in both directions, list changes, a drain,
+    SIGHUP, and SIGTERM at the end."""
     read, note = draw.profiles('aside', draw.Random('sweep'))[:2]
     made = Scenario(
         name='call-sweep',
@@ -72,21 +72,21 @@
     return check(made)
 
 
-def bent(point, seen=None):
-    """A patch that brings a point about in a run. seen: filled with the counts of calls, if given."""
+def inject(point, seen=None):
+    """Return a patch that injects a point's fault into a run; `seen`, if given, receives the call counts."""
 
     def patch(ground_):
-        usual = ground_.start_node
+        original = ground_.start_node
 
         def start_node(place, text):
-            running = usual(place, text)
+            running = original(place, text)
             calls = running.process.calls = CallFaults(ground_.clock)
             if seen is not None:
                 seen.update(calls=calls.made, machine=running.system)
             if point is not None and point.call == WALL:
-                running.system.wall_read = step_at(running.reactor, point)
+                running.system.wall_read = step_on_reading(running.reactor, point)
             elif point is not None:
-                rule = rule_of(point, ground_.clock)
+                rule = build_rule(point, ground_.clock)
                 calls.add(rule)
                 if seen is not None:
                     seen['rule'] = rule
@@ -97,8 +97,8 @@
     return patch
 
 
-def step_at(reactor, point):
-    """What steps a process's wall clock at one reading of it."""
+def step_on_reading(reactor, point):
+    """Return a function that steps a process's wall clock at the point's reading."""
 
     def read(number):
         if number == point.number:
@@ -107,15 +107,15 @@
     return read
 
 
-def rule_of(point, clock):
-    """The rule of a point: once, or from the call on for a second."""
+def build_rule(point, clock):
+    """Return the rule of a point."""
     if point.how == ONCE:
         return CallFault(point.call, point.errno, first=point.number, count=1)
-    return FromThereOn(point, clock)
+    return FailingInterval(point, clock)
 
 
-class FromThereOn(CallFault):
-    """Calls fail for a second from the n-th on."""
+class FailingInterval(CallFault):
+    """A rule that makes calls fail for FAIL_FOR from the n-th on."""
 
     __slots__ = ('clock',)
 
@@ -125,43 +125,43 @@
 
     def meets(self, now):
         if self.seen + 1 == self.first:
-            self.until = now + ON_FOR
+            self.until = now + FAIL_FOR
         return super().meets(now)
 
 
-def excused(point, rule, broken):
-    """Whether a breach is what the failed call itself does: it ended connections, or for a second nobody
-    could be let in, heard or told anything."""
+def is_excused(point, rule, broken):
+    """Return whether a violation follows from the failed call itself: it ended connections, or for a second
+    no client could be accepted, read from or written to."""
     if broken.rule == 'faults' and GUARD_PREFIX in broken.text and 'late' in broken.text:
         return point.how == ON and point.call in NEEDED
     if broken.rule != 'answered':
         return False
     if 'its connection ended' in broken.text:
-        return point.errno in ENDS_CONNECTION
+        return point.errno in DISCONNECT_ERRNOS
     late = any(words in broken.text for words in ('late', 'never answered', 'while a server gave'))
-    met = rule is not None and rule.until is not None and broken.when <= rule.until + LATE_AFTER
-    return late and point.how == ON and point.call in NEEDED and met
+    recent = rule is not None and rule.until is not None and broken.when <= rule.until + LATE_TOLERANCE
+    return late and point.how == ON and point.call in NEEDED and recent
 
 
 def play(point):
-    """Play the scenario with a point's fault; the breaches that nothing excuses, as text."""
+    """Play the scenario with a point's fault; return the violations that are not excused, as text."""
     made, seen = scenario(), {}
-    stage = ground.play(made, SEED, bent(point, seen))
+    stage = ground.play(made, SEED, inject(point, seen))
     found = judge(made, stage.witness.rows)
-    return [repr(broken) for broken in found if not excused(point, seen.get('rule'), broken)]
+    return [repr(broken) for broken in found if not is_excused(point, seen.get('rule'), broken)]
 
 
-def counted():
-    """How many calls of each kind, and readings of the wall clock, a run without faults makes."""
+def count_calls():
+    """Return the number of calls by kind, and of wall clock readings, in a run without faults."""
     seen = {}
-    ground.play(scenario(), SEED, bent(None, seen))
-    found = {call: seen['calls'][call] for call in PLAYED if seen['calls'][call]}
+    ground.play(scenario(), SEED, inject(None, seen))
+    found = {call: seen['calls'][call] for call in SWEPT_CALLS if seen['calls'][call]}
     return {**found, WALL: seen['machine'].wall_readings}
 
 
 def points(every=1):
-    """All points; every: only each so-manieth call of a kind."""
-    for call, most in counted().items():
+    """Yield the points of every `every`-th call of each kind."""
+    for call, most in count_calls().items():
         for number in range(1, most + 1, every):
             if call == WALL:
                 yield from (Point(call, number, step_s=step) for step in STEPS_S)
@@ -172,7 +172,7 @@
 
 
 def sweep(every=1, jobs=0):
-    """Play all points; (how many, [(point, breaches)])."""
+    """Play all points; return (number of points, [(point, violations)])."""
     given = list(points(every))
     with ProcessPoolExecutor(runs.cores(jobs), initializer=runs.deaf) as pool:
         found = list(zip(given, pool.map(play, given, chunksize=8), strict=True))
