--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -174,6 +174,6 @@
 def sweep(every=1, jobs=0):
     """Play all points; return (number of points, [(point, violations)])."""
     given = list(points(every))
-    with ProcessPoolExecutor(runs.cores(jobs), initializer=runs.deaf) as pool:
+    with ProcessPoolExecutor(runs.cores(jobs), initializer=runs.ignore_sigint) as pool:
         found = list(zip(given, pool.map(play, given, chunksize=8), strict=True))
     return len(given), [(point, broken) for point, broken in found if broken]
--- a/lilacdyke/lab/explore.py
+++ b/lilacdyke/lab/explore.py
@@ -1,7 +1,4 @@
-"""Explores: many random scenarios, judged; what fails is shrunk and written as a scenario.
-
-Owns the loop over seeds and what it prints at its end. Must never call a run good that was not judged.
-"""
+"""Plays many random scenarios and checks them; failing ones are minimized and written as scenario files."""
 
 from pathlib import Path
 
@@ -11,13 +8,13 @@
 
 
 class Tally:
-    """What an exploration has come to."""
+    """The results of an exploration so far."""
 
     def __init__(self):
         self.runs, self.transactions, self.broken, self.crashed, self.worst = 0, 0, [], [], (2.0, None)
 
     def add(self, seed, outcome):
-        """One more run."""
+        """Add the outcome, or the exception, of one run."""
         self.runs += 1
         if isinstance(outcome, Exception):
             self.crashed.append((seed, '%s: %s' % (type(outcome).__name__, outcome)))
@@ -28,40 +25,45 @@
             self.broken.append((seed, outcome.broken))
 
 
-def explore(first, count, jobs, told, kinds=None, most=4, patch=None, drawn=draw.scenario):
-    """Play so many seeds from the first on; told(tally) after each. (Tally, whether it went to its end)."""
+def explore(first, count, jobs, on_progress, kinds=None, most=4, patch=None, drawn=draw.scenario):
+    """Play `count` seeds from `first` on and call back with the tally after each.
+
+    Return (tally, whether all were played).
+    """
     tally = Tally()
     seeds = list(range(first, first + count))
     tasks = [(scenarios.write(drawn(seed, kinds, most)), seed, patch) for seed in seeds]
 
-    def each(index, outcome):
+    def add_outcome(index, outcome):
         tally.add(seeds[index], outcome)
-        told(tally)
+        on_progress(tally)
 
-    whole = runs.many(tasks, jobs, each)
+    complete = runs.many(tasks, jobs, add_outcome)
     tally.broken.sort(key=lambda pair: pair[0])
-    return tally, whole
+    return tally, complete
 
 
 def minimal(seed, rule, tries, kinds=None, most=4, patch=None, drawn=draw.scenario):
-    """The small scenario that a failing seed comes down to, breaking the same rule; and how many runs that
-    took."""
+    """Minimize the scenario of a failing seed so that it still violates the rule; return it and the number of
+    runs that this took."""
 
-    def fails(candidate):
+    def still_fails(candidate):
         try:
             scenarios.check(candidate)
             return any(
-                found[0] == rule
-                for found in runs.one(candidate, candidate.seed, runs.found(patch), hashed=False).broken
+                violation[0] == rule
+                for violation in runs.one(
+                    candidate, candidate.seed, runs.patch_function(patch), hashed=False
+                ).broken
             )
         except scenarios.BadScenario:
             return False
 
-    return shrink(drawn(seed, kinds, most), fails, tries)
+    return shrink(drawn(seed, kinds, most), still_fails, tries)
 
 
 def write(folder, small, rule):
-    """Keep it as a scenario that reproduces the breach; its path."""
+    """Write the scenario that reproduces the violation; return its path."""
     Path(folder).mkdir(parents=True, exist_ok=True)
     path = Path(folder) / ('%s-%s.toml' % (rule, small.name))
     path.write_text(scenarios.write(small), encoding='utf-8')
--- a/lilacdyke/lab/hunt.py
+++ b/lilacdyke/lab/hunt.py
@@ -1,6 +1,6 @@
-"""Hunts mutants: each is played with one seed after the other until a judge says that a rule is broken.
+"""Plays each mutant with successive seeds until a check reports a violation.
 
-Owns the order of seeds and what counts as caught. Must never tell a judge that it looks at a mutant.
+The checks do not know that they look at a mutant.
 """
 
 import time
@@ -10,8 +10,8 @@
 from .mutants import MUTANTS
 
 
-class Caught:
-    """How a mutant was found: by which rule, with which seed, after how many runs and seconds."""
+class Detection:
+    """How a mutant was detected: the rule and its text, the seed, and the number of runs and seconds."""
 
     __slots__ = ('rule', 'seed', 'runs', 'seconds', 'text')
 
@@ -19,31 +19,31 @@
         self.rule, self.seed, self.runs, self.seconds, self.text = rule, seed, count, seconds, text
 
 
-def one(name, seeds):
-    """Hunt one; a Caught or None."""
-    mutant, begun = MUTANTS[name], time.perf_counter()
+def hunt_one(name, seeds):
+    """Play one mutant; return how it was detected, or None."""
+    mutant, started = MUTANTS[name], time.perf_counter()
     for seed in range(seeds):
         given = mutant.scenario(seed)
         outcome = runs.one(given, seed, mutant.apply, hashed=False)
         if (
             outcome.broken and not runs.one(given, seed, hashed=False).broken
-        ):  # the sound node must pass there
+        ):  # the correct node must pass with this seed
             rule, _, text = outcome.broken[0]
-            return Caught(rule, seed, seed + 1, time.perf_counter() - begun, text)
+            return Detection(rule, seed, seed + 1, time.perf_counter() - started, text)
     return None
 
 
-def hunt(names, seeds, jobs, told):
-    """Hunt all; {name: Caught or None}. Those that were done before an interrupt are in it."""
-    caught = {}
-    pool = ProcessPoolExecutor(jobs, initializer=runs.deaf)
+def hunt(names, seeds, jobs, on_progress):
+    """Play all mutants; return {name: detection or None} of those that were done before any interrupt."""
+    detections = {}
+    pool = ProcessPoolExecutor(jobs, initializer=runs.ignore_sigint)
     try:
-        futures = {pool.submit(one, name, seeds): name for name in names}
+        futures = {pool.submit(hunt_one, name, seeds): name for name in names}
         for done in as_completed(futures):
-            caught[futures[done]] = done.result()
-            told(len(caught))
+            detections[futures[done]] = done.result()
+            on_progress(len(detections))
     except KeyboardInterrupt:
         runs.let_go(pool)
     finally:
         pool.shutdown(wait=False, cancel_futures=True)
-    return {name: caught[name] for name in names if name in caught}
+    return {name: detections[name] for name in names if name in detections}
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -1,7 +1,6 @@
-"""Runs: one scenario played and judged, and many of them over the machine's cores.
+"""Plays and checks scenarios: a single run, or many in a pool of worker processes.
 
-Owns what a run's outcome is, and the pool of workers. Must never let one run's end take the others' results
-with it.
+A run that fails does not affect the results of the others.
 """
 
 import gc
@@ -20,7 +19,7 @@
 
 
 class Outcome:
-    """What came of one run. broken: [(rule, microseconds, text)]; wall: seconds that it took here."""
+    """The outcome of one run. broken: violations as (rule, microseconds, text); wall: real seconds taken."""
 
     __slots__ = ('name', 'seed', 'figures', 'broken', 'hash', 'wall', 'rows', 'events')
 
@@ -29,40 +28,42 @@
             setattr(self, name, given.get(name))
 
     def plain(self):
-        """As nested plain values, without rows."""
+        """Return the outcome as plain values, without rows."""
         return {name: getattr(self, name) for name in self.__slots__ if name != 'rows'}
 
 
 def one(scenario, seed=None, patch=None, rows=False, hashed=True, progress=None):
-    """Play and judge one scenario."""
+    """Play and check one scenario."""
     seed = scenario.seed if seed is None else seed
-    begun = time.perf_counter()
-    gc.disable()  # a run makes few cycles, and many objects that stay until its end
+    started = time.perf_counter()
+    gc.disable()  # a run makes few cycles but many long-lived objects
     try:
         stage = ground.play(scenario, seed, patch, progress)
     finally:
         gc.enable()
-    seen = stage.witness.rows
-    wall = time.perf_counter() - begun
+    recorded_rows = stage.witness.rows
+    wall = time.perf_counter() - started
     return Outcome(
         name=scenario.name,
         seed=seed,
-        figures=figures(scenario, seen),
-        broken=[(found.rule, found.when, found.text) for found in judge(scenario, seen)],
-        hash=digest(seen) if hashed else '',
+        figures=figures(scenario, recorded_rows),
+        broken=[
+            (violation.rule, violation.when, violation.text) for violation in judge(scenario, recorded_rows)
+        ],
+        hash=digest(recorded_rows) if hashed else '',
         wall=wall,
-        rows=seen if rows else None,
+        rows=recorded_rows if rows else None,
         events=stage.ground.world.done,
     )
 
 
-def task(text, seed, patch):
-    """One run in a worker. text: TOML; patch: (module, name) of a patch to apply, or None."""
-    return one(scenarios.read(text), seed, found(patch), hashed=False)
+def play_task(text, seed, patch):
+    """Play one run in a worker. text: the scenario as TOML; patch: (kind, name) of a patch, or None."""
+    return one(scenarios.read(text), seed, patch_function(patch), hashed=False)
 
 
-def found(patch):
-    """A patch by the name it goes by: ('mutant' or 'baseline', name)."""
+def patch_function(patch):
+    """Return the function that applies a patch, given as ('mutant' or 'baseline', name)."""
     if patch is None:
         return None
     from . import baselines, mutants
@@ -70,27 +71,29 @@
     return {'mutant': mutants.MUTANTS, 'baseline': baselines.BASELINES}[patch[0]][patch[1]].apply
 
 
-def many(tasks, jobs, each):
-    """Play (text, seed, patch) tasks on so many processes; each(index, outcome or exception) as they end.
-    False if interrupted: what had ended is with the caller already."""
+def many(tasks, jobs, on_outcome):
+    """Play (text, seed, patch) tasks in `jobs` processes; return False if interrupted.
+
+    Calls on_outcome(index, outcome or exception) as each ends.
+    """
     if jobs == 1:
         for index, given in enumerate(tasks):
             try:
-                each(index, task(*given))
+                on_outcome(index, play_task(*given))
             except KeyboardInterrupt:
                 return False
             except Exception as err:
-                each(index, err)
+                on_outcome(index, err)
         return True
-    pool = ProcessPoolExecutor(jobs, initializer=deaf)
+    pool = ProcessPoolExecutor(jobs, initializer=ignore_sigint)
     try:
-        numbers = {pool.submit(task, *given): index for index, given in enumerate(tasks)}
+        numbers = {pool.submit(play_task, *given): index for index, given in enumerate(tasks)}
         for done in as_completed(numbers):
             try:
                 outcome = done.result()
             except Exception as err:
                 outcome = err
-            each(numbers[done], outcome)
+            on_outcome(numbers[done], outcome)
         return True
     except KeyboardInterrupt:
         let_go(pool)
@@ -100,17 +103,17 @@
 
 
 def let_go(pool):
-    """Somebody is waiting for the end: runs under way are dropped."""
+    """Terminate the workers, with the runs in progress."""
     pool.shutdown(wait=False, cancel_futures=True)
     for process in multiprocessing.active_children():
         process.terminate()
 
 
-def deaf():
-    """Ctrl-C is for the process that a person started: it lets the workers go."""
+def ignore_sigint():
+    """Ignore SIGINT in a worker; the main process terminates the workers on Ctrl-C."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 def cores(asked):
-    """How many processes: as asked, or one for each core."""
+    """Return the number of processes: as given, or one per core."""
     return asked or len(os.sched_getaffinity(0)) if sys.platform == 'linux' else asked or os.cpu_count() or 1
--- a/lilacdyke/lab/worker.py
+++ b/lilacdyke/lab/worker.py
@@ -1,7 +1,5 @@
-"""One run in a process of its own, for trees other than this one: a task as JSON on standard input, its
-outcome as JSON on standard output.
-
-Owns nothing else. Must never print anything but that one line.
+"""Plays one run of another tree in a separate process: reads a task as JSON from standard input and prints
+its outcome as one line of JSON.
 """
 
 import json
@@ -13,7 +11,7 @@
 def main():
     """Play the task {text, seed, patch}."""
     given = json.load(sys.stdin)
-    outcome = runs.task(given['text'], given['seed'], given.get('patch'))
+    outcome = runs.play_task(given['text'], given['seed'], given.get('patch'))
     print(json.dumps(outcome.plain()))
 
 
