--- a/lilacdyke/lab/compare.py
+++ b/lilacdyke/lab/compare.py
@@ -1,7 +1,7 @@
-"""Compares: this tree beside an earlier commit or a baseline, on the same scenarios and seeds.
+"""Compares this tree with an earlier commit or a baseline on the same scenarios and seeds.
 
-Owns the other tree (made anew in a temporary folder, gone at the end) and the statistics of pairs. Both sides
-are played by this tree's lab. Must never write into the repository.
+The other tree is checked out into a temporary folder and removed at the end; the repository is not written
+to. This tree's lab plays both sides.
 """
 
 import io
@@ -18,16 +18,16 @@
 from .baselines import BASELINES
 
 ROOT = Path(__file__).resolve().parents[2]
-DRAWS = 4_000  # of the bootstrap
+BOOTSTRAP_SAMPLES = 4_000  # bootstrap samples
 
 
 class CannotCompare(Exception):
-    """There is nothing to compare with; one line says why."""
+    """Raised with a one-line reason if the other side cannot be played."""
 
 
 class Row:
-    """What one scenario came to: mean G on either side, the mean difference and its interval, breaches of
-    either."""
+    """The result of one scenario: mean G of either side, their mean difference with its interval, and runs
+    with violations by side."""
 
     __slots__ = ('name', 'pairs', 'here', 'there', 'mean', 'interval', 'broken')
 
@@ -39,28 +39,28 @@
 
 
 def interval(differences):
-    """The mean of paired differences and its 95 % bootstrap interval, from a fixed seed."""
+    """Return the mean of paired differences and its 95 % bootstrap interval, with a fixed seed."""
     import numpy
 
     if not differences:
         return 0.0, (0.0, 0.0)
     values = numpy.array(differences)
-    drawn = numpy.random.default_rng(1).choice(values, (DRAWS, len(values))).mean(axis=1)
-    low, high = numpy.quantile(drawn, (0.025, 0.975))
+    samples = numpy.random.default_rng(1).choice(values, (BOOTSTRAP_SAMPLES, len(values))).mean(axis=1)
+    low, high = numpy.quantile(samples, (0.025, 0.975))
     return float(values.mean()), (float(low), float(high))
 
 
-def git(*words):
-    """Ask git of this repository; bytes."""
-    done = subprocess.run(('git', '-C', str(ROOT)) + words, capture_output=True, check=False)
+def git(*args):
+    """Run git in this repository and return its output as bytes."""
+    done = subprocess.run(('git', '-C', str(ROOT)) + args, capture_output=True, check=False)
     if done.returncode:
-        raise CannotCompare('git %s: %s' % (words[0], done.stderr.decode().strip().split('\n')[0]))
+        raise CannotCompare('git %s: %s' % (args[0], done.stderr.decode().strip().split('\n')[0]))
     return done.stdout
 
 
 def other_tree(ref, folder):
-    """Lay out the package of a commit, with this tree's lab over it; what of it is the commit's own, in
-    words."""
+    """Extract the package of a commit with this tree's lab over it; return the commit and which part of the
+    code is the commit's own."""
     try:
         commit = git('rev-parse', '--verify', '--quiet', ref + '^{commit}').decode().strip()
     except CannotCompare:
@@ -69,29 +69,34 @@
         ) from None
     with tarfile.open(fileobj=io.BytesIO(git('archive', commit, 'lilacdyke'))) as archive:
         archive.extractall(folder, filter='data')
-    made = Path(folder) / 'lilacdyke'
-    if (made / 'net' / 'system.py').exists():
+    package = Path(folder) / 'lilacdyke'
+    if (package / 'net' / 'system.py').exists():
         what = 'node and module'
-        shutil.rmtree(made / 'lab', ignore_errors=True)
-        if not (made / 'plan' / 'fleet.py').exists():  # from before planners; the lab knows of them
-            shutil.rmtree(made / 'plan', ignore_errors=True)
+        shutil.rmtree(package / 'lab', ignore_errors=True)
+        if not (package / 'plan' / 'fleet.py').exists():  # from before planners, which the lab imports
+            shutil.rmtree(package / 'plan', ignore_errors=True)
             shutil.copytree(
-                ROOT / 'lilacdyke' / 'plan', made / 'plan', ignore=shutil.ignore_patterns('__pycache__')
+                ROOT / 'lilacdyke' / 'plan', package / 'plan', ignore=shutil.ignore_patterns('__pycache__')
             )
     else:
-        # Before the lab's seam was there: the commit's decisions, in this tree's node.
-        what, kept = 'module alone', {name: (made / name).read_bytes() for name in ('logic.py', 'terms.py')}
-        shutil.rmtree(made)
-        shutil.copytree(ROOT / 'lilacdyke', made, ignore=shutil.ignore_patterns('__pycache__', 'lab'))
+        # From before net/system.py: the commit's decisions run in this tree's node.
+        what, kept = (
+            'module alone',
+            {name: (package / name).read_bytes() for name in ('logic.py', 'terms.py')},
+        )
+        shutil.rmtree(package)
+        shutil.copytree(ROOT / 'lilacdyke', package, ignore=shutil.ignore_patterns('__pycache__', 'lab'))
         for name, data in kept.items():
-            (made / name).write_bytes(data)
-    shutil.copytree(ROOT / 'lilacdyke' / 'lab', made / 'lab', ignore=shutil.ignore_patterns('__pycache__'))
+            (package / name).write_bytes(data)
+    shutil.copytree(ROOT / 'lilacdyke' / 'lab', package / 'lab', ignore=shutil.ignore_patterns('__pycache__'))
     return '%s (%s)' % (commit[:8], what)
 
 
-def played(root, text, seed, patch):
-    """One run in the tree at that root; its outcome as plain values, or None if it could not be played
-    there."""
+def play_in_tree(root, text, seed, patch):
+    """Play one run in the tree at `root` and return its outcome as plain values.
+
+    Raise CannotCompare if the run fails there.
+    """
     done = subprocess.run(
         (sys.executable, '-m', 'lilacdyke.lab.worker'),
         cwd=root,
@@ -105,8 +110,8 @@
     return json.loads(done.stdout)
 
 
-def compare(given, against, seeds, jobs, told):
-    """Play all pairs: (rows, what it was compared with, whether all were played)."""
+def compare(given, against, seeds, jobs, on_progress):
+    """Play all pairs; return (rows, description of the other side, whether all were played)."""
     with tempfile.TemporaryDirectory() as folder:
         if against in BASELINES:
             there, patch, about = (
@@ -117,30 +122,34 @@
         else:
             there, patch, about = folder, None, other_tree(against, folder)
         tasks = {
-            (index, seed, side): (root, scenarios.write(scenario), seed, mine)
+            (index, seed, side): (root, scenarios.write(scenario), seed, side_patch)
             for index, scenario in enumerate(given)
             for seed in range(1, seeds + 1)
-            for side, root, mine in ((0, str(ROOT), None), (1, there, patch))
+            for side, root, side_patch in ((0, str(ROOT), None), (1, there, patch))
         }
-        ended, whole = {}, True
+        outcomes, complete = {}, True
         with ThreadPoolExecutor(jobs) as pool:
-            numbers = {pool.submit(played, *task): key for key, task in tasks.items()}
+            numbers = {pool.submit(play_in_tree, *task): key for key, task in tasks.items()}
             try:
                 for done in as_completed(numbers):
-                    ended[numbers[done]] = done.result()
-                    told(len(ended))
+                    outcomes[numbers[done]] = done.result()
+                    on_progress(len(outcomes))
             except KeyboardInterrupt:
-                whole = False
+                complete = False
                 pool.shutdown(wait=False, cancel_futures=True)
-    return [row(scenario.name, index, seeds, ended) for index, scenario in enumerate(given)], about, whole
+    return (
+        [row(scenario.name, index, seeds, outcomes) for index, scenario in enumerate(given)],
+        about,
+        complete,
+    )
 
 
-def row(name, index, seeds, ended):
-    """The pairs of one scenario that were both played."""
+def row(name, index, seeds, outcomes):
+    """Return the Row of one scenario, from the pairs of which both runs were played."""
     pairs = [
-        (ended[index, seed, 0], ended[index, seed, 1])
+        (outcomes[index, seed, 0], outcomes[index, seed, 1])
         for seed in range(1, seeds + 1)
-        if (index, seed, 0) in ended and (index, seed, 1) in ended
+        if (index, seed, 0) in outcomes and (index, seed, 1) in outcomes
     ]
     broken = tuple(sum(bool(pair[side]['broken']) for pair in pairs) for side in (0, 1))
     return Row(
