--- a/lilacdyke/lab/eyes.py
+++ b/lilacdyke/lab/eyes.py
@@ -1,30 +1,31 @@
-"""Looks at what forwarders see of servers and at the words that act there, in a simulated process or in a
-real one.
+"""Records what forwarders observe of servers and the fleet verdicts in effect there, in simulated or real
+processes.
 
-Owns the two rows that judges of verdicts read. Must never change what it looks at.
+Provides the rows 'seen' and 'word', which the checks of verdicts (held.py) read, without changing behaviour.
 """
 
 from ..known import NO_WORD
 
 
 def open_up(put, see):
-    """Have seen: see('seen', node, server, how, lasted, quick) as a hop ends that says something;
-    see('word', node, server, least, most, wait, left, kind) as a word begins to act on a server, changes
-    or ends, with the kind it came of; times in microseconds of the node's clock. put(owner, name, value):
-    swaps a method."""
+    """Record observations by patching View.
+
+    Calls see('seen', node, server, how, lasted, quick) when a hop with a meaningful result ends, and
+    see('word', node, server, least, most, wait, left, kind) when a verdict takes effect on a server, changes
+    or ends. Times are in microseconds of the node's clock. put(owner, name, value) replaces a method.
+    """
     from ..plan.view import View
 
     saw, look = View.saw, View.look
 
-    def noting(self, now, ident, said, lasted, quick):
+    def record_observation(self, now, ident, said, lasted, quick):
         see('seen', self.node.place.name, ident[0], said, lasted * 100, quick)
         saw(self, now, ident, said, lasted, quick)
 
-    def looking(self, now):
+    def record_verdicts(self, now):
         before = {server: server.word for server in self.node.router.known.values()}
         look(self, now)
-        # Those that end first: they all change in one call, though their rows are written one after the
-        # other.
+        # All change in one call, but the rows are written one by one: verdicts that end come first.
         for server in sorted(
             self.node.router.known.values(), key=lambda server: server.word[2] < 1 or server.word[3] > 0
         ):
@@ -42,5 +43,5 @@
                     self.words.get(server.name, ('',))[0],
                 )
 
-    put(View, 'saw', noting)
-    put(View, 'look', looking)
+    put(View, 'saw', record_observation)
+    put(View, 'look', record_verdicts)
