--- a/lilacdyke/lab/report.py
+++ b/lilacdyke/lab/report.py
@@ -1,7 +1,6 @@
-"""A static page from records of runs: figures, breaches, and plots with the troubles marked.
+"""Makes a static HTML page from records of runs: figures, violations, and plots with the faults marked.
 
-Owns the page and its plots. Reads records alone: a record that was cut short gives the page of what is in it.
-Must never play anything.
+Reads records only; a truncated record gives a page of the rows that it has.
 """
 
 import base64
@@ -22,8 +21,9 @@
 <body><h1>lilacdyke lab</h1><p>All figures are simulated or from stand-ins on loopback.</p>
 {% if runs|length > 1 %}<table><tr><th>run</th><th>G</th><th>worst 10 s</th><th>p99 ms</th><th>transactions</th>
 <th>breaches</th></tr>{% for run in runs %}<tr><td><a href="#r{{ loop.index }}">{{ run.title }}</a></td>
-<td>{{ '%.3f'|format(run.told.G) }}</td><td>{{ '%.3f'|format(run.told.worst_10s) }}</td>
-<td>{{ '%.0f'|format(run.told.p99_ms) }}</td><td>{{ run.told.transactions }}</td><td>{{ run.broken|length }}</td></tr>
+<td>{{ '%.3f'|format(run.summary.G) }}</td><td>{{ '%.3f'|format(run.summary.worst_10s) }}</td>
+<td>{{ '%.0f'|format(run.summary.p99_ms) }}</td><td>{{ run.summary.transactions
+}}</td><td>{{ run.broken|length }}</td></tr>
 {% endfor %}</table>{% endif %}
 {% for run in runs %}<h2 id="r{{ loop.index }}">{{ run.title }}</h2><p>{{ run.about }}</p>
 <table>{% for name, value in run.rows %}<tr><td>{{ name }}</td><td>{{ value }}</td></tr>{% endfor %}</table>
@@ -37,7 +37,7 @@
 
 
 class Run:
-    """One record, read."""
+    """The contents of one record for the page."""
 
     def __init__(self, path):
         head, rows = witness.load(path)
@@ -45,23 +45,23 @@
         if not rows:
             raise ValueError('%s: a record without rows' % path)
         self.title = '%s, seed %s, %s' % (scenario.name, head['seed'], head.get('ground', 'simulated'))
-        self.about, self.told, self.broken = scenario.about, figures(scenario, rows), judge(scenario, rows)
+        self.about, self.summary, self.broken = scenario.about, figures(scenario, rows), judge(scenario, rows)
         self.rows = [
             (name.replace('_', ' '), value)
-            for name, value in self.told.items()
+            for name, value in self.summary.items()
             if not isinstance(value, dict)
         ]
         self.rows += [
             ('%s: %s' % (name, inner), value)
             for name in ('outcomes', 'answers', 'profiles')
-            for inner, value in self.told[name].items()
+            for inner, value in self.summary[name].items()
         ]
         self.faults = [(row[2], row[3], row[1] / 1e6, row[4] / 1e6) for row in rows if row[0] == 'fault']
         self.plots = plots(rows, self.faults)
 
 
 def plots(rows, faults):
-    """[(title, PNG in base64)]."""
+    """Return the plots as [(title, PNG in base64)]."""
     import matplotlib
 
     matplotlib.use('Agg')
@@ -82,12 +82,12 @@
         elif row[0] == 'hop':
             servers[row[3]][second] += 1
             nodes[row[6]][second] += 1
-    span = range(int(max(row[1] for row in rows) // 1_000_000) + 1)
+    seconds = range(int(max(row[1] for row in rows) // 1_000_000) + 1)
 
-    def drawn(title, ylabel, series, log=False):
+    def plot_series(title, ylabel, series, log=False):
         figure, axes = pyplot.subplots(figsize=(9, 2.8), layout='constrained')
         for name, values in series:
-            axes.plot(list(span), values, label=name, linewidth=1.4)
+            axes.plot(list(seconds), values, label=name, linewidth=1.4)
         for kind, what, begin, end in faults:
             axes.axvspan(begin, end, color='grey', alpha=0.12)
             axes.annotate(
@@ -107,35 +107,35 @@
         return sorted(values)[int(part * (len(values) - 1))] if values else float('nan')
 
     return [
-        drawn(
+        plot_series(
             'Transactions by outcome',
             'a second',
-            [(name, [count[s] for s in span]) for name, count in sorted(outcomes.items())],
+            [(name, [count[s] for s in seconds]) for name, count in sorted(outcomes.items())],
         ),
-        drawn(
+        plot_series(
             'Latency of what was served',
             'ms',
             [
-                ('%d %%' % (part * 100), [quantile(latencies[s], part) for s in span])
+                ('%d %%' % (part * 100), [quantile(latencies[s], part) for s in seconds])
                 for part in (0.5, 0.95, 0.99)
             ],
             log=True,
         ),
-        drawn(
+        plot_series(
             'Hops by server',
             'a second',
-            [(name, [count[s] for s in span]) for name, count in sorted(servers.items())],
+            [(name, [count[s] for s in seconds]) for name, count in sorted(servers.items())],
         ),
-        drawn(
+        plot_series(
             'Hops by node',
             'a second',
-            [(name, [count[s] for s in span]) for name, count in sorted(nodes.items())],
+            [(name, [count[s] for s in seconds]) for name, count in sorted(nodes.items())],
         ),
     ]
 
 
 def write(out, paths):
-    """Write the page of these records."""
+    """Write the page for these records."""
     import jinja2
 
     page = jinja2.Environment(autoescape=True).from_string(PAGE).render(runs=[Run(path) for path in paths])
