--- a/lilacdyke/lab/shrink.py
+++ b/lilacdyke/lab/shrink.py
@@ -1,13 +1,13 @@
-"""Makes a failing scenario small: fewer troubles, shorter, fewer servers, as long as it still fails.
+"""Minimizes a failing scenario: fewer faults, a shorter run, fewer servers, as long as it still fails.
 
-Owns the order in which things are taken away. Pure: it asks a predicate, and plays nothing itself.
+Calls a predicate and plays nothing itself.
 """
 
 import msgspec
 
 
 def smaller(scenario):
-    """Scenarios one step smaller, the largest steps first."""
+    """Yield scenarios that are one step smaller, the largest steps first."""
     replace = msgspec.structs.replace
     events = scenario.events
     for size in (len(events) // 2, 1):
@@ -45,8 +45,8 @@
 
 
 def shrink(scenario, fails, tries=150):
-    """The smallest found that still fails, and how many were played. fails(scenario) tells; one that is no
-    scenario any more counts as not failing."""
+    """Return the smallest scenario found that still fails, and the number of candidates tried. The predicate
+    fails(scenario) returns False for invalid scenarios."""
     played, going = 0, True
     while going and played < tries:
         going = False
