--- a/lilacdyke/lab/sweep.py
+++ b/lilacdyke/lab/sweep.py
@@ -1,7 +1,4 @@
-"""Sweeps: one quantity of a scenario varied, all else the same.
-
-Owns how a quantity is named and put in. Must never play a scenario that was not checked.
-"""
+"""Parameter sweeps: plays a scenario with different values of one quantity."""
 
 import tomllib
 
@@ -13,21 +10,21 @@
 
 
 def put(scenario, path, text):
-    """The scenario with the value at a dotted path put in place, as load.rate or events.0.size."""
+    """Return the scenario with a value replaced at a dotted path, such as load.rate or events.0.size."""
     tree = scenarios.plain(scenario)
     try:
         value = tomllib.loads('v = %s' % text)['v']
     except ValueError:
         value = text
-    *way, last = path.split('.')
-    place = tree
+    *parents, last = path.split('.')
+    node = tree
     try:
-        for step in way:
-            place = place[int(step)] if isinstance(place, list) else place[step]
-        last = int(last) if isinstance(place, list) else last
-        if isinstance(place, dict) and last not in place:
+        for step in parents:
+            node = node[int(step)] if isinstance(node, list) else node[step]
+        last = int(last) if isinstance(node, list) else last
+        if isinstance(node, dict) and last not in node:
             raise KeyError(last)
-        place[last] = value
+        node[last] = value
     except (KeyError, IndexError, ValueError, TypeError):
         raise BadScenario('%s: no such quantity: %s' % (scenario.name, path)) from None
     try:
@@ -37,45 +34,47 @@
 
 
 def points(scenario, path, values):
-    """[(value, scenario)], all checked before one is played."""
+    """Return [(value, scenario)], all checked."""
     return [(value, put(scenario, path, value)) for value in values]
 
 
-def sweep(given, seeds, jobs, told):
-    """Play each point with so many seeds: (rows of means, whether all were played)."""
+def sweep(given, seeds, jobs, on_progress):
+    """Play each point with `seeds` seeds; return (rows of means, whether all were played)."""
     tasks = [(scenarios.write(scenario), seed, None) for _, scenario in given for seed in range(1, seeds + 1)]
     ended = {}
 
-    def each(index, outcome):
+    def add_outcome(index, outcome):
         ended[index] = outcome
-        told(len(ended))
+        on_progress(len(ended))
 
-    whole = runs.many(tasks, jobs, each)
+    complete = runs.many(tasks, jobs, add_outcome)
     rows = []
     for number, (value, _) in enumerate(given):
-        mine = [ended[index] for index in range(number * seeds, (number + 1) * seeds) if index in ended]
-        for outcome in mine:
+        point_outcomes = [
+            ended[index] for index in range(number * seeds, (number + 1) * seeds) if index in ended
+        ]
+        for outcome in point_outcomes:
             if isinstance(outcome, Exception):
                 raise outcome
-        if mine:
-            rows.append(mean(value, mine))
-    return rows, whole
+        if point_outcomes:
+            rows.append(mean(value, point_outcomes))
+    return rows, complete
 
 
 def mean(value, outcomes):
-    """The figures of one point, over its seeds."""
+    """Return the mean figures of one point over its seeds."""
 
-    def of(name):
+    def mean_of(name):
         return sum(outcome.figures[name] for outcome in outcomes) / len(outcomes)
 
     return {
         'value': value,
-        'G': of('G'),
-        'worst': of('worst_10s'),
-        'p99_ms': of('p99_ms'),
-        'hops': of('hops_per_transaction'),
-        'extra': of('extra_work'),
+        'G': mean_of('G'),
+        'worst': mean_of('worst_10s'),
+        'p99_ms': mean_of('p99_ms'),
+        'hops': mean_of('hops_per_transaction'),
+        'extra': mean_of('extra_work'),
         'runs': len(outcomes),
-        'pace': of('transactions') * len(outcomes) / sum(outcome.wall for outcome in outcomes),
+        'pace': mean_of('transactions') * len(outcomes) / sum(outcome.wall for outcome in outcomes),
         'broken': sum(bool(outcome.broken) for outcome in outcomes),
     }
