--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/witness.py
@@ -1,8 +1,8 @@
-"""What the stand-ins saw, row by row: the only thing that judges look at.
+"""The recorded events (rows) of a run, which are the only input of the checks.
 
-Owns the kinds of rows and their fields, the record as JSON lines, and its hash. Times are whole microseconds
-since the run's start. Must never hold what only a node knows, save the counters that a node's process told at
-its end.
+Defines the kinds of rows and their fields, the record file of JSON lines, and its hash. Times are whole
+microseconds since the start of the run. Nothing comes from inside a node but the counters at its exit and the
+rows 'seen' and 'word' (eyes.py).
 """
 
 import hashlib
@@ -10,44 +10,45 @@
 
 # The fields of each kind of row, after its kind and its time.
 ROWS = {
-    # clients: a request whose last byte has been written; made: the first byte's time; wait: until it is
-    # given up
+    # clients
+    # A request whose last byte was written; begun: the time of its first byte; wait: time until the client
+    # gives up.
     'ask': ('id', 'tx', 'node', 'profile', 'tenant', 'key', 'mark', 'begun', 'wait', 'attempt', 'fresh'),
-    'again': ('id',),  # the same once more: the node had closed between requests
+    'again': ('id',),  # sent again, since the node had closed the idle connection
     'answer': ('id', 'status', 'digest', 'after'),  # after: Retry-After, seconds
-    'begun': ('id', 'at'),  # of a large answer, which comes next: when its first bytes came
-    'left': ('id',),  # the client went before its answer
-    'cut': ('id',),  # the connection ended with no whole answer
-    'stray': ('node', 'why'),  # bytes that nobody asked for
-    'over': ('tx', 'outcome', 'latency'),  # a transaction, over all tries
+    'begun': ('id', 'at'),  # of the large answer that follows: the time of its first bytes
+    'left': ('id',),  # the client disconnected before its answer
+    'cut': ('id',),  # the connection ended without a complete answer
+    'stray': ('node', 'why'),  # unsolicited bytes
+    'over': ('tx', 'outcome', 'latency'),  # a transaction, over all attempts
     'rude': ('kind', 'node', 'outcome', 'took'),
     # cache servers and the origin
-    'link': ('server', 'node'),  # a connection has come up
-    'hop': ('hop', 'server', 'id', 'mark', 'node', 'begun', 'work', 'key'),  # its last byte is here
+    'link': ('server', 'node'),  # a connection was opened
+    'hop': ('hop', 'server', 'id', 'mark', 'node', 'begun', 'work', 'key'),  # its last byte arrived
     'refused': ('hop',),
-    'effect': ('hop', 'id', 'mark'),  # it ran, and changed something (or was one more run of a read)
-    'repeat': ('hop', 'id', 'mark'),  # known by its mark, and dropped
+    'effect': ('hop', 'id', 'mark'),  # it ran; reads count as well
+    'repeat': ('hop', 'id', 'mark'),  # a duplicate by its idempotency key, not run
     'made': ('hop', 'id', 'digest'),
-    'giving': ('hop', 'id'),  # a large answer, from now on
-    'broke': ('hop', 'id'),  # off the large answer, which the server itself did
-    'dropped': ('hop', 'ran'),  # nobody waited any more
+    'giving': ('hop', 'id'),  # a large answer starts
+    'broke': ('hop', 'id'),  # the server itself broke off the large answer
+    'dropped': ('hop', 'ran'),  # not run any further, since nobody waits for it
     'missed': ('hop', 'cold'),
     'worked': ('hop', 'took'),
-    # the world
+    # environment
     'server': ('server', 'what', 'kind', 'zone', 'cores', 'speed', 'started', 'origin'),
     'told': ('node', 'server', 'state'),
-    'due': ('node', 'server', 'state'),  # discovery had it to tell
+    'due': ('node', 'server', 'state'),  # discovery had this to announce
     'node': ('node', 'what'),
     'fault': ('kind', 'what', 'until'),
     'counters': ('node', 'counts'),
-    # staff: out, back (called), returned, with a server; away, active; ready, open with a status; kept with a
-    # count
+    # operators: out, back (requested) and returned, with a server; away and active; ready and open, with a
+    # status; kept, with a count
     'hand': ('node', 'what', 'about'),
     'planner': ('planner', 'what'),
-    'limit': ('name', 'most'),  # in force from then on
-    'seats': ('server', 'count'),  # connections there, one having come
-    # forwarders, where there are verdicts (eyes.py): what a hop said of its server; a word that acts on one
-    # from now on, left: for how long
+    'limit': ('name', 'most'),  # in force from now on
+    'seats': ('server', 'count'),  # connections there, after one more was opened
+    # forwarders with verdicts (eyes.py): the result of a hop; a verdict on a server that takes effect; left:
+    # for how long
     'seen': ('node', 'server', 'how', 'lasted', 'quick'),
     'word': ('node', 'server', 'least', 'most', 'wait', 'left', 'kind'),
     'error': ('node', 'text'),
@@ -55,24 +56,24 @@
 
 
 class Witness:
-    """Collects rows."""
+    """Collects the rows of a run."""
 
     def __init__(self, clock):
         self.clock, self.rows = clock, []  # clock: microseconds
 
     def see(self, kind, *fields):
-        """One more row, now."""
+        """Append a row with the current time."""
         self.rows.append((kind, self.clock(), *fields))
 
 
 def lines(rows):
-    """The record: a JSON array a row."""
+    """Yield the rows as JSON arrays, one per line."""
     for row in rows:
         yield json.dumps(row, separators=(',', ':'))
 
 
 def digest(rows):
-    """One hash over the whole record."""
+    """Return a hash of the whole record."""
     total = hashlib.sha256()
     for line in lines(rows):
         total.update(line.encode() + b'\n')
@@ -80,7 +81,7 @@
 
 
 def save(path, head, rows):
-    """Write a record; its first line is what was played."""
+    """Write a record; its first line, the head, says what was played."""
     with open(path, 'w', encoding='utf-8') as file:
         file.write(json.dumps(head, separators=(',', ':')) + '\n')
         for line in lines(rows):
@@ -88,7 +89,7 @@
 
 
 def load(path):
-    """(head, rows) of a record; one that was cut short is read up to there. A ValueError names a bad line."""
+    """Return (head, rows) of a record; a truncated last line is ignored. Raise ValueError for a bad line."""
     rows = []
     with open(path, encoding='utf-8') as file:
         head = json.loads(file.readline())
@@ -98,7 +99,7 @@
             except ValueError:
                 if line.endswith('\n'):
                     raise ValueError('line %d is not JSON' % number) from None
-                break  # the last one, half written
+                break  # a truncated last line
             if not row or row[0] not in ROWS or len(row) != len(ROWS[row[0]]) + 2:
                 raise ValueError('line %d is no row' % number)
             rows.append(row)
