--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -1,7 +1,7 @@
-"""Deliberately broken nodes: each function is a small patch for the length of one run.
+"""Deliberately broken nodes: each function patches the node for the length of one run.
 
-put(owner, name, value) replaces an attribute until the run is over; chance() draws from the run's own source.
-Must never outlive a run.
+put(owner, name, value) replaces an attribute until the run is over; the second argument is a function that
+draws a float from [0, 1) from the run's random source.
 """
 
 from .. import logic
@@ -42,8 +42,8 @@
 
 
 def under(usual, whose, field, value):
-    """A method of the router, called with a field of something put otherwise for as long: whose(router, tx)
-    has it."""
+    """Wrap a method of the router so that a field of the object returned by whose(router, tx) has another
+    value during the call."""
 
     def called(self, now, tx, *rest):
         owner = whose(self, tx)
@@ -386,7 +386,7 @@
 
 def idle_kept(put, chance):
     put(Node, 'send_away', lambda self, since: None)
-    put(Phases, 'make_room', lambda self, places, need: None)  # else they go after 2.5 s of rest all the same
+    put(Phases, 'make_room', lambda self, places, need: None)  # it would close idle clients after 2.5 s
 
 
 def never_away(put, chance):
@@ -402,6 +402,3 @@
 
 def never_back(put, chance):
     put(Node, 'activate', lambda self: True)
-
-
-# --- limits of the whole fleet ----------------------------------------------------------------------------
