--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -1,7 +1,6 @@
-"""Deliberately broken planners, limits and verdicts, as broken_nodes.py has nodes.
+"""Deliberately broken planners, limits and verdicts: each function patches them for the length of one run.
 
-put(owner, name, value) replaces an attribute until the run is over; chance() draws from the run's own source.
-Must never outlive a run.
+The arguments are those of broken_nodes.py.
 """
 
 from ..known import NO_WORD
@@ -46,7 +45,7 @@
     usual = Share.take_seat
 
     def take_seat(self, ignored):
-        if self.rank is None:  # one more than there are seats
+        if self.rank is None:  # one more holder than there are seats
             self.rank = 0
             self.purse.seated(self.clock(), self.told.seat_parts(0), self.told.seat_parts(0), True)
         else:
@@ -208,6 +207,3 @@
 
 def tries_not_counted(put, chance):
     put(View, 'out', lambda self, now, server: False)
-
-
-# --- scenarios that some need -----------------------------------------------------------------------------
