--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -1,7 +1,7 @@
-"""The mutants: programs broken on purpose, to show that the judges can fail.
+"""The mutants: deliberately broken programs, which show that the checks can fail.
 
-Owns their list: how each is broken (broken_nodes.py, broken_fleets.py), and what it is played with
-(mutant_scenarios.py). No judge knows of them, their names or what they leave.
+Lists how each is broken (broken_nodes.py, broken_fleets.py) and the scenarios that it is played with
+(mutant_scenarios.py). The checks do not know of mutants.
 """
 
 from . import broken_fleets, broken_nodes, draw, mutant_scenarios
@@ -9,7 +9,7 @@
 
 
 class Mutant:
-    """One way to be broken. kinds: troubles under which it should show; most: how many of them a run has."""
+    """A broken variant of the program. kinds: faults that should reveal it; most: the most faults per run."""
 
     def __init__(self, about, build, kinds, fit=None, most=3, drawn=draw.scenario):
         self.about, self.build, self.kinds, self.fit, self.most = (
@@ -22,13 +22,13 @@
         self.drawn = drawn
 
     def scenario(self, seed):
-        """What it is played with: drawn, with troubles under which it should show, and made to fit where
-        chance alone comes there too seldom."""
-        made = self.drawn(seed, self.kinds, self.most)
-        return check(self.fit(made)) if self.fit else made
+        """Return the scenario of a seed: random, with the kinds of faults that should reveal the mutant, and
+        adapted by `fit` if that is too rare."""
+        base = self.drawn(seed, self.kinds, self.most)
+        return check(self.fit(base)) if self.fit else base
 
     def apply(self, ground):
-        """Break the nodes of a run."""
+        """Patch the program for a run."""
         chance = ground.chance('mutant').random
         self.build(ground.put, chance)
 
@@ -36,30 +36,30 @@
 MUTANTS = {
     row[0].replace('_', '-'): Mutant(*row[1:])
     for row in (
-        ('drain_ignored', 'sends after a drain', broken_nodes.drain_ignored, mutant_scenarios.DRAINS),
+        ('drain_ignored', 'sends after a drain', broken_nodes.drain_ignored, mutant_scenarios.DRAIN_FAULTS),
         (
             'gone_ignored',
-            'sends to servers that are gone from the list',
+            'sends to servers that have left the list',
             broken_nodes.gone_ignored,
-            mutant_scenarios.DRAINS + ('replace',),
+            mutant_scenarios.DRAIN_FAULTS + ('replace',),
         ),
         (
             'window_ignored',
             'repeats a journalled transaction outside of its window',
             broken_nodes.window_ignored,
             (),
-            mutant_scenarios.late_repeat,
+            mutant_scenarios.retry_after_window,
         ),
         (
             'group_ignored',
             'repeats a journalled transaction outside of its group',
             broken_nodes.group_ignored,
             (),
-            mutant_scenarios.apart,
+            mutant_scenarios.group_by_site,
         ),
         (
             'lost_is_never_ran',
-            'takes a lost hop for one that never ran',
+            'treats a lost hop as one that never ran',
             broken_nodes.lost_is_never_ran,
             ('resets', 'halved'),
         ),
@@ -71,47 +71,47 @@
         ),
         (
             'leavers_served',
-            'sends on for clients that have left unread',
+            'sends requests on for clients that have disconnected',
             broken_nodes.leavers_served,
             (),
-            mutant_scenarios.walking_out,
+            mutant_scenarios.disconnect_during_pauses,
         ),
         (
             'leavers_served_soon',
-            'the same, after a fifth of a second',
+            'the same, after pauses of 0.2 s',
             broken_nodes.leavers_served,
             (),
-            mutant_scenarios.stumbling,
+            mutant_scenarios.disconnect_during_short_pauses,
         ),
         ('answer_dropped', 'drops an answer', broken_nodes.answer_dropped, ('slow',)),
         ('answer_doubled', 'answers twice', broken_nodes.answer_doubled, ('slow',)),
         ('answers_mixed', 'mixes answers of two requests', broken_nodes.answers_mixed, ('slow',)),
         (
             'answer_cut_short',
-            'passes on an answer that lacks a byte',
+            'forwards an answer without its last byte',
             broken_nodes.answer_cut_short,
             ('slow',),
         ),
         (
             'cold_flooded',
-            'takes a cold server for a warm one',
+            'treats a cold server as a warm one',
             broken_nodes.cold_flooded,
             (),
-            mutant_scenarios.crowd_cold,
+            mutant_scenarios.overload_cold_servers,
         ),
         (
             'credit_endless',
-            'never runs out of credit at a cold server',
+            'has no budget limit at a cold server',
             broken_nodes.credit_endless,
             (),
-            mutant_scenarios.crowd_cold,
+            mutant_scenarios.overload_cold_servers,
         ),
         (
             'clock_mistaken',
             "reads a server's start an hour too early",
             broken_nodes.clock_mistaken,
             (),
-            mutant_scenarios.crowd_cold,
+            mutant_scenarios.overload_cold_servers,
         ),
         ('hop_leaked', 'forgets that a hop has ended', broken_nodes.hop_leaked, ('slow',)),
         ('slot_leaked', 'does not free a slot', broken_nodes.slot_leaked, ('slow',)),
@@ -121,20 +121,25 @@
             broken_nodes.descriptor_leaked,
             ('slow', 'hung', 'halved'),
         ),
-        ('change_missed', 'misses a change of the list', broken_nodes.change_missed, mutant_scenarios.DRAINS),
+        (
+            'change_missed',
+            'misses a change of the list',
+            broken_nodes.change_missed,
+            mutant_scenarios.DRAIN_FAULTS,
+        ),
         (
             'versions_skipped',
-            'asks from too late a version after its watch broke',
+            'resumes a lost watch from too late a version',
             broken_nodes.versions_skipped,
             (),
-            mutant_scenarios.unheard,
+            mutant_scenarios.silence_discovery,
         ),
         (
             'asks_when_told_to',
-            'leaves it to the module when a lost watch is opened again',
+            'does not reopen a lost watch by itself',
             broken_nodes.asks_when_told_to,
             (),
-            mutant_scenarios.unheard_where_asked,
+            mutant_scenarios.silence_discovery_on_request,
         ),
         (
             'cut_at_the_limit',
@@ -145,14 +150,14 @@
         ),
         (
             'held_past_the_limit',
-            'holds an answer of no told length until 64 KiB of it are here',
+            'buffers an answer without a content length until 64 KiB have arrived',
             broken_nodes.held_past_the_limit,
             (),
-            mutant_scenarios.long_answers_untold,
+            mutant_scenarios.long_answers_without_length,
         ),
         (
             'held_without_limit',
-            'holds a large request for as long as nothing takes it',
+            'buffers a large request without a time limit',
             broken_nodes.held_without_limit,
             (),
             mutant_scenarios.long_requests,
@@ -160,75 +165,86 @@
         ('wakeup_lost', 'loses a wake-up', broken_nodes.wakeup_lost, ('hung', 'slow')),
         (
             'limit_ignored',
-            'does not look at the limit',
+            'ignores the time limit of requests',
             broken_nodes.limit_ignored,
             ('hung', 'vanish', 'cut'),
         ),
-        ('loser_kept', 'never cancels a loser', broken_nodes.loser_kept, ('slow',)),
-        ('body_changed', 'changes a body on its way', broken_nodes.body_changed, ('slow',)),
+        ('loser_kept', 'never cancels hops that lost', broken_nodes.loser_kept, ('slow',)),
+        ('body_changed', 'changes a request body', broken_nodes.body_changed, ('slow',)),
         (
             'always_harmless',
-            'says that trying again is harmless when it is not',
+            'reports that a retry is harmless when it is not',
             broken_nodes.always_harmless,
             ('resets', 'halved', 'hung'),
         ),
-        ('hop_doubled', 'sends a hop twice below the module', broken_nodes.hop_doubled, ('slow',)),
+        ('hop_doubled', 'sends a hop twice below the router', broken_nodes.hop_doubled, ('slow',)),
         (
             'hops_unbounded',
             'sends more hops than a transaction may have',
             broken_nodes.hops_unbounded,
             (),
-            mutant_scenarios.declining,
+            mutant_scenarios.decline_requests,
         ),
-        ('leaves_at_once', 'ends on SIGTERM with requests open', broken_nodes.leaves_at_once, ('term',)),
+        ('leaves_at_once', 'exits on SIGTERM with requests open', broken_nodes.leaves_at_once, ('term',)),
         ('counts_wrongly', 'counts a committed transaction twice', broken_nodes.counts_wrongly, ('slow',)),
-        ('framings_chosen', 'chooses between two framings', broken_nodes.framings_chosen, ('slow',)),
-        ('silent_kept', 'keeps clients that say nothing', broken_nodes.silent_kept, ('slow',)),
-        ('noise_raises', 'raises on noise out of a protocol', broken_nodes.noise_raises, ('garbled',)),
+        ('framings_chosen', 'accepts a request with two framings', broken_nodes.framings_chosen, ('slow',)),
+        ('silent_kept', 'does not disconnect silent clients', broken_nodes.silent_kept, ('slow',)),
+        (
+            'noise_raises',
+            'raises an exception for invalid protocol data',
+            broken_nodes.noise_raises,
+            ('garbled',),
+        ),
         ('missing_is_served', 'serves a client with a miss', broken_nodes.missing_is_served, ('miss',)),
-        ('half_is_whole', 'takes half an answer for a whole one', broken_nodes.half_is_whole, ('halved',)),
+        ('half_is_whole', 'treats a truncated answer as complete', broken_nodes.half_is_whole, ('halved',)),
         (
             'ban_lost',
-            'forgets that a server is out by hand when a list names it',
+            'forgets that a server is suspended when a list names it',
             broken_nodes.ban_lost,
             (),
-            mutant_scenarios.out_by_hand,
+            mutant_scenarios.suspend_servers,
         ),
         (
             'copy_to_suspended',
-            'sends a copy to a server that is out by hand',
+            'sends a hedge to a suspended server',
             broken_nodes.copy_to_suspended,
             (),
-            mutant_scenarios.out_by_hand,
+            mutant_scenarios.suspend_servers,
         ),
         (
             'back_as_warm',
-            'takes a server that was out by hand for a warm one',
+            'treats a resumed server as warm',
             broken_nodes.back_as_warm,
             (),
-            mutant_scenarios.cold_back,
+            mutant_scenarios.resume_cold,
         ),
         (
             'idle_kept',
-            'keeps clients that rest on an emptied node',
+            'keeps idle clients on a drained node',
             broken_nodes.idle_kept,
             (),
-            mutant_scenarios.emptied,
+            mutant_scenarios.drain_node,
         ),
         (
             'never_away',
-            'says that it is ready though it is emptied',
+            'reports that a drained node is ready',
             broken_nodes.never_away,
             (),
-            mutant_scenarios.emptied,
+            mutant_scenarios.drain_node,
+        ),
+        (
+            'never_back',
+            'does not become ready after activation',
+            broken_nodes.never_back,
+            (),
+            mutant_scenarios.drain_node,
         ),
-        ('never_back', 'does not take clients again', broken_nodes.never_back, (), mutant_scenarios.emptied),
         (
             'part_spent_twice',
-            'spends what it gave away',
+            'spends budget that it lent out',
             broken_fleets.part_spent_twice,
             (),
-            mutant_scenarios.bounded(
+            mutant_scenarios.with_limit(
                 'open',
                 18,
                 floor=1,
@@ -247,25 +263,27 @@
             'uses a lease past its end',
             broken_fleets.lease_past_its_end,
             (),
-            mutant_scenarios.bounded('requests', 0.4, floor=0.1, length=10.0, events=mutant_scenarios.AWAY),
+            mutant_scenarios.with_limit(
+                'requests', 0.4, floor=0.1, length=10.0, events=mutant_scenarios.AWAY
+            ),
             3,
             draw.planned,
         ),
         (
             'tokens_not_taken',
-            'does not take what it spends from its part',
+            'does not subtract what it spends from its budget',
             broken_fleets.tokens_not_taken,
-            mutant_scenarios.PLANNED,
-            mutant_scenarios.bounded('requests', 0.4),
+            mutant_scenarios.PLANNER_FAULTS,
+            mutant_scenarios.with_limit('requests', 0.4),
             3,
             draw.planned,
         ),
         (
             'bucket_without_bound',
-            'saves up what it did not spend',
+            'accumulates unused budget without bound',
             broken_fleets.bucket_without_bound,
             (),
-            mutant_scenarios.bounded(
+            mutant_scenarios.with_limit(
                 'requests', 200, events=[Event(at_s=3.0, kind='burst', for_s=2.0, size=4.0)]
             ),
             3,
@@ -273,10 +291,10 @@
         ),
         (
             'seat_held_twice',
-            'takes a seat that another has',
+            'takes a seat that another node holds',
             broken_fleets.seat_held_twice,
             (),
-            mutant_scenarios.bounded('requests', 0.4, floor=1, seats=2),
+            mutant_scenarios.with_limit('requests', 0.4, floor=1, seats=2),
             3,
             draw.planned,
         ),
@@ -285,7 +303,7 @@
             'a planner lends twice',
             broken_fleets.bank_forgets_leases,
             (),
-            mutant_scenarios.bounded(
+            mutant_scenarios.with_limit(
                 'requests', 0.4, floor=0.1, lease=1.5, length=10.0, events=mutant_scenarios.AWAY
             ),
             3,
@@ -296,7 +314,7 @@
             'refuses until a planner has answered',
             broken_fleets.waits_for_a_plan,
             (),
-            mutant_scenarios.bounded(
+            mutant_scenarios.with_limit(
                 'requests', 0.5, events=[Event(at_s=2.0, kind='kill_planner', what=[0, 1, 2], for_s=6.0)]
             ),
             3,
@@ -307,8 +325,8 @@
             'a planner lends right after its start',
             broken_fleets.planner_lends_at_once,
             (),
-            mutant_scenarios.bounded(
-                'requests', 0.4, floor=0.1, lease=1.5, length=10.0, events=mutant_scenarios.RESTARTS
+            mutant_scenarios.with_limit(
+                'requests', 0.4, floor=0.1, lease=1.5, length=10.0, events=mutant_scenarios.PLANNER_RESTARTS
             ),
             3,
             draw.planned,
@@ -318,7 +336,7 @@
             'reads a limit once, at its start',
             broken_fleets.limit_read_once,
             (),
-            mutant_scenarios.bounded('requests', 0.5, length=10.0, events=mutant_scenarios.LOWERED),
+            mutant_scenarios.with_limit('requests', 0.5, length=10.0, events=mutant_scenarios.LOWER_LIMIT),
             3,
             draw.planned,
         ),
@@ -327,16 +345,16 @@
             'does not count connections',
             broken_fleets.links_not_counted,
             ('burst',),
-            mutant_scenarios.bounded('links', 6),
+            mutant_scenarios.with_limit('links', 6),
             3,
             draw.planned,
         ),
         (
             'cold_not_asked',
-            'does not ask for the part at a cold server',
+            'does not check the budget of cold servers',
             broken_fleets.cold_not_asked,
             (),
-            mutant_scenarios.bounded(
+            mutant_scenarios.with_limit(
                 'cold', 3, length=10.0, events=[Event(at_s=1.0, kind='crash', count=2, for_s=0.5)]
             ),
             3,
@@ -344,29 +362,33 @@
         ),
         (
             'smaller_lease_held',
-            'says that it holds a smaller lease while more is open',
+            'reports a smaller lease than it uses',
             broken_fleets.smaller_lease_held,
             (),
-            mutant_scenarios.bounded('open', 12, floor=0.25, length=12.0, events=mutant_scenarios.HANGING),
+            mutant_scenarios.with_limit(
+                'open', 12, floor=0.25, length=12.0, events=mutant_scenarios.HANGING_REQUESTS
+            ),
             3,
             draw.planned,
         ),
         (
             'plan_without_age',
-            'counts a lease from when its plan came, and long',
+            'counts a lease from the arrival of its plan, and extends it',
             broken_fleets.plan_without_age,
             (),
-            mutant_scenarios.bounded('requests', 0.4, floor=0.1, length=10.0, events=mutant_scenarios.AWAY),
+            mutant_scenarios.with_limit(
+                'requests', 0.4, floor=0.1, length=10.0, events=mutant_scenarios.AWAY
+            ),
             3,
             draw.planned,
         ),
         (
             'age_not_carried',
-            'a planner does not say how old a verdict is',
+            'a planner sends verdicts without their age',
             broken_fleets.age_not_carried,
             (),
-            mutant_scenarios.guarded(
-                mutant_scenarios.HUNG,
+            mutant_scenarios.with_verdicts(
+                mutant_scenarios.HUNG_SERVER,
                 Event(at_s=2.0, kind='shift', what=[0], for_s=5.0),
                 Event(at_s=2.0, kind='drain', what=[3], for_s=5.0),
             ),
@@ -375,11 +397,11 @@
         ),
         (
             'evidence_as_it_came',
-            'a planner takes evidence for as new as it came',
+            'a planner ignores the age of evidence',
             broken_fleets.evidence_as_it_came,
             (),
-            mutant_scenarios.guarded(
-                mutant_scenarios.HUNG,
+            mutant_scenarios.with_verdicts(
+                mutant_scenarios.HUNG_SERVER,
                 Event(at_s=1.5, kind='late_planner', what=[0, 1, 2], for_s=6.0, size=0.5),
             ),
             3,
@@ -390,66 +412,66 @@
             'a planner counts evidence twice',
             broken_fleets.evidence_twice,
             (),
-            mutant_scenarios.guarded(
+            mutant_scenarios.with_verdicts(
                 *[
                     Event(at_s=1.0 + number, kind='shift', what=[number % 6], for_s=0.9)
                     for number in range(7)
                 ],
-                *mutant_scenarios.TURNS,
+                *mutant_scenarios.REPEATED_HANGS,
             ),
             3,
             draw.watched,
         ),
         (
             'one_witness',
-            'one forwarder is enough',
+            'one witness is enough for a verdict',
             broken_fleets.one_witness,
             (),
-            mutant_scenarios.guarded(
+            mutant_scenarios.with_verdicts(
                 *[
                     Event(at_s=1.0 + number, kind='shift', what=[number % 6], for_s=0.9)
                     for number in range(7)
                 ],
-                *mutant_scenarios.TURNS,
+                *mutant_scenarios.REPEATED_HANGS,
             ),
             3,
             draw.watched,
         ),
         (
             'harm_unbounded',
-            'holds down as many as are bad',
+            'holds down bad servers without a maximum',
             broken_fleets.harm_unbounded,
             (),
-            mutant_scenarios.guarded(mutant_scenarios.MANY),
+            mutant_scenarios.with_verdicts(mutant_scenarios.HUNG_SERVERS),
             3,
             draw.watched,
         ),
         (
             'own_eyes_ignored',
-            'acts against its own eyes',
+            'applies verdicts against its own observations',
             broken_fleets.own_eyes_ignored,
             (),
-            mutant_scenarios.guarded(*mutant_scenarios.TURNS),
+            mutant_scenarios.with_verdicts(*mutant_scenarios.REPEATED_HANGS),
             3,
             draw.watched,
         ),
         (
             'verdict_endless',
-            'acts on a verdict for longer than it holds',
+            'applies a verdict after its end',
             broken_fleets.verdict_endless,
             (),
-            mutant_scenarios.guarded(
-                mutant_scenarios.HUNG, Event(at_s=2.5, kind='kill_planner', what=[0, 1, 2], for_s=6.0)
+            mutant_scenarios.with_verdicts(
+                mutant_scenarios.HUNG_SERVER, Event(at_s=2.5, kind='kill_planner', what=[0, 1, 2], for_s=6.0)
             ),
             3,
             draw.watched,
         ),
         (
             'way_for_all',
-            'takes what one site sees for a verdict on the server',
+            'applies a verdict of one site at all sites',
             broken_fleets.way_for_all,
             (),
-            mutant_scenarios.guarded(
+            mutant_scenarios.with_verdicts(
                 Event(at_s=0.5, kind='shift', what=[0, 1, 3, 5], for_s=9.0),
                 Event(at_s=1.5, kind='site_cut', what=[3], for_s=7.0),
             ),
@@ -458,21 +480,21 @@
         ),
         (
             'brought_back',
-            'a verdict brings back a server that is out by hand',
+            'a verdict resumes a suspended server',
             broken_fleets.brought_back,
             (),
-            mutant_scenarios.guarded(
-                *mutant_scenarios.TURNS, Event(at_s=2.0, kind='suspend', what=[3, 5], for_s=5.0)
+            mutant_scenarios.with_verdicts(
+                *mutant_scenarios.REPEATED_HANGS, Event(at_s=2.0, kind='suspend', what=[3, 5], for_s=5.0)
             ),
             3,
             draw.watched,
         ),
         (
             'tries_not_counted',
-            'does not count tries at a server that is out',
+            'does not count attempts at servers held down',
             broken_fleets.tries_not_counted,
             (),
-            mutant_scenarios.guarded(
+            mutant_scenarios.with_verdicts(
                 Event(at_s=1.0, kind='garbled', what=[3], for_s=8.0, size=10.0),
                 nodes=2,
                 caches=5,
@@ -484,21 +506,21 @@
         ),
         (
             'timers_on_wall_time',
-            'sets its timers by a wall clock that is stepped',
+            'runs its timers by the wall clock',
             broken_nodes.timers_on_wall_time,
             (),
-            mutant_scenarios.stepped_back,
+            mutant_scenarios.step_clocks_back,
         ),
         (
             'blames_servers',
-            "holds its own machine's failures against servers",
+            "blames servers for failures of the node's machine",
             broken_nodes.blames_servers,
             (),
-            mutant_scenarios.cannot_connect,
+            mutant_scenarios.fail_connects,
         ),
         (
             'slots_reused',
-            "gives a slot's number out again",
+            'reuses the number of a slot',
             broken_nodes.slots_reused,
             ('slow', 'hung', 'halved'),
         ),
--- a/tests/lab/test_held.py
+++ b/tests/lab/test_held.py
@@ -1,5 +1,5 @@
-"""Verdicts over whole fleets in simulated time: drawn ones, a liar, a site that is cut off from a server, and
-own acts counted at servers."""
+"""Verdicts in simulated fleets: random scenarios, false reports of a node, a site partitioned from a
+server, and a hanging server."""
 
 import unittest
 from functools import lru_cache
@@ -8,20 +8,20 @@
 
 from lilacdyke.lab import draw, runs
 from lilacdyke.lab import scenario as scenarios
-from lilacdyke.lab.mutant_scenarios import guarded
+from lilacdyke.lab.mutant_scenarios import with_verdicts
 from lilacdyke.lab.scenario import Event
 
 
 def hops(rows, server, nodes, begin, end):
-    """How many came to a server from these nodes in a span of seconds."""
+    """Return the number of hops to a server from these nodes in an interval, in seconds."""
     return sum(
         row[0] == 'hop' and row[3] == server and row[6] in nodes and begin <= row[1] / 1e6 <= end
         for row in rows
     )
 
 
-class Drawn(unittest.TestCase):
-    def test_no_rule_is_broken_and_verdicts_act(self):
+class RandomScenarioTest(unittest.TestCase):
+    def test_random_scenarios_violate_no_rule(self):
         given, ended = [draw.watched(seed) for seed in range(12)], {}
         runs.many(
             [(scenarios.write(made), made.seed, None) for made in given], runs.cores(0), ended.__setitem__
@@ -32,35 +32,35 @@
                 self.assertEqual(getattr(outcome, 'broken', outcome), [])
 
 
-class Counted(unittest.TestCase):
-    """By what came to servers; the same seed with and without the trouble."""
+class HopCountTest(unittest.TestCase):
+    """Compares the hops at servers with and without a fault, with the same seed."""
 
     @staticmethod
     @lru_cache
     def plain():
-        return Counted().played()
+        return HopCountTest().played()
 
     def played(self, *events, **more):
         made = scenarios.check(
-            replace(guarded(*events, rate=300.0)(draw.watched(3)), seed=3, length_s=6.0, **more)
+            replace(with_verdicts(*events, rate=300.0)(draw.watched(3)), seed=3, length_s=6.0, **more)
         )
         outcome = runs.one(made, rows=True, hashed=False)
         self.assertEqual(outcome.broken, [])
         return outcome.rows
 
-    def test_one_liar_changes_nothing_of_what_others_send(self):
+    def test_false_reports_of_one_node_do_not_affect_others(self):
         others = {'n%d' % number for number in range(1, 6)}
         for size in (0, 1, 2):
             with self.subTest(size=size):
-                plain, lied = (
+                plain, lying = (
                     self.plain(),
                     self.played(Event(at_s=1.0, kind='lie', what=[0], for_s=5.0, size=size)),
                 )
-                self.assertEqual([row[2] for row in lied if row[0] == 'word' and row[5] < 1], [])
+                self.assertEqual([row[2] for row in lying if row[0] == 'word' and row[5] < 1], [])
                 for server in ('c%d' % number for number in range(10)):
-                    self.assertEqual(hops(plain, server, others, 0, 8), hops(lied, server, others, 0, 8))
+                    self.assertEqual(hops(plain, server, others, 0, 8), hops(lying, server, others, 0, 8))
 
-    def test_a_site_that_is_cut_off_from_a_server_lowers_only_what_it_sends_itself(self):
+    def test_partition_between_site_and_server_affects_only_that_site(self):
         plain, cut = self.plain(), self.played(Event(at_s=1.0, kind='site_cut', what=[3], for_s=5.0))
         here, there = {'n0', 'n2', 'n4'}, {'n1', 'n3', 'n5'}
         self.assertEqual(
@@ -70,14 +70,16 @@
         self.assertGreaterEqual(hops(cut, 'c2', there, 2.5, 6), 0.8 * hops(plain, 'c2', there, 2.5, 6))
         self.assertEqual(hops(cut, 'c2', here, 2.0, 6), 0)
 
-    def test_a_server_that_is_silent_gets_few_hops_soon_and_is_back_soon(self):
-        every = {'n%d' % number for number in range(6)}
-        trouble = Event(at_s=1.0, kind='hung', what=[3], for_s=2.5)
-        alone = self.played(trouble, planning=scenarios.Planning())
-        known = self.played(trouble)
-        self.assertLess(hops(known, 'c2', every, 2.6, 4.1), 0.7 * hops(alone, 'c2', every, 2.6, 4.1))
+    def test_hanging_server_is_avoided_soon_and_used_again_soon(self):
+        all_nodes = {'n%d' % number for number in range(6)}
+        hang = Event(at_s=1.0, kind='hung', what=[3], for_s=2.5)
+        without_verdicts = self.played(hang, planning=scenarios.Planning())
+        shared = self.played(hang)
+        self.assertLess(
+            hops(shared, 'c2', all_nodes, 2.6, 4.1), 0.7 * hops(without_verdicts, 'c2', all_nodes, 2.6, 4.1)
+        )
         self.assertGreater(
-            hops(known, 'c2', every, 5.6, 6.6), 0.6 * hops(self.plain(), 'c2', every, 5.6, 6.6)
+            hops(shared, 'c2', all_nodes, 5.6, 6.6), 0.6 * hops(self.plain(), 'c2', all_nodes, 5.6, 6.6)
         )
 
 
