--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -292,8 +292,8 @@
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
     def do_away(self, index, event, what, span, chance):
-        """Operators drain nodes; clients avoid them 0.3 s later. The nodes are activated again after the span,
-        and at least 4.5 s."""
+        """Operators drain nodes, and clients avoid them 0.3 s later. The nodes are activated again after the
+        span, and at least 4.5 s."""
         for place in self.places(what):
             running = place.running
             if running is None or running.leaving:
