--- a/lilacdyke/trial/__init__.py
+++ b/lilacdyke/trial/__init__.py
@@ -1,2 +1,4 @@
-"""The trial ground: real processes of the program with faults between and within them. Never loaded by a node
-or a planner."""
+"""End-to-end tests: real processes of the program with faults injected into them and into their links.
+
+Never loaded by a node or a planner.
+"""
--- a/lilacdyke/trial/mutants.py
+++ b/lilacdyke/trial/mutants.py
@@ -1,7 +1,6 @@
-"""Which broken forms of the program the trial hunts.
+"""The names of the mutants that trials run.
 
-Owns names only: how each is broken, and under which troubles it should show, stands with the lab's mutants,
-as the same code runs in both.
+The lab defines each mutant and the faults that should expose it (lab/mutants.py).
 """
 
 NAMES = [
