--- a/lilacdyke/trial/putter.py
+++ b/lilacdyke/trial/putter.py
@@ -1,8 +1,8 @@
-"""Puts changes at a writer, one after another, and notes what it was told of each: kept, refused, or nothing.
+"""Sends changes to a writer, one after another, and records each result: kept, refused or nothing.
 
     python -m lilacdyke.trial.putter FILE OUT SECONDS
 
-Owns the notes, a JSON line each: value, told. Must never put a value twice.
+Each result is a JSON line in OUT with the keys value and told. Must never send a value twice.
 """
 
 import json
@@ -14,14 +14,14 @@
 from ..changes.messages import Item, PutAnswer, PutRequest, pack, unpack
 from ..decode import address
 
-PAUSE_S, PATIENCE_S = 0.1, 2.0
+PAUSE_S, TIMEOUT_S = 0.1, 2.0
 
 
-def put(where, value):
-    """What the writer said: 'kept', 'refused', or 'nothing'."""
+def put_value(where, value):
+    """Send a change and return 'kept', 'refused', or 'nothing' if the result is unknown."""
     try:
-        with socket.create_connection(where, PATIENCE_S) as connection:
-            connection.settimeout(PATIENCE_S)
+        with socket.create_connection(where, TIMEOUT_S) as connection:
+            connection.settimeout(TIMEOUT_S)
             connection.sendall(pack(PutRequest('config', [Item('limit', str(value))])))
             answer = unpack(cli.read_frame(connection), PutAnswer)
     except (OSError, cli.BadFrameError):
@@ -32,13 +32,13 @@
 
 
 def main(path, out, seconds):
-    """Put for so long."""
+    """Send changes for so many seconds."""
     where, value = address(settings.read(path).named('w0').address), 0
     end = time.monotonic() + float(seconds)
     with open(out, 'w', encoding='utf-8') as file:
         while time.monotonic() < end:
             value += 1
-            file.write(json.dumps({'value': value, 'told': put(where, value)}) + '\n')
+            file.write(json.dumps({'value': value, 'told': put_value(where, value)}) + '\n')
             file.flush()
             time.sleep(PAUSE_S)
 
