--- a/lilacdyke/trial/shim.py
+++ b/lilacdyke/trial/shim.py
@@ -1,21 +1,19 @@
-"""Faults of the machine beneath the program's libraries: a wall clock that steps, calls that fail.
-
-Calls may also fall short: a write or read that moves only some of its bytes.
+"""Injects system faults beneath the program's libraries: wall clock steps, failing calls, short reads and
+writes.
 
     python -m lilacdyke.trial.shim BOARD COMMAND ...
 
-Owns what stands in place of the interpreter's own calls: `time.time` and its kin, the methods of
-`socket.socket`, `select.epoll`, and the file calls of `os` and `open`. They are replaced before any library
-is imported, so that Twisted and `logging` see the faults as well as the program. Needs no compiler. Must
-never be imported by the program, nor import a library first.
+Replaces `time.time` and related functions, the methods of `socket.socket`, `select.epoll`, and the file
+calls of `os` and `open` before any library is imported, so that Twisted and `logging` see the faults as
+well. Must never be imported by the program, nor import a library first.
 
-BOARD is a file that the faults' owner writes (Board) and this process maps: a change takes effect at the
-next call. Its JSON:
-    wall_s  by how much the wall clock is ahead of the machine's
+BOARD is a file that the test writes (Board) and this process maps: a change takes effect at the next call.
+Its JSON:
+    wall_s  seconds by which the wall clock is ahead of the machine's
     calls   rules: call, errno, first, count, for_s, size, kill (lab/callfaults.py)
 """
 
-# ruff: noqa: TID251  it stands in place of the calls that all others may not make
+# ruff: noqa: TID251  replaces the clock calls that are banned elsewhere
 
 import ctypes
 import json
@@ -32,77 +30,79 @@
 from ..lab.callfaults import CallFaults, parsed
 
 SIZE = 65_536
-HEAD = struct.Struct('<QI')  # version, length of the JSON that follows
+HEAD = struct.Struct('<QI')  # version, length of the JSON text
 REAL_TIME, MONOTONIC = time.time, time.monotonic
 
 
 class Board:
-    """The owner's side of a board: says which faults there are from now on."""
+    """The writing side of a board: sets the current faults."""
 
     def __init__(self, path):
         self.path, self.version = path, 0
         with open(path, 'wb') as file:
             file.truncate(SIZE)
-        self.file = open(path, 'r+b')  # noqa: SIM115  it stays open
+        self.file = open(path, 'r+b')  # noqa: SIM115  kept open for the map
         self.map = mmap.mmap(self.file.fileno(), SIZE)
         self.put()
 
     def put(self, wall_s=0.0, calls=()):
-        """These faults and no others."""
+        """Replace the current faults."""
         text = json.dumps({'wall_s': wall_s, 'calls': list(calls)}).encode()
         self.version += 1
         self.map[HEAD.size : HEAD.size + len(text)] = text
         self.map[: HEAD.size] = HEAD.pack(self.version, len(text))
 
     def close(self):
-        """The file stays."""
+        """Close the board but keep its file."""
         self.map.close()
         self.file.close()
 
 
 class Faults:
-    """The process's side: what its board says now."""
+    """The reading side of a board: the current faults of this process."""
 
     def __init__(self, path):
         with open(path, 'rb') as file:
             self.map = mmap.mmap(file.fileno(), SIZE, prot=mmap.PROT_READ)
         self.version, self.wall_s = 0, 0.0
         self.calls = CallFaults(MONOTONIC)
-        self.look()
+        self.refresh()
 
-    def look(self):
-        """Take over what the board says, if that has changed. One that is being written is read next time."""
+    def refresh(self):
+        """Read the board if it has changed; a partly written one is read at the next call."""
         version, length = HEAD.unpack_from(self.map)
         if version == self.version:
             return
         try:
-            told = json.loads(self.map[HEAD.size : HEAD.size + length])
+            content = json.loads(self.map[HEAD.size : HEAD.size + length])
         except ValueError:
             return
-        self.version, self.wall_s = version, told['wall_s']
-        self.calls.put([parsed(rule, MONOTONIC) for rule in told['calls']])
+        self.version, self.wall_s = version, content['wall_s']
+        self.calls.put([parsed(rule, MONOTONIC) for rule in content['calls']])
 
-    def met(self, call):
-        """The rule that one more call meets, or None. One that kills does not return."""
-        self.look()
+    def match_rule(self, call):
+        """Count one more call and return the rule that applies, or None; kill the process if the rule says
+        so."""
+        self.refresh()
         rule = self.calls.check(call)
         if rule is not None and rule.kill:
             os.kill(os.getpid(), signal.SIGKILL)
         return rule
 
     def fail(self, call):
-        """Raise what the call fails with now, if it does; else the most bytes that it may move, or None."""
-        rule = self.met(call)
+        """Raise OSError if the call must fail; else return the maximum number of bytes to transfer, or
+        None."""
+        rule = self.match_rule(call)
         if rule is not None and rule.errno:
             raise OSError(rule.errno, os.strerror(rule.errno))
         return None if rule is None else rule.size
 
 
-def bend_clock(faults):
-    """The wall clock, for all who ask the `time` module. The monotonic ones stay."""
+def patch_clock(faults):
+    """Replace the wall clock of the `time` module; the monotonic clocks stay."""
 
     def wall():
-        faults.look()
+        faults.refresh()
         return REAL_TIME() + faults.wall_s
 
     real_gettime, real_gmtime, real_localtime = time.clock_gettime, time.gmtime, time.localtime
@@ -113,17 +113,17 @@
     time.localtime = lambda seconds=None: real_localtime(wall() if seconds is None else seconds)
 
 
-def bend_sockets(faults):
-    """The methods of all sockets, also those that libraries make."""
+def patch_sockets(faults):
+    """Replace the methods of all sockets, including those created by libraries."""
     real = {name: getattr(socket.socket, name) for name in SOCKET_METHODS}
     for name, call in SOCKET_METHODS.items():
         setattr(socket.socket, name, failing(faults, real[name], call))
-    bend_connecting(faults, real)
-    bend_moving(faults, real)
+    patch_connecting(faults, real)
+    patch_transfers(faults, real)
 
 
-def bend_connecting(faults, real):
-    """How sockets are made and connected, where a failure is told otherwise than by an exception."""
+def patch_connecting(faults, real):
+    """Replace the creation and connection of sockets, where some failures are returned and not raised."""
     real_init = socket.socket.__init__
 
     def __init__(self, family=-1, type=-1, proto=-1, fileno=None):  # noqa: N807
@@ -132,12 +132,12 @@
         real_init(self, family, type, proto, fileno)
 
     def connect_ex(self, address):
-        rule = faults.met('connect')
+        rule = faults.match_rule('connect')
         return rule.errno if rule is not None and rule.errno else real['connect_ex'](self, address)
 
     def getsockopt(self, level, option, *size):
         if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR):
-            rule = faults.met('connected')
+            rule = faults.match_rule('connected')
             if rule is not None and rule.errno:
                 return rule.errno
         else:
@@ -148,8 +148,8 @@
     socket.socket.connect_ex, socket.socket.getsockopt = connect_ex, getsockopt
 
 
-def bend_moving(faults, real):
-    """Bytes sent and received, of which only some may be."""
+def patch_transfers(faults, real):
+    """Replace send and recv, which may transfer only some of the bytes."""
 
     def send(self, data, flags=0):
         size = faults.fail('send')
@@ -162,7 +162,7 @@
     socket.socket.send, socket.socket.recv = send, recv
 
 
-# Which kind of call a socket's method counts as.
+# The call name used in rules, by socket method.
 SOCKET_METHODS = {
     'connect': 'connect',
     'connect_ex': 'connect',
@@ -179,8 +179,8 @@
 }
 
 
-def bend_epoll(faults):
-    """Interest in descriptors. A wait that is interrupted the interpreter calls again, so none fails."""
+def patch_epoll(faults):
+    """Replace epoll registration. Waits never fail: the interpreter retries interrupted ones."""
     real = select.epoll
 
     class Epoll:
@@ -203,27 +203,27 @@
     select.epoll = Epoll
 
 
-def bend(path):
-    """All of it, from here on; what the board says."""
+def patch_all(path):
+    """Apply all replacements and return the Faults of the board."""
     faults = Faults(path)
-    bend_clock(faults)
-    bend_sockets(faults)
-    bend_epoll(faults)
+    patch_clock(faults)
+    patch_sockets(faults)
+    patch_epoll(faults)
     bend_files(faults)
     return faults
 
 
-def bound_to_parent():
-    """Have the kernel kill this process with the one that started it, however that one ends."""
+def die_with_parent():
+    """Have the kernel kill this process when its parent ends in any way."""
     ctypes.CDLL(None).prctl(1, int(signal.SIGKILL))
     if os.getppid() == 1:
         sys.exit(1)
 
 
 def main():
-    """Bend, then run the program's own command line."""
-    bound_to_parent()
-    bend(sys.argv[1])
+    """Apply the replacements, then run the program's own command line."""
+    die_with_parent()
+    patch_all(sys.argv[1])
     from ..__main__ import main as program
 
     program(sys.argv[2:], prog_name='lilacdyke')
