--- a/tests/trial/test_off.py
+++ b/tests/trial/test_off.py
@@ -1,4 +1,5 @@
-"""Off in `run`: the very line of the deploy file amid stray variables, files and keys; and what `--fleet` refuses."""
+"""The deploy file's `run` command leaves fleet features off despite stray variables, files and keys;
+`--fleet` rejects invalid files."""
 
 import json
 import os
@@ -15,7 +16,7 @@
 from ..test_upgrade import free
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-STRAY = {
+STRAY_ENVIRONMENT = {
     'LILACDYKE_FLEET': 'fleet.toml',
     'EDGE_FLEET': 'fleet.toml',
     'FLEET': 'fleet.toml',
@@ -32,7 +33,7 @@
     'LILACDYKE_TASKS': '1',
     'EDGE_TASKS': 'job',
 }
-NEVER = (
+FORBIDDEN_MODULES = (
     'lilacdyke.plan',
     'lilacdyke.changes',
     'lilacdyke.scale',
@@ -46,12 +47,13 @@
     'tomllib',
     'jinja2',
 )
-MEMORY_KB = 40_000  # the start's most: some 33 MB, Python and Twisted
+MEMORY_KB = 40_000  # peak after the start
 
 
-class Off(unittest.TestCase):
+class FleetDisabled(unittest.TestCase):
     def start(self, folder, stray):
-        """Start the line `run`, let it serve, and look: (modules, kinds of descriptors, memory in KB)."""
+        """Start the `run` command until it serves; return (imported modules, open descriptors, peak memory
+        in KB)."""
         with open(os.path.join(ROOT, 'deploy', 'balancer.toml'), 'rb') as file:
             line = tomllib.load(file)['run']
         more = (
@@ -88,11 +90,9 @@
             EDGE_CONFIG=path,
             TMPDIR=folder,
             PYTHONPROFILEIMPORTTIME='1',
-            **(STRAY if stray else {}),
+            **(STRAY_ENVIRONMENT if stray else {}),
         )
-        line = line.replace(
-            '.venv/bin/python', sys.executable
-        )  # CI's own may have another name; the words are the file's
+        line = line.replace('.venv/bin/python', sys.executable)  # the environment of CI may have another path
         log = os.path.join(folder, 'log')
         with open(log, 'wb') as file:
             process = subprocess.Popen(
@@ -123,19 +123,24 @@
             process.wait(8)
         return modules, sorted(found), memory
 
-    def test_the_line_run_loads_opens_and_reads_nothing_of_it(self):
-        with tempfile.TemporaryDirectory() as plain, tempfile.TemporaryDirectory() as strewn:
-            before, after = self.start(plain, False), self.start(strewn, True)
+    def test_run_command_ignores_stray_fleet_settings(self):
+        with tempfile.TemporaryDirectory() as plain, tempfile.TemporaryDirectory() as cluttered:
+            before, after = self.start(plain, False), self.start(cluttered, True)
         self.assertIn('lilacdyke.net.node', after[0])
         self.assertEqual(
-            [name for name in after[0] if name.split('.')[0] in NEVER or name.startswith(NEVER[:3])], []
+            [
+                name
+                for name in after[0]
+                if name.split('.')[0] in FORBIDDEN_MODULES or name.startswith(FORBIDDEN_MODULES[:3])
+            ],
+            [],
         )
         self.assertEqual((before[0], before[1]), (after[0], after[1]))
         self.assertLess(after[2], MEMORY_KB)
         self.assertLess(abs(after[2] - before[2]), 2_000)
 
-    def refused(self, text, **more):
-        """What `serve --fleet` says of a file, and its exit code."""
+    def serve_with_fleet(self, text, **more):
+        """Return the exit code and the error output of `serve --fleet` with this file."""
         with tempfile.TemporaryDirectory() as folder:
             for name, given in (('page.json', page(settings=SETTINGS, **more)), ('fleet.toml', text)):
                 with open(os.path.join(folder, name), 'w', encoding='utf-8') as file:
@@ -157,7 +162,7 @@
             )
         return done.returncode, done.stderr
 
-    def test_a_fleet_file_that_is_off_or_of_another_installation_is_one_line_and_exit_2(self):
+    def test_fleet_file_disabled_or_of_another_installation_exits_2_with_one_line(self):
         for text, more, key in (
             (TEXT.replace('true', 'false'), {'installation': 'here'}, 'enabled'),
             (TEXT, {}, 'installation'),
@@ -166,11 +171,11 @@
             ('seats = [', {'installation': 'here'}, ''),
         ):
             with self.subTest(key=key):
-                code, said = self.refused(text, **more)
-                self.assertEqual((code, said.count('\n')), (2, 1))
-                self.assertIn(key, said)
+                code, output = self.serve_with_fleet(text, **more)
+                self.assertEqual((code, output.count('\n')), (2, 1))
+                self.assertIn(key, output)
 
-    def test_the_pages_of_this_repository_name_no_installation(self):
+    def test_example_page_names_no_installation(self):
         with open(os.path.join(ROOT, 'deploy', 'example-page.json'), encoding='utf-8') as file:
             self.assertNotIn('installation', json.load(file))
 
