--- a/tests/trial/test_seat.py
+++ b/tests/trial/test_seat.py
@@ -1,4 +1,5 @@
-"""One seat and two processes of the program: an heir beside its elder, with no planner to be had, either stopped at a step."""
+"""Two processes share one seat during an upgrade without planners; either process may be stopped or
+killed."""
 
 import http.client
 import json
@@ -29,10 +30,10 @@
 """
 
 
-class Seat(Processes):
-    def begin(self, ready=True, **bends):
-        """As a node of a fleet whose planners are all gone."""
-        door, path, file = (
+class SeatLimit(Processes):
+    def begin(self, ready=True, **faults):
+        """Start a node of a fleet whose planners are all unreachable; return (process, operator port)."""
+        operator_port, path, file = (
             free(),
             os.path.join(self.folder.name, 'page.json'),
             os.path.join(self.folder.name, 'fleet.toml'),
@@ -45,7 +46,7 @@
             out.write(
                 page(
                     listen='127.0.0.1:%d' % self.listen,
-                    operator='127.0.0.1:%d' % door,
+                    operator='127.0.0.1:%d' % operator_port,
                     discovery='127.0.0.1:%d' % free(),
                     settings=SETTINGS,
                     installation='here-%d' % self.listen,
@@ -54,7 +55,7 @@
             )
         with open(file, 'w', encoding='utf-8') as out:
             out.write(FILE % (self.listen, LEASE, free(), MOST, MOST))
-        program = ['lilacdyke.trial.launch', json.dumps(bends)] if bends else ['lilacdyke']
+        program = ['lilacdyke.trial.launch', json.dumps(faults)] if faults else ['lilacdyke']
         process = subprocess.Popen(
             [sys.executable, '-m', *program, 'serve', '--config', path, '--fleet', file],
             stderr=subprocess.DEVNULL,
@@ -62,13 +63,14 @@
         )
         self.running.append(process)
         for _ in range(500 if ready else 0):
-            if self.call(door, 'GET', '/v1/readyz') == 200:
+            if self.call(operator_port, 'GET', '/v1/readyz') == 200:
                 break
             time.sleep(0.02)
-        return process, door
+        return process, operator_port
 
     def ask(self, seconds):
-        """Ask as fast as answers come, each on a connection of its own: (answered 200, refused 429, other)."""
+        """Send sequential requests on separate connections; return the numbers of [200, 429, other]
+        answers."""
         found, end = [0, 0, 0], time.monotonic() + seconds
         while time.monotonic() < end:
             link = http.client.HTTPConnection('127.0.0.1', self.listen, timeout=2)
@@ -81,28 +83,26 @@
                 link.close()
         return found
 
-    def served(self, since):
-        """The most that servers were asked for in any second."""
+    def max_rate(self, since):
+        """Return the maximum number of requests that servers received within one second."""
         times = sorted(at for server in self.servers.values() for at, _ in server.seen if at >= since)
         return max((sum(1 for other in times if at <= other < at + 1) for at in times), default=0)
 
-    def test_an_upgrade_never_spends_the_seat_twice_and_serves_on(self):
-        time.sleep(3 * LEASE)  # what a life before may have given has run out
+    def test_upgrade_keeps_the_seat_limit_and_serves_without_a_break(self):
+        time.sleep(3 * LEASE)  # leases of an earlier process have expired
         begun = time.monotonic()
-        alone = self.ask(1.0)
+        before = self.ask(1.0)
         new, _ = self.begin()
-        both = self.ask(
-            1.0
-        )  # the elder has half of the seat, the heir the other: new connections are the heir's
+        during = self.ask(1.0)  # each process has half of the seat, and the new one gets all new connections
         self.first.send_signal(signal.SIGTERM)
         self.assertEqual(self.first.wait(5), 0)
         time.sleep(3 * LEASE)
         after = self.ask(1.0)
-        self.assertLessEqual(self.served(begun), MOST * 1.1 + 3)
-        self.assertTrue(alone[0] > 0.8 * MOST and after[0] > 0.8 * MOST, (alone, both, after))
-        self.assertTrue(0.3 * MOST < both[0] < 0.6 * MOST, both)
+        self.assertLessEqual(self.max_rate(begun), MOST * 1.1 + 3)
+        self.assertTrue(before[0] > 0.8 * MOST and after[0] > 0.8 * MOST, (before, during, after))
+        self.assertTrue(0.3 * MOST < during[0] < 0.6 * MOST, during)
 
-    def test_a_stopped_elder_keeps_its_half_and_what_it_does_on_waking_is_within(self):
+    def test_stopped_old_process_keeps_its_half_and_stays_within_the_limit_when_resumed(self):
         time.sleep(3 * LEASE)
         begun = time.monotonic()
         self.begin()
@@ -110,10 +110,10 @@
         while_stopped = self.ask(4 * LEASE)
         self.first.send_signal(signal.SIGCONT)
         self.ask(1.0)
-        self.assertLessEqual(self.served(begun), MOST * 1.1 + 3)
+        self.assertLessEqual(self.max_rate(begun), MOST * 1.1 + 3)
         self.assertLess(while_stopped[0], 0.7 * MOST * 4 * LEASE)
 
-    def test_an_heir_that_dies_gives_its_half_back(self):
+    def test_killed_new_process_returns_its_half(self):
         time.sleep(3 * LEASE)
         new, _ = self.begin()
         time.sleep(2 * LEASE)
