--- a/lilacdyke/trial/cli.py
+++ b/lilacdyke/trial/cli.py
@@ -1,7 +1,6 @@
-"""`lilacdyke trial`: the words on its command line and its exit codes.
+"""The command group `lilacdyke trial`: its options, output and exit codes.
 
-Owns what is printed. Exit codes: 0 all well, 1 a rule broken, a void run or a mutant not caught, 2 wrong
-words.
+Exit codes: 0 success; 1 a violated rule, a void run or a mutant that was not caught; 2 invalid arguments.
 """
 
 import sys
@@ -16,28 +15,28 @@
 from .mutants import NAMES
 
 
-def parallel(tasks, jobs, each):
-    """Play (seed, mutant, fit) tasks, some at a time; each(task, verdict) as they end."""
+def run_parallel(tasks, jobs, each):
+    """Run (seed, mutant, fit) tasks on `jobs` threads; call each(task, verdict) as each one ends."""
     with ThreadPoolExecutor(jobs) as pool:
-        futures = {pool.submit(runs.one, *task): task for task in tasks}
+        futures = {pool.submit(runs.run_in_subprocess, *task): task for task in tasks}
         for done in as_completed(futures):
             each(futures[done], done.result())
 
 
-def show(found):
-    """One line of one trial."""
-    told = found.figures
+def print_verdict(found):
+    """Print a one-line summary of a trial and its first violations."""
+    measured = found.figures
     click.echo(
-        'seed %d%s: G %.3f, %s; %s; stood still for %.0f ms%s'
+        'seed %d%s: G %.3f, %s; %s; stalled for %.0f ms%s'
         % (
             found.seed,
             ' (%s)' % found.mutant if found.mutant else '',
-            told.get('G', 0.0),
-            ', '.join('%d %s' % (count, name) for name, count in told.get('answers', {}).items()),
+            measured.get('G', 0.0),
+            ', '.join('%d %s' % (count, name) for name, count in measured.get('answers', {}).items()),
             ' '.join('%d %s' % (count, name) for name, count in sorted(Counter(found.kinds).items()))
-            or 'no trouble',
+            or 'no faults',
             1e3 * found.still,
-            ', in %d tries' % found.tries if found.tries > 1 else '',
+            ', in %d attempts' % found.tries if found.tries > 1 else '',
         )
     )
     for rule, when, text in found.broken[:3]:
@@ -46,7 +45,7 @@
 
 @click.group()
 def trial():
-    """Real processes of the program with faults between and within them, on loopback."""
+    """Run real processes of the program with injected faults, on loopback."""
 
 
 @trial.command()
@@ -54,30 +53,32 @@
 @click.option(
     '--mutant',
     type=click.Choice(NAMES),
-    help='Break the program in this way, under troubles that should show it.',
+    help='Run this mutant of the program, under faults that should expose it.',
+)
+@click.option(
+    '--named', type=click.Choice(list(draw.NAMED)), help='Run a predefined trial instead of a drawn one.'
 )
-@click.option('--named', type=click.Choice(list(draw.NAMED)), help='One that is set, not drawn.')
 @click.option('--json', 'as_json', is_flag=True)
 def run(seed, mutant, named, as_json):
-    """Play and judge the trial of a seed."""
-    found = runs.one(seed, mutant, mutant or named)
+    """Run the trial of a seed and check its history."""
+    found = runs.run_in_subprocess(seed, mutant, mutant or named)
     if as_json:
         click.echo(msgspec.json.encode(found).decode())
     else:
-        show(found)
+        print_verdict(found)
     sys.exit(1 if found.broken else 0)
 
 
 @trial.command()
 @click.option('--seed', type=int, default=1, show_default=True)
 def show_(seed):
-    """Print what the trial of a seed is made of."""
+    """Print the scenario and the process faults of a seed."""
     from ..lab.scenario import write
 
     given = draw.scenario(seed)
     click.echo(write(given))
-    for name, bends in draw.bends(seed, given).items():
-        click.echo('# %s: %s' % (name, bends))
+    for name, process_faults in draw.process_faults(seed, given).items():
+        click.echo('# %s: %s' % (name, process_faults))
 
 
 trial.add_command(show_, 'show')
@@ -87,10 +88,12 @@
 @click.option('--seeds', type=click.IntRange(1), default=20, show_default=True)
 @click.option('--first', type=int, default=1, show_default=True)
 @click.option('--jobs', type=click.IntRange(1, 16), default=4, show_default=True)
-@click.option('--record', type=click.Path(dir_okay=False), help='Write each verdict there, a JSON line each.')
-@click.option('--verdicts', is_flag=True, help='Fleets with verdicts on servers, and the troubles of these.')
+@click.option(
+    '--record', type=click.Path(dir_okay=False), help='Write each verdict to this file as a JSON line.'
+)
+@click.option('--verdicts', is_flag=True, help='Use fleets with verdicts on servers, and faults of servers.')
 def explore(seeds, first, jobs, record, verdicts):
-    """Play the trials of so many seeds and judge them."""
+    """Run the trials of a range of seeds and check their histories."""
     begun, broken, tries, over = time.monotonic(), [], Counter(), defaultdict(list)
     file = open(record, 'ab') if record else None
 
@@ -102,9 +105,9 @@
             file.write(msgspec.json.encode(found) + b'\n')
         if found.broken:
             broken.append(found)
-            show(found)
+            print_verdict(found)
 
-    parallel(
+    run_parallel(
         [(seed, None, 'watched' if verdicts else None) for seed in range(first, first + seeds)], jobs, each
     )
     for name, values in sorted(over.items()):
@@ -129,19 +132,24 @@
 @click.option('--first', type=int, default=1, show_default=True)
 @click.option('--seconds', type=click.FloatRange(5, 600), default=60.0, show_default=True)
 @click.option('--nodes', type=click.IntRange(2, 40), default=16, show_default=True)
-@click.option('--jobs', type=click.IntRange(1, 8), default=2, show_default=True, help='Runs at a time.')
+@click.option(
+    '--jobs', type=click.IntRange(1, 8), default=2, show_default=True, help='Number of concurrent runs.'
+)
 def soak(seeds, first, seconds, nodes, jobs):
-    """Dozens of real processes with random, overlapping faults, also of their machines; one run a seed."""
+    """Run dozens of real processes with random, overlapping faults of links, processes and system calls."""
     from . import soak as soaking
 
     failed = 0
     with ThreadPoolExecutor(jobs) as pool:
-        tasks = [pool.submit(soaking.one, seed, seconds, nodes) for seed in range(first, first + seeds)]
+        tasks = [
+            pool.submit(soaking.run_in_subprocess, seed, seconds, nodes)
+            for seed in range(first, first + seeds)
+        ]
         for task in as_completed(tasks):
             found = task.result()
             failed += bool(found.broken)
             click.echo(
-                'seed %d: %s; %d processes, %d of %d served, %d changes kept, stood still for %.0f ms'
+                'seed %d: %s; %d processes, %d of %d served, %d changes kept, stalled for %.0f ms'
                 % (
                     found.seed,
                     'BROKEN' if found.broken else 'ok',
@@ -163,12 +171,15 @@
 @trial.command()
 @click.argument('names', metavar='[MUTANT]...', nargs=-1)
 @click.option(
-    '--seeds', type=click.IntRange(1), default=12, show_default=True, help='The most that each is tried with.'
+    '--seeds',
+    type=click.IntRange(1),
+    default=12,
+    show_default=True,
+    help='Maximum number of seeds per mutant.',
 )
 @click.option('--jobs', type=click.IntRange(1, 16), default=4, show_default=True)
 def mutants(names, seeds, jobs):
-    """Break the program on purpose: each mutant must be caught by a judge in a trial that the sound program
-    passes."""
+    """Check that each mutant is caught in a trial that the unmodified program passes."""
     unknown = [name for name in names if name not in NAMES]
     if unknown:
         click.echo(
@@ -177,20 +188,23 @@
         sys.exit(2)
     missed = 0
     with ThreadPoolExecutor(jobs) as pool:
-        for name, told in zip(names or NAMES, pool.map(lambda name: hunt(name, seeds), names or NAMES)):
-            missed += told is None
+        for name, caught in zip(
+            names or NAMES, pool.map(lambda name: find_catching_seed(name, seeds), names or NAMES)
+        ):
+            missed += caught is None
             click.echo(
-                '%-24s %s' % (name, 'not caught in %d' % seeds if told is None else '%s, seed %d: %s' % told)
+                '%-24s %s'
+                % (name, 'not caught in %d' % seeds if caught is None else '%s, seed %d: %s' % caught)
             )
     click.echo('%d of %d caught' % (len(names or NAMES) - missed, len(names or NAMES)))
     sys.exit(1 if missed else 0)
 
 
-def hunt(name, seeds):
-    """(rule, seed, what was seen) of the first trial that catches a mutant and that the sound program passes,
-    or None."""
+def find_catching_seed(name, seeds):
+    """Return (rule, seed, text) of the first trial that catches a mutant and that the unmodified program
+    passes, or None."""
     for seed in range(1, seeds + 1):
-        found = [row for row in runs.one(seed, name, name).broken if row[0] != 'void']
-        if found and not runs.one(seed, None, name).broken:
+        found = [row for row in runs.run_in_subprocess(seed, name, name).broken if row[0] != 'void']
+        if found and not runs.run_in_subprocess(seed, None, name).broken:
             return found[0][0], seed, found[0][2][:70]
     return None
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -1,6 +1,6 @@
-"""Trials by seed: a small fleet of real processes, limits, and a timeline of troubles.
+"""Draws trials from seeds: a small fleet of real processes, limits, and a timeline of faults.
 
-Owns what is drawn and how wide. Must never draw more processes or seconds than a machine of CI bears.
+The drawn sizes must stay within what a CI machine can run.
 """
 
 from random import Random
@@ -43,10 +43,10 @@
     'standstill': 3,
     'burst': 2,
 }
-# Where what a limit counts is counted at servers as it comes, bytes that were held up on their way would
-# count together.
-BETWEEN = {'cut': 3, 'delay': 2, 'silence': 1, 'cut_watch': 1}
-SIZES = {
+# Only for limits on open requests: limits on rates are measured on arrival at the servers, where delayed
+# bytes would arrive as a burst.
+SERVER_LINK_KINDS = {'cut': 3, 'delay': 2, 'silence': 1, 'cut_watch': 1}
+SIZE_RANGES = {
     'delay': (5, 60),
     'way_cut': (0, 3),
     'way_tear': (0, 3),
@@ -56,12 +56,12 @@
     'lower': (1, 8),
     'burst': (1.5, 3),
 }
-LEASE = 0.5
-STEPS = ('>plan.ledger:Bank.receive', '>plan.planner:Planner.told', '<plan.ledger:Bank.plan')
+LEASE_S = 0.5
+KILL_STEPS = ('>plan.ledger:Bank.receive', '>plan.planner:Planner.told', '<plan.ledger:Bank.plan')
 
 
 def scenario(seed, kinds=None, most=5, length=6.0):
-    """The trial of a seed. kinds: what its timeline is drawn from."""
+    """Return the trial of a seed. kinds: weight of each kind of fault in its timeline."""
     chance = Random('trial/%d' % seed)
     rate = chance.choice([60.0, 100.0])
     bounds = [
@@ -78,12 +78,12 @@
         bounds.append(Bound(name='links', most=chance.randint(9, 20), what='links'))
     kinds, events = dict(kinds or KINDS), []
     if bounds[0].what == 'open':
-        kinds.update(BETWEEN)
+        kinds.update(SERVER_LINK_KINDS)
     names = sorted(kinds)
     for _ in range(chance.randint(2, most)):
         kind = chance.choices(names, [kinds[name] for name in names])[0]
-        low, high = SIZES.get(kind, (4, 4))
-        span = chance.uniform(0.3, 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0)
+        low, high = SIZE_RANGES.get(kind, (4, 4))
+        span = chance.uniform(0.3, 10 * LEASE_S if kind in ('stop_planner', 'standstill') else 3.0)
         events.append(
             Event(
                 at_s=round(chance.uniform(0.3, length * 0.7), 2),
@@ -110,31 +110,31 @@
             ],
             clients=Clients(retries=1, fresh=0.05, notice_s=0.5),
             rules=Rules(warm_s=5.0),
-            planning=Planning(planners=3, lease_s=LEASE, seats=3, bounds=bounds),
+            planning=Planning(planners=3, lease_s=LEASE_S, seats=3, bounds=bounds),
             events=sorted(events, key=lambda event: event.at_s),
         )
     )
 
 
-def kills(made):
-    """Planners killed a hundred times under steady requests, each back a moment later with nothing."""
+def planner_kills(base):
+    """Kill planners a hundred times under constant load; each restarts shortly after without its state."""
     events = [
         Event(at_s=round(0.3 + 0.1 * number, 2), kind='kill_planner', what=[number % 3], for_s=0.05)
         for number in range(100)
     ]
     return replace(
-        made,
+        base,
         length_s=11.0,
         events=events,
-        planning=replace(made.planning, bounds=[Bound(name='reads', most=60.0, profile='read')]),
+        planning=replace(base.planning, bounds=[Bound(name='reads', most=60.0, profile='read')]),
     )
 
 
-def absurd(made):
-    """All links torn, thin, late or fed with old bytes, one after the other, in the midst of kills."""
+def mixed_link_faults(base):
+    """Truncate, throttle, delay, reset, refuse and replay on all links in turn, between planner kills."""
     names = ('way_tear', 'way_thin', 'way_replay', 'way_late', 'way_reset', 'way_refuse', 'kill_planner')
     return replace(
-        made,
+        base,
         length_s=9.0,
         events=[
             Event(
@@ -149,23 +149,23 @@
     )
 
 
-def calm(made):
-    """No trouble, and a limit that nobody comes near: what requests take."""
+def no_faults(base):
+    """Inject no faults, under a limit far above the load: the baseline latency of requests."""
     return replace(
-        made,
+        base,
         length_s=10.0,
         events=[],
-        planning=replace(made.planning, bounds=[Bound(name='reads', most=2_000.0)]),
+        planning=replace(base.planning, bounds=[Bound(name='reads', most=2_000.0)]),
     )
 
 
-def links(made):
-    """The same with all links in trouble all the time: what requests take because of them."""
-    return replace(absurd(made), length_s=10.0, planning=calm(made).planning)
+def constant_link_faults(base):
+    """Inject link faults all the time, under the same limit: the latency that they add."""
+    return replace(mixed_link_faults(base), length_s=10.0, planning=no_faults(base).planning)
 
 
-# Troubles of servers and their links, beside those of planners.
-WATCHED = {
+# Faults of servers and their links, besides those of planners.
+VERDICT_KINDS = {
     'slow': 4,
     'hung': 4,
     'garbled': 2,
@@ -195,13 +195,13 @@
 }
 
 
-def watched(made):
-    """Two sites with verdicts on servers, most of whose troubles are servers' and links'."""
-    chance = Random('watched/%d' % made.seed)
-    names, events = sorted(WATCHED), []
+def server_verdicts(base):
+    """Two sites with verdicts on servers, and mostly faults of servers and links."""
+    chance = Random('watched/%d' % base.seed)
+    names, events = sorted(VERDICT_KINDS), []
     for _ in range(chance.randint(2, 5)):
-        kind = chance.choices(names, [WATCHED[name] for name in names])[0]
-        low, high = SIZES.get(
+        kind = chance.choices(names, [VERDICT_KINDS[name] for name in names])[0]
+        low, high = SIZE_RANGES.get(
             kind,
             (0, 3)
             if kind == 'site_cut'
@@ -211,7 +211,7 @@
             if kind == 'garbled'
             else (4, 4),
         )
-        longest = 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0
+        longest = 10 * LEASE_S if kind in ('stop_planner', 'standstill') else 3.0
         events.append(
             Event(
                 at_s=round(chance.uniform(0.3, 5.5), 2),
@@ -223,21 +223,27 @@
         )
     bounds = [Bound(name='tries', what='tries', most=2.0)] if chance.random() < 0.3 else []
     return replace(
-        made,
+        base,
         length_s=8.0,
         nodes=4,
         kinds=[Kind(count=6, cores=4)],
         load=Load(rate=120.0, keys=300),
         events=sorted(events, key=lambda event: event.at_s),
-        planning=replace(made.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])),
+        planning=replace(base.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])),
     )
 
 
-NAMED = {'watched': watched, 'kills': kills, 'absurd': absurd, 'calm': calm, 'links': links}
+NAMED = {
+    'watched': server_verdicts,
+    'kills': planner_kills,
+    'absurd': mixed_link_faults,
+    'calm': no_faults,
+    'links': constant_link_faults,
+}
 
 
-def fitted(seed, fit):
-    """The trial of a seed, made to fit: to a mutant's troubles, or by the name of one that is set."""
+def scenario_for(seed, fit):
+    """Return the trial of a seed. fit: a predefined trial, a mutant whose faults it gets, or None."""
     if fit is None:
         return scenario(seed)
     if fit in NAMED:
@@ -247,9 +253,10 @@
     return check(MUTANTS[fit].fit(scenario(seed)))
 
 
-def bends(seed, given):
-    """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners
-    that die between two steps of their work: a gift taken and not lent yet, a plan made and not sent."""
+def process_faults(seed, given):
+    """Return the launcher's faults by process name: clock rates up to 5 % apart, steps of the wall clock, and
+    planners that are killed between two operations, such as after recording a deposit and before lending
+    it."""
     chance = Random('bends/%d' % seed)
     names = ['n%d' % number for number in range(given.nodes)] + [
         'p%d' % number for number in range(given.planning.planners)
@@ -257,11 +264,11 @@
     found = {}
     for name in names:
         if chance.random() < 0.4:
-            found[name] = {'rate': chance.choice([0.976, 1.024])}  # of true time: together a twentieth apart
+            found[name] = {'rate': chance.choice([0.976, 1.024])}  # relative to real time
         if chance.random() < 0.2:
             found.setdefault(name, {})['jumps'] = [
                 [chance.uniform(1, 5), chance.choice([-3600.0, 3600.0, -1.0])]
             ]
         if name[0] == 'p' and chance.random() < 0.25:
-            found.setdefault(name, {})['dies'] = {chance.choice(STEPS): chance.randint(2, 60)}
+            found.setdefault(name, {})['dies'] = {chance.choice(KILL_STEPS): chance.randint(2, 60)}
     return found
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -1,6 +1,6 @@
-"""Troubles of a trial: those of the lab that real processes can have, and those of the relays between them.
+"""Fault injection of trials: the lab's faults that apply to real processes, and faults of the relays.
 
-Owns what each kind does and takes back. Must never touch a process or a link that is not the trial's.
+Must never touch a process or a link that does not belong to the trial.
 """
 
 import signal
@@ -8,13 +8,13 @@
 from ..lab.faults import Faults
 from .relay import DOWN, UP
 
-SLICE = 40_000  # of a starved process's time, microseconds
+STARVE_SLICE_US = 40_000
 
 
-class Troubles(Faults):
-    """Plays a scenario's events with relays on every link."""
+class TrialFaults(Faults):
+    """Injects the faults of a scenario, with a relay on every link."""
 
-    left_over = (
+    unsupported = (
         'resets',
         'dribble',
         'deaf',
@@ -27,10 +27,10 @@
     )
 
     def plays(self, kind):
-        return kind not in self.left_over
+        return kind not in self.unsupported
 
-    def links(self, event, what, chance):
-        """The relays of a node to planners: of some of these."""
+    def planner_links(self, event, what, chance):
+        """Return the relays between these nodes and a random subset of the planners."""
         offices = self.stage.offices
         some = chance.sample(offices, chance.randint(1, len(offices))) if offices else []
         return [
@@ -39,85 +39,96 @@
             for office in some
         ]
 
-    def for_a_while(self, relays, change, span):
+    def apply_for(self, relays, change, span):
         for relay in relays:
             change(relay)
-            relay.moved()
+            relay.flush()
         self.stage.later(span, lambda: [relay.heal() for relay in relays])
 
     @staticmethod
-    def ways(relay, size):
-        """Which directions: up, down or both."""
-        return relay.ways if size >= 2 else relay.ways[DOWN:] if size >= 1 else relay.ways[: UP + 1]
+    def directions(relay, size):
+        """Return the affected directions: up (size below 1), down (below 2) or both."""
+        return (
+            relay.directions
+            if size >= 2
+            else relay.directions[DOWN:]
+            if size >= 1
+            else relay.directions[: UP + 1]
+        )
 
     def do_way_cut(self, index, event, what, span, chance):
-        """Silent, in one direction or both."""
-        self.for_a_while(
-            self.links(event, what, chance),
-            lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
+        """Drop traffic silently, in one direction or both."""
+        self.apply_for(
+            self.planner_links(event, what, chance),
+            lambda relay: [
+                setattr(direction, 'cut', True) for direction in self.directions(relay, event.size)
+            ],
             span,
         )
 
     def do_way_tear(self, index, event, what, span, chance):
-        """Some bytes still pass, then nothing: within a frame."""
-        self.for_a_while(
-            self.links(event, what, chance),
+        """Cut a link after some more bytes, which may be in the middle of a frame."""
+        self.apply_for(
+            self.planner_links(event, what, chance),
             lambda relay: [
-                setattr(way, 'torn', chance.randint(1, 60)) for way in self.ways(relay, event.size)
+                setattr(direction, 'cut_after', chance.randint(1, 60))
+                for direction in self.directions(relay, event.size)
             ],
             span,
         )
 
     def do_way_late(self, index, event, what, span, chance):
-        """Seconds on the way, in order."""
+        """Delay traffic by up to seconds, without reordering."""
 
         def change(relay):
-            for way in relay.ways:
-                way.late, way.jitter = int(event.size * 5e5), int(event.size * 5e5)
+            for direction in relay.directions:
+                direction.delay, direction.jitter = int(event.size * 5e5), int(event.size * 5e5)
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, chance), change, span)
 
     def do_way_thin(self, index, event, what, span, chance):
-        """Few bytes a second."""
-        self.for_a_while(
-            self.links(event, what, chance),
-            lambda relay: [setattr(way, 'pace', 20 + 100 * event.size) for way in relay.ways],
+        """Throttle a link to few bytes per second."""
+        self.apply_for(
+            self.planner_links(event, what, chance),
+            lambda relay: [
+                setattr(direction, 'bytes_per_s', 20 + 100 * event.size) for direction in relay.directions
+            ],
             span,
         )
 
     def do_way_reset(self, index, event, what, span, chance):
-        self.for_a_while(self.links(event, what, chance), lambda relay: relay.reset(), span)
+        self.apply_for(self.planner_links(event, what, chance), lambda relay: relay.reset(), span)
 
     def do_way_refuse(self, index, event, what, span, chance):
         def change(relay):
             relay.refuse()
             relay.reset()
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, chance), change, span)
 
     def do_way_replay(self, index, event, what, span, chance):
-        """Reset, and the next connection begins with an older one's bytes."""
+        """Reset a link; the next connection starts with the first bytes of an earlier one."""
 
         def change(relay):
             relay.reset()
-            relay.tells_old = True
+            relay.replays = True
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, chance), change, span)
 
     def do_cut_planner(self, index, event, what, span, chance):
-        """Cut off from all."""
+        """Partition planners from all nodes."""
         self.part(what, self.stage.places, span)
 
     def do_part_planner(self, index, event, what, span, chance):
-        """Cut off from the first half of the nodes."""
+        """Partition planners from the first half of the nodes."""
         self.part(what, self.stage.places[: max(1, len(self.stage.places) // 2)], span)
 
     def part(self, what, places, span):
         def change(relay):
-            for way in relay.ways:
-                way.cut = True
+            for direction in relay.directions:
+                direction.cut = True
 
-        self.for_a_while(
+        self.apply_for(
             [
                 self.stage.ground.relays[place.name, office.name]
                 for place in places
@@ -129,10 +140,10 @@
 
     def do_late_planner(self, index, event, what, span, chance):
         def change(relay):
-            for way in relay.ways:
-                way.late = int(event.size * 5e5)
+            for direction in relay.directions:
+                direction.delay = int(event.size * 5e5)
 
-        self.for_a_while(
+        self.apply_for(
             [
                 self.stage.ground.relays[place.name, office.name]
                 for place in self.stage.places
@@ -143,14 +154,14 @@
         )
 
     def do_cut(self, index, event, what, span, chance):
-        """Sites are cut off from the others: nodes and caches; planners are in no site."""
+        """Partition the nodes and caches of some zones from the others; planners belong to no zone."""
         zones = {self.stage.zones[number] for number in what}
 
         def change(relay):
-            for way in relay.ways:
-                way.cut = True
+            for direction in relay.directions:
+                direction.cut = True
 
-        self.for_a_while(
+        self.apply_for(
             [
                 relay
                 for (name, other), relay in self.stage.ground.relays.items()
@@ -166,19 +177,21 @@
         return server is not None and (place.zone in zones) != (server.model.zone in zones)
 
     def do_site_cut(self, index, event, what, span, chance):
-        """One site is cut off from these servers, in one direction or both; others reach them."""
+        """Partition one zone from these servers, in one direction or both; other zones still reach them."""
         zone, names = (
             self.stage.zones[index % len(self.stage.zones)],
             {server.name for server in self.numbered(what)},
         )
         here = {place.name for place in self.stage.places if place.zone == zone}
-        self.for_a_while(
+        self.apply_for(
             [
                 relay
                 for (name, other), relay in self.stage.ground.relays.items()
                 if name in here and other in names
             ],
-            lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
+            lambda relay: [
+                setattr(direction, 'cut', True) for direction in self.directions(relay, event.size)
+            ],
             span,
         )
 
@@ -186,15 +199,15 @@
         names = {server.name for server in self.numbered(what)}
 
         def change(relay):
-            for way in relay.ways:
-                way.late = int(event.size * 1_000)
+            for direction in relay.directions:
+                direction.delay = int(event.size * 1_000)
 
-        self.for_a_while(
+        self.apply_for(
             [relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span
         )
 
     def do_starve(self, index, event, what, span, chance):
-        """Most of the time the process gets no processor: a few milliseconds in each slice."""
+        """Starve a process of CPU: it runs for a few milliseconds between longer stops."""
         end = self.stage.clock() + span
         for place in self.places(what):
             self.starve(place, place.running, end, False)
@@ -206,4 +219,11 @@
             running.signal(signal.SIGCONT)
             return
         running.signal(signal.SIGCONT if stopped else signal.SIGSTOP)
-        self.stage.later(SLICE // 8 if stopped else SLICE, self.starve, place, running, end, not stopped)
+        self.stage.later(
+            STARVE_SLICE_US // 8 if stopped else STARVE_SLICE_US,
+            self.starve,
+            place,
+            running,
+            end,
+            not stopped,
+        )
--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -1,6 +1,7 @@
-"""How long a task is without a holder, by what happened; and what voters cost with many seekers.
+"""Measures how long a task has no lease holder after each kind of fault, and the load of many seekers on
+voters.
 
-Owns scripted troubles on the ground of holders.py, and the table. Must never judge.
+Runs scripted faults on the setup of holders.py and prints the results; it checks no rule.
 
     python -m lilacdyke.trial.gaps gaps [--times N]
     python -m lilacdyke.trial.gaps load [--seekers N] [--tasks N] [--seconds N] [--lease S]
@@ -23,21 +24,21 @@
 from ..plan import limits
 from ..plan.lease import Lease, ToVoter
 from ..values import SECOND
-from .holders import VOTERS, Field
-from .load import processor
+from .holders import VOTERS, LeaseTrial
+from .load import process_usage
 
 KINDS = ('release', 'kill', 'cut', 'one way', 'voter', 'roll')
 
 
-class Scripted(Field):
-    """The same trouble again and again, each time on whoever holds."""
+class ScriptedTrial(LeaseTrial):
+    """Injects the same fault repeatedly, each time on the current holder."""
 
     def __init__(self, kind, times, folder, reactor):
-        self.kind, self.times, self.keeps = kind, times, 0.0 if kind == 'release' else 2.0
+        self.kind, self.times, self.keep_probability = kind, times, 0.0 if kind == 'release' else 2.0
         super().__init__(1, folder, reactor)
-        self.marks = []  # when the trouble came
+        self.fault_times = []
 
-    def bent(self):
+    def draw_clock_faults(self):
         return {}
 
     def begin(self):
@@ -45,46 +46,51 @@
             self.start(name)
         every = 1.0 if self.kind == 'release' else 4.5 * self.lease + 0.6
         for number in range(self.times):
-            self.reactor.callLater(3 + every * number, self.trouble)
+            self.reactor.callLater(3 + every * number, self.inject)
         self.reactor.callLater(3 + every * self.times, self.end)
 
     def holder(self):
         return next((row[3] for row in reversed(self.resource.rows) if row[1] == 'begin' and row[4]), 's0')
 
-    def trouble(self):
+    def inject(self):
         name = self.holder()
-        self.marks.append(time.monotonic())
+        self.fault_times.append(time.monotonic())
         if self.kind == 'kill':
             self.kill(name)
             self.reactor.callLater(0.3, self.start, name)
         elif self.kind in ('cut', 'one way'):
-            self.for_a_while(
-                lambda relay: [setattr(way, 'cut', True) for way in relay.ways[self.kind == 'one way' :]],
+            self.apply_for(
+                lambda relay: [
+                    setattr(direction, 'cut', True)
+                    for direction in relay.directions[self.kind == 'one way' :]
+                ],
                 3 * self.lease,
                 [self.relays[name, 'p%d' % number] for number in range(VOTERS)],
             )
         elif self.kind in ('voter', 'roll'):
-            voter = 'p%d' % (len(self.marks) % VOTERS)
+            voter = 'p%d' % (len(self.fault_times) % VOTERS)
             self.kill(voter)
             self.reactor.callLater(0.1 if self.kind == 'roll' else 2 * self.lease, self.start, voter)
 
-    def found(self):
-        """Seconds: from each trouble to the next holder's first act (kill, cut), or the longest between two
-        acts that it spans (the others)."""
+    def measured(self):
+        """Return the gap of each fault in seconds: up to the next holder's first act (kill, cut, one way),
+        between two holders (release), or the longest time between two acts after the fault (the others)."""
         acts = [(row[0], row[2]) for row in self.resource.rows if row[1] == 'begin' and row[4]]
         if self.kind in ('kill', 'cut', 'one way'):
-            had = [max((number for at, number in acts if at <= mark), default=0) for mark in self.marks]
+            numbers_before = [
+                max((number for at, number in acts if at <= mark), default=0) for mark in self.fault_times
+            ]
             return [
                 next((at - mark for at, number in acts if number > before), float('inf'))
-                for mark, before in zip(self.marks, had)
+                for mark, before in zip(self.fault_times, numbers_before)
             ]
         if self.kind == 'release':
             return [
                 later[0] - at
                 for (at, number), later in zip(acts, acts[1:])
-                if later[1] != number and at > self.marks[0]
+                if later[1] != number and at > self.fault_times[0]
             ]
-        spans = zip(self.marks, [*self.marks[1:], self.marks[-1] + 4 * self.lease])
+        spans = zip(self.fault_times, [*self.fault_times[1:], self.fault_times[-1] + 4 * self.lease])
         return [
             max(
                 (later[0] - at for (at, _), later in zip(acts, acts[1:]) if begin <= later[0] <= end),
@@ -96,16 +102,16 @@
 
 @click.group()
 def main():
-    """Measurements of leases."""
+    """Measure leases of tasks."""
 
 
 @main.command()
 @click.option('--times', type=click.IntRange(1, 500), default=15, show_default=True)
 @click.option(
-    '--kind', type=click.Choice(KINDS), help='One of them, in this process; by default all, side by side.'
+    '--kind', type=click.Choice(KINDS), help='Measure one kind in this process; by default all, concurrently.'
 )
 def gaps(times, kind):
-    """Time without a holder, leases of 0.4 s."""
+    """Measure the time without a holder, with leases of 0.4 s."""
     if kind is None:
         for running in [
             subprocess.Popen(
@@ -117,18 +123,18 @@
         return
     reactor = Reactor()
     with tempfile.TemporaryDirectory() as folder:
-        field = Scripted(kind, times, folder, reactor)
-        reactor.callWhenRunning(field.begin)
+        trial = ScriptedTrial(kind, times, folder, reactor)
+        reactor.callWhenRunning(trial.begin)
         reactor.run()
-        found = sorted(field.found())
+        measured = sorted(trial.measured())
     click.echo(
         '%-8s %4d times: median %.3f s, 99th %.3f s, most %.3f s'
         % (
             kind,
-            len(found),
-            found[len(found) // 2],
-            found[min(len(found) - 1, len(found) * 99 // 100)],
-            found[-1],
+            len(measured),
+            measured[len(measured) // 2],
+            measured[min(len(measured) - 1, len(measured) * 99 // 100)],
+            measured[-1],
         )
     )
 
@@ -139,7 +145,7 @@
 @click.option('--seconds', type=click.FloatRange(1, 120), default=10.0, show_default=True)
 @click.option('--lease', type=click.FloatRange(0.2, 60), default=5.0, show_default=True)
 def load(seekers, tasks, seconds, lease):
-    """Messages and processor time of three voters; leases lost by the machine's own standstills."""
+    """Measure messages and CPU time of three voters, and leases lost to stalls of the machine."""
     reactor = Reactor()
     with tempfile.TemporaryDirectory() as folder:
         path, port, planners = os.path.join(folder, 'fleet.toml'), 20_000 + os.getpid() % 20_000, []
@@ -187,18 +193,18 @@
                     stderr=subprocess.DEVNULL,
                 )
             )
-        counts, told = Counter(), ToVoter.dataReceived
+        counts, original = Counter(), ToVoter.dataReceived
 
         def counting(self, data):
             counts['frames'] += 1
-            told(self, data)
+            original(self, data)
 
         ToVoter.dataReceived = counting
         try:
             time.sleep(1.5)
             fleet, zero = limits.read(path), time.monotonic() - 1
             deadlines = Deadlines(lambda: int((time.monotonic() - zero) * SECOND), reactor.callLater)
-            chance, found = Random(1).random, {}
+            chance, measured = Random(1).random, {}
             for number in range(seekers):
                 Lease(
                     reactor,
@@ -213,20 +219,24 @@
 
             def begin():
                 counts.clear()
-                found.update(
-                    {planner.pid: processor(planner.pid)[0] for planner in planners}, at=time.monotonic()
+                measured.update(
+                    {planner.pid: process_usage(planner.pid)[0] for planner in planners}, at=time.monotonic()
                 )
 
             def end():
-                took = time.monotonic() - found['at']
-                each = [100 * (processor(planner.pid)[0] - found[planner.pid]) / took for planner in planners]
+                elapsed = time.monotonic() - measured['at']
+                each = [
+                    100 * (process_usage(planner.pid)[0] - measured[planner.pid]) / elapsed
+                    for planner in planners
+                ]
                 click.echo(
-                    '%d seekers, %d tasks, leases of %g s: %.0f answers a second from three voters, each at %.1f%% of a core; %d leases lost, %d got'
+                    '%d seekers, %d tasks, leases of %g s: %.0f answers a second from three voters, '
+                    'each at %.1f%% of a core; %d leases lost, %d got'
                     % (
                         seekers,
                         tasks,
                         lease,
-                        counts['frames'] / took,
+                        counts['frames'] / elapsed,
                         sum(each) / len(each),
                         counts['lost'],
                         counts['got'],
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -1,8 +1,8 @@
-"""The trial's ground: the lab's stand-ins on loopback, the program's own processes, and a relay on every link
-between them.
+"""The environment of a trial: the lab's stand-ins on loopback, real processes of the program, and a relay on
+every link between them.
 
-Owns the relays, what each process is bent by, and the witness of the machine's own standstills. Must never
-leave a process behind: each asks the kernel to be killed with this one (launch.py).
+Also measures stalls of the machine. Must never leave a process behind: each asks the kernel to be killed
+together with this one (launch.py).
 """
 
 import json
@@ -11,15 +11,15 @@
 import sys
 
 from ..lab import loopback
-from .faults import Troubles
+from .faults import TrialFaults
 from .relay import Relay
 
-BEHIND = 100  # what is added to an address's second byte for who stands behind a relay
-STILL = 0.25  # seconds that the machine may stand still in a sound run
+TARGET_OFFSET = 100  # added to the second byte of the address of a server behind a relay
+MAX_STALL_S = 0.25  # a run with a longer stall of the machine is void
 
 
-class Stillness:
-    """A process that does nothing but look at the clock: the longest that the machine kept it from that."""
+class StallMonitor:
+    """Measures the longest stall of the machine, in a process that only sleeps and reads the clock."""
 
     CODE = (
         'import ctypes, os, sys, time\n'
@@ -41,122 +41,123 @@
         )
 
     def longest(self):
-        """End it; seconds."""
+        """End the process and return the longest stall in seconds."""
         with open(self.end, 'w', encoding='ascii'):
             pass
         return float(self.process.communicate(timeout=10)[0])
 
 
 class Planning(loopback.Planning):
-    """A planner process that may die by itself, at a step; it is started again a moment later, with nothing
-    and no such step."""
+    """A planner process that may be killed at a step; it is then restarted without its state and without that
+    fault."""
 
     def __init__(self, ground, office):
         super().__init__(ground, office)
-        self.look()
+        self.check_exit()
 
-    def look(self):
-        """Whether it has died."""
+    def check_exit(self):
+        """Restart the planner if its process has exited."""
         stage = self.ground.stage
         if self.office.running not in (None, self) or stage.closing:
             return
         if self.popen.poll() is not None and self.office.running is self:
             stage.see('planner', self.office.name, 'died')
-            self.ground.bends.get(self.office.name, {}).pop('dies', None)
+            self.ground.process_faults.get(self.office.name, {}).pop('dies', None)
             self.office.running = None
             self.ground.later(300_000, stage.start_planner, self.office)
         else:
-            self.ground.later(50_000, self.look)
+            self.ground.later(50_000, self.check_exit)
 
 
 class Ground(loopback.Ground):
-    """Real processes with faults between them. bends: by a process's name, what launch.py does to it."""
+    """Real processes with relays between them. process_faults: launch.py's faults by process name."""
 
-    def __init__(self, scenario, seed, reactor, bends=None, mutant=None):
+    def __init__(self, scenario, seed, reactor, process_faults=None, mutant=None):
         super().__init__(scenario, seed, reactor)
-        self.bends, self.mutant = bends or {}, mutant
-        self.relays = {}  # by node and by who it reaches
+        self.process_faults, self.mutant = process_faults or {}, mutant
+        self.relays = {}  # by (node, peer)
 
     def faults(self, stage):
-        return Troubles(stage)
+        return TrialFaults(stage)
 
     def start_planner(self, office):
         return Planning(self, office)
 
     def program(self, name):
-        told = dict(self.bends.get(name, {}), history=os.path.join(self.folder, name + '.history'))
+        options = dict(
+            self.process_faults.get(name, {}), history=os.path.join(self.folder, name + '.history')
+        )
         if self.scenario.planning.span_s and name[0] == 'n':
-            told['eyes'] = True
+            options['eyes'] = True
         if self.mutant:
-            told['mutant'] = self.mutant
-        return [sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(told)]
+            options['mutant'] = self.mutant
+        return [sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(options)]
 
     # --- links ------------------------------------------------------------------------------------------
 
     @staticmethod
-    def behind(host):
-        """Where the one stands whom a relay at this address reaches."""
+    def target_host(host):
+        """Return the address of the server behind the relay at this address."""
         first, second, rest = host.split('.', 2)
-        return '%s.%d.%s' % (first, int(second) + BEHIND, rest)
+        return '%s.%d.%s' % (first, int(second) + TARGET_OFFSET, rest)
 
     def node_of(self, transport):
-        return 'n%d' % (int(transport.getHost().host.split('.')[1]) - 32 - BEHIND)
+        return 'n%d' % (int(transport.getHost().host.split('.')[1]) - 32 - TARGET_OFFSET)
 
     def listen(self, factory, address):
         if address[0].startswith('127.2.'):
             made = []
             for place in self.stage.places:
                 host, _, port = self.seen_as(place.number, address).rpartition(':')
-                made.append(self.reactor.listenTCP(int(port), factory, 1024, self.behind(host)))
-                self.relay(place.name, factory.name, (host, int(port)))
+                made.append(self.reactor.listenTCP(int(port), factory, 1024, self.target_host(host)))
+                self.relay_between(place.name, factory.name, (host, int(port)))
             return loopback.Ports(made)
         if address[0].startswith('127.3.'):
             here = (address[0], self.port(address[1]))
-            self.relay(factory.node, 'agent', here)
-            return self.reactor.listenTCP(here[1], factory, 1024, self.behind(here[0]))
+            self.relay_between(factory.node, 'agent', here)
+            return self.reactor.listenTCP(here[1], factory, 1024, self.target_host(here[0]))
         return super().listen(factory, address)
 
-    def relay(self, name, other, here, there=None):
-        """The relay between two, made when it is first needed."""
+    def relay_between(self, name, other, here, target=None):
+        """Return the relay between two processes, creating it on first use."""
         made = self.relays.get((name, other))
         if made is None or made.here != here:
             if made is not None:
                 made.refuse()
             made = self.relays[name, other] = Relay(
-                self, '%s>%s' % (name, other), here, there or (self.behind(here[0]), here[1])
+                self, '%s>%s' % (name, other), here, target or (self.target_host(here[0]), here[1])
             )
             made.open()
         return made
 
     def planner_for(self, place, office):
         here = ('127.%d.%d.1' % (64 + place.number, office.number + 1), self.port(office.address[1]))
-        self.relay(place.name, office.name, here, (office.address[0], here[1]))
+        self.relay_between(place.name, office.name, here, (office.address[0], here[1]))
         return '%s:%d' % here
 
     def histories(self):
-        """What forwarders wrote of servers, as rows: their stamps are of this machine's one clock, and so is
-        the run's."""
+        """Return what forwarders recorded of servers, as rows stamped relative to the run's start."""
         rows = []
         for place in self.stage.places:
             path = os.path.join(self.folder, place.name + '.history')
             if os.path.exists(path):
                 with open(path, encoding='utf-8') as file:
-                    told = [json.loads(line) for line in file]
+                    recorded = [json.loads(line) for line in file]
                 rows += [
                     (line['row'][0], int((line['at'] - self.zero) * 1e6), *line['row'][1:])
-                    for line in told
+                    for line in recorded
                     if line['what'] == 'eyes'
                 ]
         return rows
 
 
-def play(scenario, seed, bends=None, mutant=None):
-    """Play on real processes; (Stage, seconds that the machine stood still at the longest)."""
+def play(scenario, seed, process_faults=None, mutant=None):
+    """Run a scenario on real processes; return (Stage, longest stall of the machine in seconds)."""
     made = []
 
     def build(*given):
-        made.append(Ground(*given, bends, mutant))
+        made.append(Ground(*given, process_faults, mutant))
         return made[0]
 
-    stage = loopback.play(scenario, seed, build=build, around=Stillness)
+    stage = loopback.play(scenario, seed, build=build, around=StallMonitor)
     return stage, made[0].still
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -1,8 +1,8 @@
-"""Leases for tasks among real processes: planners that vote, processes that seek one task and act on a
-resource, a relay on every link, faults by seed.
+"""Trials of task leases among real processes: planners that vote, processes that seek the lease of one task
+and act on a resource, a relay on every link, and faults drawn from a seed.
 
-Owns the resource (it refuses numbers lower than one it has seen), the faults, and the judge of acts and of
-times of holding. Must never judge by what voters say, nor leave a process behind.
+The resource rejects fencing numbers lower than the highest it has seen. Must never rely on what voters
+report, nor leave a process behind.
 
 python -m lilacdyke.trial.holders [--seeds N] [--first N] [--jobs N] [--mutant NAME]
 """
@@ -26,12 +26,12 @@
 from ..net.system import System
 from ..plan.book import Book
 from ..plan.leases import Seeker, Voter
-from .ground import STILL, Stillness
+from .ground import MAX_STALL_S, StallMonitor
 from .relay import DOWN, UP, Relay
 
-VOTERS, SEEKERS, LEASE, LENGTH = 3, 4, 0.4, 9.0
-KEEPS = 0.02  # chance that a holder does not give the lease back at once
-TROUBLES = {
+VOTERS, SEEKERS, LEASE, LENGTH_S = 3, 4, 0.4, 9.0
+KEEP_PROBABILITY = 0.02  # of a holder that does not release the lease after a few acts
+FAULT_WEIGHTS = {
     'kill_voter': 4,
     'all_voters': 1,
     'stop_voter': 2,
@@ -44,30 +44,30 @@
     'way_replay': 2,
     'apart': 3,
 }
-STOPS = ('stop_seeker', 'stop_voter')
-STEP = '<trial.seeker:Worker.looked'
+STOP_KINDS = ('stop_seeker', 'stop_voter')
+STEP = '<trial.seeker:Worker.before_act'
 
 
-def unsilent(put):
-    usual = Voter.__init__
+def votes_at_once(put):
+    original = Voter.__init__
 
     def begin(self, now, *given):
-        usual(self, now, *given)
+        original(self, now, *given)
         self.mute = now - 1
 
     put(Voter, '__init__', begin)
 
 
-def forgetful(put):
-    usual = Voter.ask
+def ignores_lease(put):
+    original = Voter.ask
     put(
         Voter,
         'ask',
-        lambda self, now, task, life, seq, number, mine: usual(self, now, task, life, seq, number, None),
+        lambda self, now, task, life, seq, number, mine: original(self, now, task, life, seq, number, None),
     )
 
 
-def same_number(put):
+def reuses_number(put):
     def most_ask(self, now):
         self.number = max(self.yes.values())
         self.holds()
@@ -75,42 +75,44 @@
     put(Seeker, 'most_ask', most_ask)
 
 
-def bookless(put):
-    usual = Book.read
+def ignores_file(put):
+    original = Book.read
 
     def read(self):
-        usual(self)
+        original(self)
         self.bound = 0
         return self
 
     put(Book, 'read', read)
 
 
-def looks_once(put):
+def never_expires(put):
     put(Seeker, 'held', lambda self, now: self.until is not None)
 
 
-def anybody_releases(put):
-    usual = Voter.released
+def releases_for_any(put):
+    original = Voter.released
     put(
-        Voter, 'released', lambda self, task, life, mine: usual(self, task, mine.life if mine else life, mine)
+        Voter,
+        'released',
+        lambda self, task, life, mine: original(self, task, mine.life if mine else life, mine),
     )
 
 
-# Broken forms that trials must find; more of them are found by the search (tests/plan/test_leases.py).
-BROKEN = {
-    'unsilent': unsilent,
-    'forgetful': forgetful,
-    'same-number': same_number,
-    'bookless': bookless,
-    'looks-once': looks_once,
-    'anybody-releases': anybody_releases,
+# Mutants that trials must catch; the search catches more of them (tests/plan/test_leases.py).
+LEASE_MUTANTS = {
+    'unsilent': votes_at_once,
+    'forgetful': ignores_lease,
+    'same-number': reuses_number,
+    'bookless': ignores_file,
+    'looks-once': never_expires,
+    'anybody-releases': releases_for_any,
 }
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What came of one trial. changes: of the holder; gaps: seconds without a holder, the longest; still: how
-    long the machine stood still."""
+    """The result of one trial. changes: how often the lease was acquired; longest: longest time without a
+    holder; still: longest stall of the machine; both in seconds."""
 
     seed: int
     broken: list[tuple[str, float, str]] = []
@@ -123,8 +125,8 @@
     void: bool = False
 
 
-class AtResource(Protocol):
-    """One process at the resource."""
+class ResourceConnection(Protocol):
+    """The connection of one process to the resource."""
 
     def __init__(self, resource):
         self.resource, self.rest = resource, b''
@@ -133,13 +135,13 @@
         *lines, self.rest = (self.rest + data).split(b'\n')
         for line in lines:
             verb, number, name = line.split()
-            answer = self.resource.told(verb.decode(), int(number), name.decode())
+            answer = self.resource.handle(verb.decode(), int(number), name.decode())
             if answer is not None:
                 self.transport.write(b'yes\n' if answer else b'no\n')
 
 
 class Resource(Factory):
-    """What is acted on. rows: (when, verb, number, who, whether it was taken), on the driver's clock."""
+    """The resource that holders act on. rows: (time, verb, number, process, accepted)."""
 
     noisy = False
 
@@ -147,9 +149,9 @@
         self.highest, self.rows = 0, []
 
     def buildProtocol(self, addr):
-        return AtResource(self)
+        return ResourceConnection(self)
 
-    def told(self, verb, number, name):
+    def handle(self, verb, number, name):
         taken = number >= self.highest
         if taken:
             self.highest = number
@@ -157,14 +159,14 @@
         return taken if verb == 'begin' else None
 
 
-class Field:
-    """One trial's processes and links."""
+class LeaseTrial:
+    """The processes, links and faults of one trial."""
 
-    keeps, lease = KEEPS, LEASE
+    keep_probability, lease = KEEP_PROBABILITY, LEASE
 
     def __init__(self, seed, folder, reactor, mutant=None):
         self.seed, self.folder, self.reactor, self.mutant = seed, folder, reactor, mutant
-        self.zero, self.draw = time.monotonic(), Random('holders/%d' % seed)
+        self.zero, self.rng = time.monotonic(), Random('holders/%d' % seed)
         self.resource, self.relays, self.running, self.closing, self.kinds = Resource(), {}, {}, False, []
         while True:
             self.port = 20_000 + Random(os.urandom(4)).randrange(9_000) * 2
@@ -172,7 +174,7 @@
             if self.kept is not None:
                 break
         reactor.listenTCP(self.port, self.resource, 64, '127.9.1.1')
-        self.bends = {name: self.bent() for name in self.names()}
+        self.process_faults = {name: self.draw_clock_faults() for name in self.names()}
         for name in self.names():
             self.write(name)
 
@@ -180,14 +182,14 @@
     def names():
         return ['p%d' % number for number in range(VOTERS)] + ['s%d' % number for number in range(SEEKERS)]
 
-    def bent(self):
-        """Clocks up to a twentieth apart, some whose Unix time steps, by an hour back too."""
-        found = {'rate': self.draw.choice([0.976, 1.0, 1.024])}
-        if self.draw.random() < 0.3:
-            found['jumps'] = [[self.draw.uniform(1, 6), self.draw.choice([-3600.0, 3600.0])]]
+    def draw_clock_faults(self):
+        """Draw clock rates up to 5 % apart and steps of the wall clock of an hour either way."""
+        found = {'rate': self.rng.choice([0.976, 1.0, 1.024])}
+        if self.rng.random() < 0.3:
+            found['jumps'] = [[self.rng.uniform(1, 6), self.rng.choice([-3600.0, 3600.0])]]
         return found
 
-    # --- as relays have it --------------------------------------------------------------------------------
+    # --- interface of relays ------------------------------------------------------------------------------
 
     def clock(self):
         return int((time.monotonic() - self.zero) * 1e6)
@@ -201,7 +203,7 @@
     # --- processes --------------------------------------------------------------------------------------
 
     def write(self, name):
-        """Its fleet file: a seeker reaches each voter through a relay of its own."""
+        """Write the fleet file of a process; a seeker reaches each voter through a separate relay."""
         rows = []
         for number in range(VOTERS):
             there = ('127.9.0.%d' % (number + 1), self.port)
@@ -242,23 +244,31 @@
             )
 
     def start(self, name, stops=0):
-        """Start a process; stops: how often it stops itself between look and act."""
+        """Start a process. stops: how often it stops itself between checking the lease and acting."""
         if self.closing or name in self.running:
             return
-        bends = dict(self.bends[name], history=self.history(name))
+        process_faults = dict(self.process_faults[name], history=self.history(name))
         if self.mutant:
-            bends['mutant'] = self.mutant
+            process_faults['mutant'] = self.mutant
         if stops:
-            bends['stops'] = {STEP: stops}
+            process_faults['stops'] = {STEP: stops}
         path = os.path.join(self.folder, name + '.toml')
         words = (
             ['plan', '--file', path, '--name', name]
             if name[0] == 'p'
-            else ['seek', path, name, '127.9.1.1', str(self.port), self.history(name), str(self.keeps)]
+            else [
+                'seek',
+                path,
+                name,
+                '127.9.1.1',
+                str(self.port),
+                self.history(name),
+                str(self.keep_probability),
+            ]
         )
         with open(os.path.join(self.folder, name + '.log'), 'ab') as log:
             self.running[name] = subprocess.Popen(
-                [sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(bends), *words],
+                [sys.executable, '-m', 'lilacdyke.trial.launch', json.dumps(process_faults), *words],
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
@@ -278,26 +288,26 @@
         if running is not None and running.poll() is None:
             running.send_signal(number)
 
-    # --- troubles ---------------------------------------------------------------------------------------
+    # --- faults -----------------------------------------------------------------------------------------
 
     def begin(self):
         for name in self.names():
             self.start(name)
-        names = sorted(TROUBLES)
-        for _ in range(self.draw.randint(3, 9)):
-            kind = self.draw.choices(names, [TROUBLES[name] for name in names])[0]
+        names = sorted(FAULT_WEIGHTS)
+        for _ in range(self.rng.randint(3, 9)):
+            kind = self.rng.choices(names, [FAULT_WEIGHTS[name] for name in names])[0]
             self.kinds.append(kind)
             self.reactor.callLater(
-                self.draw.uniform(1.5, LENGTH - 2),
+                self.rng.uniform(1.5, LENGTH_S - 2),
                 getattr(self, 'do_' + kind),
-                self.draw.uniform(0.05, 3 * LEASE),
+                self.rng.uniform(0.05, 3 * LEASE),
             )
 
-    def pick(self, letter):
-        return self.draw.choice([name for name in self.names() if name[0] == letter])
+    def choose_process(self, letter):
+        return self.rng.choice([name for name in self.names() if name[0] == letter])
 
     def do_kill_voter(self, span):
-        name = self.pick('p')
+        name = self.choose_process('p')
         self.kill(name)
         self.reactor.callLater(span, self.start, name)
 
@@ -307,18 +317,18 @@
             self.reactor.callLater(0.1, self.start, 'p%d' % number)
 
     def do_stop_voter(self, span):
-        self.stop(self.pick('p'), span)
+        self.stop(self.choose_process('p'), span)
 
     def stop(self, name, span):
         self.signal(name, signal.SIGSTOP)
         self.reactor.callLater(span, self.signal, name, signal.SIGCONT)
 
     def do_kill_seeker(self, span):
-        """Killed, and there again; half of those that come back stop themselves between look and act, for up
-        to three leases."""
-        name = self.pick('s')
+        """Kill and restart a seeker; in half of the cases it then stops itself between checking the lease and
+        acting."""
+        name = self.choose_process('s')
         self.kill(name)
-        if self.draw.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.kinds.append('stop_seeker')
             self.reactor.callLater(0.1, self.start, name, 2)
             for wait in (1.0, 1.5 + span, 2.5 + 2 * span):
@@ -327,57 +337,66 @@
             self.reactor.callLater(span, self.start, name)
 
     def do_stop_seeker(self, span):
-        self.stop(self.pick('s'), span)
+        self.stop(self.choose_process('s'), span)
 
     def links(self):
-        """The links of one seeker, or those to one voter; some of them."""
-        name = self.draw.choice(self.names())
+        """Return a random subset of the links of one seeker or voter."""
+        name = self.rng.choice(self.names())
         found = [relay for pair, relay in sorted(self.relays.items()) if name in pair]
-        return self.draw.sample(found, self.draw.randint(1, len(found)))
+        return self.rng.sample(found, self.rng.randint(1, len(found)))
 
-    def for_a_while(self, change, span, relays=None):
+    def apply_for(self, change, span, relays=None):
         relays = relays or self.links()
         for relay in relays:
             change(relay)
-            relay.moved()
+            relay.flush()
         self.reactor.callLater(span, lambda: [relay.heal() for relay in relays])
 
-    def ways(self, relay):
-        return self.draw.choice([relay.ways, relay.ways[DOWN:], relay.ways[: UP + 1]])
+    def directions(self, relay):
+        return self.rng.choice([relay.directions, relay.directions[DOWN:], relay.directions[: UP + 1]])
 
     def do_way_cut(self, span):
-        self.for_a_while(lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay)], span)
+        self.apply_for(
+            lambda relay: [setattr(direction, 'cut', True) for direction in self.directions(relay)], span
+        )
 
     def do_apart(self, span):
-        """One seeker from all voters, one way or both."""
-        name, which = self.pick('s'), self.draw.choice([slice(None), slice(DOWN, None), slice(UP + 1)])
-        self.for_a_while(
-            lambda relay: [setattr(way, 'cut', True) for way in relay.ways[which]],
+        """Partition one seeker from all voters, in one direction or both."""
+        name, which = (
+            self.choose_process('s'),
+            self.rng.choice([slice(None), slice(DOWN, None), slice(UP + 1)]),
+        )
+        self.apply_for(
+            lambda relay: [setattr(direction, 'cut', True) for direction in relay.directions[which]],
             span,
             [self.relays[name, 'p%d' % number] for number in range(VOTERS)],
         )
 
     def do_way_late(self, span):
         def change(relay):
-            for way in relay.ways:
-                way.late, way.jitter = self.draw.randint(0, 300_000), self.draw.randint(0, 300_000)
+            for direction in relay.directions:
+                direction.delay, direction.jitter = self.rng.randint(0, 300_000), self.rng.randint(0, 300_000)
 
-        self.for_a_while(change, span)
+        self.apply_for(change, span)
 
     def do_way_tear(self, span):
-        self.for_a_while(
-            lambda relay: [setattr(way, 'torn', self.draw.randint(1, 60)) for way in self.ways(relay)], span
+        self.apply_for(
+            lambda relay: [
+                setattr(direction, 'cut_after', self.rng.randint(1, 60))
+                for direction in self.directions(relay)
+            ],
+            span,
         )
 
     def do_way_reset(self, span):
-        self.for_a_while(lambda relay: relay.reset(), span)
+        self.apply_for(lambda relay: relay.reset(), span)
 
     def do_way_replay(self, span):
         def change(relay):
             relay.reset()
-            relay.tells_old = True
+            relay.replays = True
 
-        self.for_a_while(change, span)
+        self.apply_for(change, span)
 
     def end(self):
         self.closing = True
@@ -385,10 +404,11 @@
             self.kill(name)
         self.reactor.stop()
 
-    # --- judging ----------------------------------------------------------------------------------------
+    # --- checks -----------------------------------------------------------------------------------------
 
-    def told(self):
-        """What seekers wrote of their leases: [(when, who, process, what, number)], in order of time."""
+    def lease_events(self):
+        """Return the lease events that seekers recorded: [(time, name, pid, what, number)], ordered by
+        time."""
         rows = []
         for name in self.names():
             path = self.history(name)
@@ -401,8 +421,8 @@
                     ]
         return sorted(rows)
 
-    def judged(self):
-        """(what is broken, changes of holder, the longest time without one)."""
+    def evaluate(self):
+        """Return (violations, number of acquisitions, longest time without a holder in seconds)."""
         broken, highest, last = [], 0, None
         for at, verb, number, name, taken in self.resource.rows:
             if taken and verb == 'begin':
@@ -415,23 +435,27 @@
                         )
                     )
                 highest, last = number, name
-        seen, holder, free, longest, changes = {}, None, None, 0.0, 0
-        stopped = any(kind in STOPS for kind in self.kinds)
-        told = self.told()
-        for at, name, pid, what, number in told:
+        holders_by_number, holder, free, longest, changes = {}, None, None, 0.0, 0
+        stopped = any(kind in STOP_KINDS for kind in self.kinds)
+        events = self.lease_events()
+        for at, name, pid, what, number in events:
             if what == 'got':
                 changes += 1
-                if number in seen:
+                if number in holders_by_number:
                     broken.append(
-                        ('number', at - self.zero, '%d to %s and to %s' % (number, seen[number], name))
+                        (
+                            'number',
+                            at - self.zero,
+                            'number %d given to %s and to %s' % (number, holders_by_number[number], name),
+                        )
                     )
-                seen[number] = name
-                # A killed one says nothing more.
+                holders_by_number[number] = name
+                # A killed holder records no loss.
                 if (
                     holder is not None
                     and holder[0] != (name, pid)
                     and not stopped
-                    and self.alive(told, holder[0], at)
+                    and self.wrote_later(events, holder[0], at)
                 ):
                     broken.append(
                         (
@@ -448,58 +472,62 @@
         return broken, changes, longest
 
     @staticmethod
-    def alive(told, process, at):
-        """Whether a process of the trial's was there then: it wrote something later."""
+    def wrote_later(events, process, at):
+        """Return whether the process recorded an event after this time."""
         name, pid = process
-        later = [row for row in told if row[1] == name and row[0] > at]
+        later = [row for row in events if row[1] == name and row[0] > at]
         return bool(later) and later[0][2] == pid
 
 
-def once(seed, mutant=None):
-    """Play and judge one trial in this process."""
+def run_in_process(seed, mutant=None):
+    """Run and check one trial in this process."""
     reactor = Reactor()
     with tempfile.TemporaryDirectory() as folder:
-        still = Stillness(folder)
-        field = Field(seed, folder, reactor, mutant)
-        reactor.callWhenRunning(field.begin)
-        reactor.callLater(LENGTH, field.end)
+        still = StallMonitor(folder)
+        trial = LeaseTrial(seed, folder, reactor, mutant)
+        reactor.callWhenRunning(trial.begin)
+        reactor.callLater(LENGTH_S, trial.end)
         reactor.run()
         stood = still.longest()
-        broken, changes, longest = field.judged()
-    rows = field.resource.rows
+        broken, changes, longest = trial.evaluate()
+    rows = trial.resource.rows
     return Verdict(
         seed=seed,
         broken=broken,
-        kinds=sorted(field.kinds),
+        kinds=sorted(trial.kinds),
         changes=changes,
         longest=longest,
         still=stood,
-        void=stood > STILL,
+        void=stood > MAX_STALL_S,
         acts=sum(row[1] == 'begin' and row[4] for row in rows),
         refused=sum(not row[4] for row in rows),
     )
 
 
-def one(seed, mutant=None):
-    """One trial in a process of its own, again if it was void; its Verdict."""
+def run_in_subprocess(seed, mutant=None):
+    """Run one trial in a process of its own, repeating void runs; return its Verdict."""
     for _ in range(3):
-        told = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, '-m', 'lilacdyke.trial.holders', '--play', json.dumps([seed, mutant])],
             capture_output=True,
             timeout=60,
         )
-        if told.returncode:
+        if finished.returncode:
             return Verdict(
                 seed=seed,
                 broken=[
-                    ('crashed', 0.0, told.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1][:200])
+                    (
+                        'crashed',
+                        0.0,
+                        finished.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1][:200],
+                    )
                 ],
             )
-        found = msgspec.json.decode(told.stdout.splitlines()[-1], type=Verdict)
+        found = msgspec.json.decode(finished.stdout.splitlines()[-1], type=Verdict)
         if not found.void:
             break
     else:
-        found.broken.append(('void', 0.0, 'the machine stood still for %.2f s' % found.still))
+        found.broken.append(('void', 0.0, 'the machine stalled for %.2f s' % found.still))
     return found
 
 
@@ -507,15 +535,15 @@
 @click.option('--seeds', type=click.IntRange(1), default=20, show_default=True)
 @click.option('--first', type=int, default=1, show_default=True)
 @click.option('--jobs', type=click.IntRange(1, 16), default=4, show_default=True)
-@click.option('--mutant', type=click.Choice(sorted(BROKEN)))
+@click.option('--mutant', type=click.Choice(sorted(LEASE_MUTANTS)))
 @click.option('--play', hidden=True)
 def main(seeds, first, jobs, mutant, play):
-    """Play and judge trials of leases."""
+    """Run and check trials of task leases."""
     if play:
-        return click.echo(msgspec.json.encode(once(*json.loads(play))).decode())
+        return click.echo(msgspec.json.encode(run_in_process(*json.loads(play))).decode())
     found = []
     with ThreadPoolExecutor(jobs) as pool:
-        for verdict in pool.map(lambda seed: one(seed, mutant), range(first, first + seeds)):
+        for verdict in pool.map(lambda seed: run_in_subprocess(seed, mutant), range(first, first + seeds)):
             found.append(verdict)
             for rule, when, text in verdict.broken[:2]:
                 click.echo(
@@ -524,7 +552,8 @@
                 )
     broken = [verdict for verdict in found if verdict.broken]
     click.echo(
-        '%d trials, %d changes of holder (median %d a run), %d acts, %d old ones refused; longest without a holder: median %.2f s, most %.2f s; broken: %d'
+        '%d trials, %d changes of holder (median %d a run), %d acts, %d outdated acts refused; '
+        'longest without a holder: median %.2f s, most %.2f s; broken: %d'
         % (
             len(found),
             sum(v.changes for v in found),
--- a/lilacdyke/trial/launch.py
+++ b/lilacdyke/trial/launch.py
@@ -1,19 +1,19 @@
-"""Starts the program as it ships, with its clock bent, stopped at named steps, and its steps written down.
-
-    python -m lilacdyke.trial.launch BENDS COMMAND ...
-
-Owns what a trial changes in a process before the program's own command line runs: the clock that `net/system.py` gives, a
-signal at a step, a mutant. The shipped program knows nothing of it. Must never be imported by the program.
-
-BENDS is a JSON object:
-    rate     how fast the process's clock runs, 1.05 for 5 % too fast
-    jumps    [[after s, by s], ...]: Unix time steps by so much then; the monotonic clock never does
-    stops    {step: times}: the process stops itself (SIGSTOP) that often when it comes to a step
-    dies     {step: times}: it is killed there, the so-manieth time
-    eyes     true: what it saw of servers, and the words that act there, are in its history (lab/eyes.py)
-    history  a file: what the process did, a JSON line each, stamped with this machine's monotonic clock
-    mutant   a broken form of the program that judges must catch, by its name in lab/mutants.py
-A step is `module:Class.method` under lilacdyke, with `<` before it for its begin and `>` for its end.
+"""Starts the shipped program with injected faults: clock skew, stops and kills at named steps, a mutant.
+
+    python -m lilacdyke.trial.launch FAULTS COMMAND ...
+
+The faults are set up before the program's own command line runs. Must never be imported by the program.
+
+FAULTS is a JSON object:
+    rate     speed of the process's clock; 1.05 is 5 % fast
+    jumps    [[after s, by s], ...]: steps of the wall clock; the monotonic clock never steps
+    stops    {step: times}: the process stops itself (SIGSTOP) the first so many times it reaches the step
+    dies     {step: n}: the process is killed (SIGKILL) the n-th time it reaches the step
+    steps    [step, ...]: steps that are only recorded in the history
+    eyes     true: record in the history what the process observes of servers (lab/eyes.py)
+    history  path of a file that gets a JSON line per event, stamped with the machine's monotonic clock
+    mutant   name of a mutant in lab/mutants.py or holders.py
+A step is `module:Class.method` under lilacdyke, prefixed with `<` for its entry or `>` for its return.
 """
 
 import importlib
@@ -24,45 +24,45 @@
 import time
 from functools import wraps
 
-MACHINE = time.monotonic  # the one true clock: no bend reaches it
+MACHINE_CLOCK = time.monotonic  # not affected by clock faults
 
 
 class History:
-    """What one process did. A line is written whole by one call to the system, so that a kill leaves no
-    half."""
+    """The event log of one process. Each line is written by a single system call, so that a kill cannot
+    truncate it."""
 
     def __init__(self, path):
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600) if path else None
 
-    def tell(self, what, **more):
-        """One line."""
+    def record(self, what, **more):
+        """Append one event."""
         if self.fd is not None:
             os.write(
-                self.fd, json.dumps(dict(more, at=MACHINE(), pid=os.getpid(), what=what)).encode() + b'\n'
+                self.fd,
+                json.dumps(dict(more, at=MACHINE_CLOCK(), pid=os.getpid(), what=what)).encode() + b'\n',
             )
 
 
-def bend(bends):
-    """The clocks of this process, from here on; the wall clock beneath the libraries, which are not imported
-    yet."""
-    start, rate = MACHINE(), bends.get('rate', 1.0)
-    jumps = sorted(bends.get('jumps', []))
+def skew_clocks(process_faults):
+    """Skew the clocks of this process. Must run before any library that reads the wall clock is imported."""
+    start, rate = MACHINE_CLOCK(), process_faults.get('rate', 1.0)
+    jumps = sorted(process_faults.get('jumps', []))
     wall = time.time() - start  # noqa: TID251
 
     def elapsed():
-        return start + (MACHINE() - start) * rate
+        return start + (MACHINE_CLOCK() - start) * rate
 
-    def stepped():
-        return wall + elapsed() + sum(by for after, by in jumps if MACHINE() - start >= after)
+    def wall_clock():
+        return wall + elapsed() + sum(by for after, by in jumps if MACHINE_CLOCK() - start >= after)
 
-    time.time = stepped  # noqa: TID251
+    time.time = wall_clock  # noqa: TID251
     from ..net.system import System
 
-    System.elapsed, System.wall = staticmethod(elapsed), staticmethod(stepped)
+    System.elapsed, System.wall = staticmethod(elapsed), staticmethod(wall_clock)
 
 
-def find(step):
-    """Whose method a step is: (class, its name)."""
+def resolve_step(step):
+    """Return (class, method name) of a step."""
     module, _, path = step.partition(':')
     owner = importlib.import_module('lilacdyke.' + module)
     *outer, name = path.split('.')
@@ -71,15 +71,15 @@
     return owner, name
 
 
-class Step:
-    """One step of the program, at which something may happen."""
+class StepHook:
+    """Records that the program reaches a step, and stops or kills the process there."""
 
     def __init__(self, step, history, stops, dies):
         self.step, self.history, self.stops, self.dies = step, history, stops, dies
 
-    def reached(self):
-        """The process is there."""
-        self.history.tell('step', step=self.step)
+    def on_reached(self):
+        """Record the step, then kill or stop the process if its turn has come."""
+        self.history.record('step', step=self.step)
         if self.dies == 1:
             os.kill(os.getpid(), signal.SIGKILL)
         self.dies -= 1
@@ -88,25 +88,25 @@
             os.kill(os.getpid(), signal.SIGSTOP)
 
 
-def watch(step, history, stops, dies):
-    """Have a step noticed."""
-    owner, name = find(step[1:])
-    there, whole = Step(step, history, stops, dies), getattr(owner, name)
+def hook_step(step, history, stops, dies):
+    """Wrap the method of a step with a StepHook."""
+    owner, name = resolve_step(step[1:])
+    hook, original = StepHook(step, history, stops, dies), getattr(owner, name)
 
-    @wraps(whole)
-    def noticed(*given, **named):
+    @wraps(original)
+    def hooked(*given, **named):
         if step[0] == '<':
-            there.reached()
-        made = whole(*given, **named)
+            hook.on_reached()
+        made = original(*given, **named)
         if step[0] == '>':
-            there.reached()
+            hook.on_reached()
         return made
 
-    setattr(owner, name, noticed)
+    setattr(owner, name, hooked)
 
 
-def bound_to_parent():
-    """Have the kernel kill this process with the one that started it, however that one ends."""
+def die_with_parent():
+    """Have the kernel kill this process when its parent ends in any way."""
     import ctypes
 
     ctypes.CDLL(None).prctl(1, int(signal.SIGKILL))
@@ -114,42 +114,42 @@
         sys.exit(1)
 
 
-def mutate(name):
-    """Break the program of this process."""
+def apply_mutant(name):
+    """Apply a mutant to the program in this process."""
     from random import Random
 
-    from .holders import BROKEN
+    from .holders import LEASE_MUTANTS
 
-    if name in BROKEN:
-        return BROKEN[name](setattr)
+    if name in LEASE_MUTANTS:
+        return LEASE_MUTANTS[name](setattr)
     from ..lab.mutants import MUTANTS
 
     MUTANTS[name].build(setattr, Random(name).random)
 
 
-def prepare(bends):
-    """All that the bends ask for; the history."""
-    bound_to_parent()
-    if 'rate' in bends or 'jumps' in bends:
-        bend(bends)
-    if 'mutant' in bends:
-        mutate(bends['mutant'])
-    history = History(bends.get('history'))
-    if bends.get('eyes'):
+def prepare(process_faults):
+    """Set up these faults and return the History."""
+    die_with_parent()
+    if 'rate' in process_faults or 'jumps' in process_faults:
+        skew_clocks(process_faults)
+    if 'mutant' in process_faults:
+        apply_mutant(process_faults['mutant'])
+    history = History(process_faults.get('history'))
+    if process_faults.get('eyes'):
         from ..lab import eyes
 
-        eyes.open_up(setattr, lambda kind, *fields: history.tell('eyes', row=[kind, *fields]))
-    stops, dies = bends.get('stops', {}), bends.get('dies', {})
-    for step in dict.fromkeys([*stops, *dies, *bends.get('steps', [])]):
-        watch(step, history, stops.get(step, 0), dies.get(step, 0))
+        eyes.open_up(setattr, lambda kind, *fields: history.record('eyes', row=[kind, *fields]))
+    stops, dies = process_faults.get('stops', {}), process_faults.get('dies', {})
+    for step in dict.fromkeys([*stops, *dies, *process_faults.get('steps', [])]):
+        hook_step(step, history, stops.get(step, 0), dies.get(step, 0))
     return history
 
 
 def main():
-    """Prepare, then run the program's own command line."""
+    """Set up the faults, then run the program's own command line."""
     prepare(json.loads(sys.argv[1]))
     if sys.argv[2] == 'seek':
-        from .seeker import main as seek  # the program's own lease, with acts of the trial's
+        from .seeker import main as seek
 
         return seek(*sys.argv[3:])
     from ..__main__ import main as program
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -1,7 +1,6 @@
-"""What the links cost: one real planner process and many forwarders' links to it, on loopback.
+"""Measures the cost of planner links: one real planner process and the links of many forwarders, on loopback.
 
-Owns the stand-ins for nodes that those links belong to; the links, purses and decisions are the program's
-own. Must never run for longer than it was told.
+The nodes are fakes; the links, ledgers and decisions are the program's own.
 
 python -m lilacdyke.trial.load --forwarders 300 --seconds 20
 """
@@ -28,8 +27,8 @@
 TICKS = os.sysconf('SC_CLK_TCK')
 
 
-class Nobody:
-    """As much of a node as its share asks: nothing is sent, some is asked for."""
+class FakeNode:
+    """The part of a node that fleet limits use; it admits requests and forwards none."""
 
     handed, caches, router = False, None, None
 
@@ -58,16 +57,16 @@
     def __iter__(self):
         return iter(())
 
-    def ask(self, _):
-        """Clients ask, at some forwarders more than its part."""
+    def send_requests(self, _):
+        """Admit requests, at some forwarders more than their share."""
         for _ in range(1 + self.number % 3):
             if self.shares.admits(self.clock(), self.profiles[0]) is None:
                 self.count('admitted')
-        self.deadlines.at(self.clock() + SECOND // 2, self.ask, 0)
+        self.deadlines.at(self.clock() + SECOND // 2, self.send_requests, 0)
 
 
-def processor(pid):
-    """Seconds of processor time, and the most memory in KB, of a process."""
+def process_usage(pid):
+    """Return (CPU time in seconds, peak memory in KB) of a process."""
     with open('/proc/%d/stat' % pid, encoding='ascii') as file:
         fields = file.read().rpartition(')')[2].split()
     with open('/proc/%d/status' % pid, encoding='ascii') as file:
@@ -80,7 +79,7 @@
 @click.option('--seconds', type=click.FloatRange(1, 120), default=20.0, show_default=True)
 @click.option('--lease', default=2.0, show_default=True)
 def main(forwarders, seconds, lease):
-    """Processor time, bytes and memory of one planner and of a forwarder's links."""
+    """Measure CPU time, traffic and memory of one planner and of forwarders' links."""
     reactor = Reactor()
     with tempfile.TemporaryDirectory() as folder:
         path, port = os.path.join(folder, 'fleet.toml'), 20_000 + os.getpid() % 20_000
@@ -103,46 +102,47 @@
             [sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p0'],
             stderr=subprocess.DEVNULL,
         )
-        heard, usual = Counter(), Speaker.dataReceived
+        received, original = Counter(), Speaker.dataReceived
 
-        def counting(self, data):
-            heard['bytes'] += len(data)
-            heard['frames'] += 1
-            usual(self, data)
+        def counted(self, data):
+            received['bytes'] += len(data)
+            received['frames'] += 1
+            original(self, data)
 
-        Speaker.dataReceived = counting
+        Speaker.dataReceived = counted
         try:
             time.sleep(1.0)
             fleet, profile = limits.read(path), Profile('read', IDEMPOTENT, 'all', 0, 5000, 0, 10_000)
-            nobodies = [Nobody(number, reactor, profile) for number in range(forwarders)]
-            for nobody in nobodies:
-                nobody.fleet = Share(nobody, fleet)
-                nobody.ask(0)
+            fake_nodes = [FakeNode(number, reactor, profile) for number in range(forwarders)]
+            for fake_node in fake_nodes:
+                fake_node.fleet = Share(fake_node, fleet)
+                fake_node.send_requests(0)
             found = {}
 
             def begin():
-                heard.clear()
+                received.clear()
                 found['planner'], found['own'], found['at'] = (
-                    processor(planner.pid),
+                    process_usage(planner.pid),
                     time.process_time(),
                     time.monotonic(),
                 )
 
             def end():
-                took, (cpu, memory) = time.monotonic() - found['at'], processor(planner.pid)
-                alone = sum(nobody.fleet.forwarder.alone(nobody.clock()) for nobody in nobodies)
+                elapsed, (cpu, memory) = time.monotonic() - found['at'], process_usage(planner.pid)
+                alone = sum(fake_node.fleet.forwarder.alone(fake_node.clock()) for fake_node in fake_nodes)
                 click.echo(
-                    '%d forwarders, leases of %g s, %.0f s: planner %.1f%% of a core, %d MB; a forwarder and its link %.3f%% of a core, '
+                    '%d forwarders, leases of %g s, %.0f s: planner %.1f%% of a core, %d MB; '
+                    'a forwarder and its link %.3f%% of a core, '
                     '%.0f bytes and %.1f plans a second; %d alone'
                     % (
                         forwarders,
                         lease,
-                        took,
-                        100 * (cpu - found['planner'][0]) / took,
+                        elapsed,
+                        100 * (cpu - found['planner'][0]) / elapsed,
                         memory // 1_024,
-                        100 * (time.process_time() - found['own']) / took / forwarders,
-                        heard['bytes'] / took / forwarders,
-                        heard['frames'] / took / forwarders,
+                        100 * (time.process_time() - found['own']) / elapsed / forwarders,
+                        received['bytes'] / elapsed / forwarders,
+                        received['frames'] / elapsed / forwarders,
                         alone,
                     )
                 )
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -1,43 +1,42 @@
-"""A relay on a link between two real processes: bytes through, each direction with troubles of its own.
+"""A TCP relay between two real processes, with faults for each direction.
 
-Owns both ends of each connection that it carries, and what it holds back. Must never change, drop or reorder
-bytes that it lets through, nor hold more than STORE of a direction: then it reads no more, as a full pipe
-would.
+Must never change, drop or reorder the bytes that it forwards. Holds back at most about MAX_HELD_BYTES per
+direction; beyond that it stops reading.
 """
 
 from collections import deque
 
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 
-STORE = 262_144  # bytes held back in one direction of one connection
-KEPT = 4_096  # of an ended connection, to be told again
+MAX_HELD_BYTES = 262_144  # per direction of a connection
+RECORDED_BYTES = 4_096  # per ended connection, for replays
 
 UP, DOWN = 0, 1
 
 
-class Way:
-    """One direction of a link, for all its connections."""
+class Direction:
+    """The faults of one direction of a link, for all its connections."""
 
-    __slots__ = ('cut', 'late', 'jitter', 'pace', 'torn')
+    __slots__ = ('cut', 'delay', 'jitter', 'bytes_per_s', 'cut_after')
 
     def __init__(self):
         self.heal()
 
     def heal(self):
-        """As it was."""
-        self.cut = False  # nothing passes, and nobody is told
-        self.late, self.jitter = 0, 0  # microseconds that bytes take, and up to so many more
-        self.pace = None  # bytes a second
-        self.torn = None  # bytes that still pass; then it is cut
+        """Clear all faults."""
+        self.cut = False  # bytes are held back silently
+        self.delay, self.jitter = 0, 0  # microseconds; the jitter is an upper bound
+        self.bytes_per_s = None  # None: unlimited
+        self.cut_after = None  # bytes that still pass before a cut, or None
 
 
-class End(Protocol):
-    """One end of a carried connection; what it hears goes out at the other."""
+class RelayEnd(Protocol):
+    """One end of a relayed connection; the bytes that it receives are sent by the other end."""
 
-    def __init__(self, relay, way):
-        self.relay, self.way, self.other, self.up = relay, way, None, False
-        self.held, self.size = deque(), 0  # what was heard and has not passed; None: its end
-        self.free, self.timer, self.seen = 0, None, bytearray()
+    def __init__(self, relay, direction):
+        self.relay, self.direction, self.other, self.up = relay, direction, None, False
+        self.queue, self.size = deque(), 0  # (due, bytes), or (due, None) for the end of the stream
+        self.free, self.timer, self.recorded = 0, None, bytearray()
 
     def connectionMade(self):
         self.up = True
@@ -45,50 +44,50 @@
         self.relay.opened(self)
 
     def dataReceived(self, data):
-        if len(self.seen) < KEPT:
-            self.seen += data[: KEPT - len(self.seen)]
+        if len(self.recorded) < RECORDED_BYTES:
+            self.recorded += data[: RECORDED_BYTES - len(self.recorded)]
         self.hold(data)
 
     def hold(self, data):
-        """Bytes, or the end, wait for their turn."""
-        way, now = self.relay.ways[self.way], self.relay.clock()
-        due = now + way.late + int(way.jitter * self.relay.chance.random())
-        if way.pace and data:
-            due = max(due, self.free) + int(len(data) * 1e6 / way.pace)
+        """Queue bytes, or None for the end of the stream."""
+        direction, now = self.relay.directions[self.direction], self.relay.clock()
+        due = now + direction.delay + int(direction.jitter * self.relay.chance.random())
+        if direction.bytes_per_s and data:
+            due = max(due, self.free) + int(len(data) * 1e6 / direction.bytes_per_s)
         self.free = due = max(self.free, due)
-        self.held.append((due, data))
+        self.queue.append((due, data))
         self.size += len(data or b'')
-        if self.size > STORE and self.up:
+        if self.size > MAX_HELD_BYTES and self.up:
             self.transport.pauseProducing()
-        self.pass_on()
+        self.forward()
 
-    def pass_on(self):
-        """Let through what may go."""
-        way, now = self.relay.ways[self.way], self.relay.clock()
-        while self.held and not way.cut and self.other is not None and self.other.up:
-            due, data = self.held[0]
+    def forward(self):
+        """Forward what is due."""
+        direction, now = self.relay.directions[self.direction], self.relay.clock()
+        while self.queue and not direction.cut and self.other is not None and self.other.up:
+            due, data = self.queue[0]
             if due > now:
                 if self.timer is None:
-                    self.timer = self.relay.later(due - now, self.timed)
+                    self.timer = self.relay.later(due - now, self.on_timer)
                 return
-            self.held.popleft()
+            self.queue.popleft()
             if data is None:
                 self.other.transport.loseConnection()
                 return
             self.size -= len(data)
-            if way.torn is not None and len(data) > way.torn:
-                self.held.appendleft((due, data[way.torn :]))
-                self.size += len(data) - way.torn
-                data, way.cut, way.torn = data[: way.torn], True, None
-            elif way.torn is not None:
-                way.torn -= len(data)
+            if direction.cut_after is not None and len(data) > direction.cut_after:
+                self.queue.appendleft((due, data[direction.cut_after :]))
+                self.size += len(data) - direction.cut_after
+                data, direction.cut, direction.cut_after = data[: direction.cut_after], True, None
+            elif direction.cut_after is not None:
+                direction.cut_after -= len(data)
             self.other.transport.write(data)
-        if self.size <= STORE and self.up:
+        if self.size <= MAX_HELD_BYTES and self.up:
             self.transport.resumeProducing()
 
-    def timed(self):
+    def on_timer(self):
         self.timer = None
-        self.pass_on()
+        self.forward()
 
     def connectionLost(self, reason=None):
         self.up = False
@@ -97,7 +96,7 @@
             self.hold(None)
 
 
-class Onward(ClientFactory):
+class OutboundFactory(ClientFactory):
     noisy = False
 
     def __init__(self, end):
@@ -107,66 +106,69 @@
         return self.end
 
     def clientConnectionFailed(self, connector, reason):
-        self.end.relay.ways[DOWN].cut or self.end.other.transport.abortConnection()
+        self.end.relay.directions[DOWN].cut or self.end.other.transport.abortConnection()
 
 
 class Relay(Factory):
-    """One link: from its own address to another."""
+    """One link: listens at one address and connects to another."""
 
     noisy = False
 
-    def __init__(self, ground, name, here, there, bind=None):
-        self.ground, self.name, self.here, self.there, self.bind = ground, name, here, there, bind
+    def __init__(self, ground, name, here, target, bind=None):
+        self.ground, self.name, self.here, self.target, self.bind = ground, name, here, target, bind
         self.clock, self.later, self.chance = ground.clock, ground.later, ground.chance('relay ' + name)
-        self.ways, self.ends, self.port = (Way(), Way()), {}, None
-        self.old = None  # what an ended connection carried upwards first; told again to the next, if so asked
-        self.tells_old = False
+        self.directions, self.ends, self.port = (Direction(), Direction()), {}, None
+        # The first upstream bytes of an ended connection, sent to the next one if `replays` is set.
+        self.replay_bytes = None
+        self.replays = False
 
     def open(self):
         if self.port is None:
             self.port = self.ground.reactor.listenTCP(self.here[1], self, 256, self.here[0])
 
     def refuse(self):
-        """Nobody listens; what is open stays."""
+        """Stop listening; open connections stay."""
         if self.port is not None:
             port, self.port = self.port, None
             port.stopListening()
 
     def buildProtocol(self, addr):
-        asked = End(self, UP)
-        asked.other = End(self, DOWN)
+        asked = RelayEnd(self, UP)
+        asked.other = RelayEnd(self, DOWN)
         asked.other.other = asked
-        self.ground.reactor.connectTCP(*self.there, Onward(asked.other), timeout=5, bindAddress=self.bind)
+        self.ground.reactor.connectTCP(
+            *self.target, OutboundFactory(asked.other), timeout=5, bindAddress=self.bind
+        )
         return asked
 
     def opened(self, end):
         self.ends[end] = None
-        if end.way == DOWN:
-            if self.tells_old and self.old:
-                end.transport.write(self.old)
-            end.other.pass_on()
+        if end.direction == DOWN:
+            if self.replays and self.replay_bytes:
+                end.transport.write(self.replay_bytes)
+            end.other.forward()
 
     def closed(self, end):
         self.ends.pop(end, None)
-        if end.way == UP and end.seen:
-            self.old = bytes(end.seen)
+        if end.direction == UP and end.recorded:
+            self.replay_bytes = bytes(end.recorded)
 
     def reset(self):
-        """All connections are reset, for both sides."""
+        """Reset all connections, on both sides."""
         for end in list(self.ends):
             end.other = None
             end.transport.abortConnection()
 
     def heal(self):
-        """All is well again: what was held goes on, in order."""
-        self.tells_old = False
-        for way in self.ways:
-            way.heal()
+        """Clear all faults, listen again and forward what was held back, in order."""
+        self.replays = False
+        for direction in self.directions:
+            direction.heal()
         self.open()
         for end in list(self.ends):
-            end.pass_on()
+            end.forward()
 
-    def moved(self):
-        """A way has changed."""
+    def flush(self):
+        """Forward what is due after a change of the faults."""
         for end in list(self.ends):
-            end.pass_on()
+            end.forward()
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -1,8 +1,8 @@
-"""Trials played and judged, void ones again.
+"""Runs trials and checks their histories.
 
-Owns what a trial's outcome is, and when a run counts: one during which the machine itself stood still for
-longer than STILL is void and played again, at most twice; then it fails and says so. Must never call a run
-good that was not judged, nor judge by what processes say of themselves.
+A run during which the machine stalled for longer than MAX_STALL_S is void and repeated, at most twice; then
+the trial fails. Must never pass a run that was not checked, nor rely on what processes report about
+themselves.
 """
 
 import json
@@ -16,16 +16,17 @@
 from ..lab.loopback import real
 from ..lab.service import figures
 from . import draw
-from .ground import STILL, play
+from .ground import MAX_STALL_S, play
 
-TRIES = 3
-SLACK_MS = 150.0  # of judges' bounds in time, on a machine that does not stand still for longer
-LONGEST = 120  # seconds, for the process that plays one
+MAX_ATTEMPTS = 3
+SLACK_MS = 150.0  # tolerance of the time bounds that are checked
+TIMEOUT_S = 120  # per process that runs a trial
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What came of one trial. broken: [(rule, seconds, text)]; still: how long the machine stood still; void:
-    whether it does not count; over: how near each kind of limit was come to, parts of it."""
+    """The result of one trial. broken: [(rule, seconds, text)]; still: longest stall of the machine in
+    seconds; void: whether the run does not count; over: highest usage of each kind of limit, relative to the
+    limit."""
 
     seed: int
     mutant: str | None = None
@@ -39,15 +40,15 @@
     kinds: list[str] = []
 
 
-def once(seed, mutant=None, fit=None):
-    """Play and judge one trial in this process: a reactor runs but once. fit: the mutant whose troubles it is
-    played with, or the name of a trial of draw.NAMED; None: as the seed draws."""
+def run_in_process(seed, mutant=None, fit=None):
+    """Run and check one trial in this process, which can run no second one: a reactor cannot be restarted.
+    fit: a mutant whose faults are injected, or a trial of draw.NAMED; None: as drawn from the seed."""
     begun = time.monotonic()
-    given = draw.fitted(seed, fit)
+    given = draw.scenario_for(seed, fit)
     given = msgspec.structs.replace(
         real(given), rules=msgspec.structs.replace(given.rules, slack_ms=SLACK_MS)
     )
-    stage, still = play(given, seed, draw.bends(seed, given), mutant)
+    stage, still = play(given, seed, draw.process_faults(seed, given), mutant)
     rows = stage.witness.rows
     found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(given, rows)]
     return Verdict(
@@ -55,7 +56,7 @@
         mutant=mutant,
         broken=found,
         still=still,
-        void=still > STILL,
+        void=still > MAX_STALL_S,
         wall=time.monotonic() - begun,
         figures=figures(given, rows),
         kinds=[event.kind for event in given.events],
@@ -63,28 +64,28 @@
     )
 
 
-def one(seed, mutant=None, fit=None):
-    """One trial in a process of its own, again if it was void; its Verdict."""
-    for tries in range(1, TRIES + 1):
-        told = subprocess.run(
+def run_in_subprocess(seed, mutant=None, fit=None):
+    """Run one trial in a process of its own, repeating void runs; return its Verdict."""
+    for tries in range(1, MAX_ATTEMPTS + 1):
+        finished = subprocess.run(
             [sys.executable, '-m', 'lilacdyke.trial.runs', json.dumps([seed, mutant, fit])],
             capture_output=True,
-            timeout=LONGEST,
+            timeout=TIMEOUT_S,
         )
-        if told.returncode:
-            why = told.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1]
+        if finished.returncode:
+            why = finished.stderr.decode(errors='replace').strip().rsplit('\n', 1)[-1]
             return Verdict(seed=seed, mutant=mutant, broken=[('crashed', 0.0, why[:200])], tries=tries)
-        found = msgspec.json.decode(told.stdout.splitlines()[-1], type=Verdict)
+        found = msgspec.json.decode(finished.stdout.splitlines()[-1], type=Verdict)
         found.tries = tries
         if not found.void:
             break
     if found.void:
         found.broken = [
             *found.broken,
-            ('void', 0.0, 'the machine stood still for %.2f s, in %d runs' % (found.still, TRIES)),
+            ('void', 0.0, 'the machine stalled for %.2f s, in %d runs' % (found.still, MAX_ATTEMPTS)),
         ]
     return found
 
 
 if __name__ == '__main__':
-    print(msgspec.json.encode(once(*json.loads(sys.argv[1]))).decode())
+    print(msgspec.json.encode(run_in_process(*json.loads(sys.argv[1]))).decode())
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -1,8 +1,7 @@
-"""A process that seeks a task again and again, and acts on the trial's resource while it holds: the lease is
-the program's own (plan/lease.py).
+"""A process that repeatedly acquires the lease of a task and acts on the trial's resource while it holds it.
 
-Owns the acts. Must never act without having looked, nor look again between that and the bytes of the act:
-that gap is what the trial is about.
+The lease is the program's own (plan/lease.py). Each act must follow a check of the lease, with no second
+check before its bytes are written: the trial tests what happens in between.
 """
 
 import os
@@ -20,13 +19,13 @@
 from ..values import SECOND
 from .launch import History
 
-ACT = SECOND // 500  # how long an act takes
-ACTS = 6  # at the most, before it gives the lease back
-LONG = 300  # acts of one that holds on
+ACT_TICKS = SECOND // 500
+MAX_ACTS = 6  # before the lease is released
+LONG_HOLD_ACTS = 300
 
 
-class ToResource(Protocol):
-    """One line out for an act's begin and its end; one back: yes or no."""
+class ResourceClient(Protocol):
+    """The connection to the resource: a line for the begin and end of each act, answered by yes or no."""
 
     def __init__(self, worker):
         self.worker, self.rest = worker, b''
@@ -38,24 +37,30 @@
     def dataReceived(self, data):
         *lines, self.rest = (self.rest + data).split(b'\n')
         for line in lines:
-            self.worker.answered(line == b'yes')
+            self.worker.on_answer(line == b'yes')
 
     def connectionLost(self, reason=None):
         self.worker.resource = None
 
 
 class Worker(ClientFactory):
-    """Seek, act, give back, seek."""
+    """Acquires the lease, acts, releases it, and starts over."""
 
     noisy = False
 
-    def __init__(self, reactor, fleet, name, history, keeps):
-        self.reactor, self.name, self.history, self.resource, self.keeps = reactor, name, history, None, keeps
+    def __init__(self, reactor, fleet, name, history, keep_probability):
+        self.reactor, self.name, self.history, self.resource, self.keep_probability = (
+            reactor,
+            name,
+            history,
+            None,
+            keep_probability,
+        )
         self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
-        self.left, self.acting = 0, False
+        self.acts_left, self.acting = 0, False
         self.lease = Lease(
-            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost
+            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.on_got, self.on_lost
         )
         self.lease.acquire()
 
@@ -63,53 +68,56 @@
         return int((System.elapsed() - self.zero) * SECOND)
 
     def buildProtocol(self, addr):
-        return ToResource(self)
+        return ResourceClient(self)
 
-    def got(self, number):
-        self.history.tell('got', number=number, until=self.lease.left())
-        self.left = LONG if self.chance() < self.keeps else 1 + int(ACTS * self.chance())
+    def on_got(self, number):
+        self.history.record('got', number=number, until=self.lease.left())
+        self.acts_left = (
+            LONG_HOLD_ACTS if self.chance() < self.keep_probability else 1 + int(MAX_ACTS * self.chance())
+        )
         self.act(0)
 
-    def lost(self, number):
-        self.history.tell('lost', number=number)
+    def on_lost(self, number):
+        self.history.record('lost', number=number)
 
     def act(self, _):
-        """Look, then act."""
+        """Check the lease, then begin an act."""
         if self.acting or not self.lease.held():
             return
-        if self.left <= 0 or self.resource is None:
+        if self.acts_left <= 0 or self.resource is None:
             self.lease.release()
             self.deadlines.at(
                 self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0
             )
             return
-        self.left, self.acting = self.left - (self.keeps <= 1), True
-        self.looked()
+        self.acts_left, self.acting = self.acts_left - (self.keep_probability <= 1), True
+        self.before_act()
         self.resource.transport.write(b'begin %d %s\n' % (self.lease.number, self.name.encode()))
 
-    def looked(self):
-        """A step of the trial's: a process may be stopped here, between look and act."""
+    def before_act(self):
+        """Do nothing: the launcher may stop the process here, between the check and the act."""
 
-    def answered(self, yes):
-        """The resource took the act, or did not."""
+    def on_answer(self, yes):
+        """Handle the resource's answer: whether it accepted the act."""
         if yes:
-            self.deadlines.at(self.clock() + ACT, self.acted, 0)
+            self.deadlines.at(self.clock() + ACT_TICKS, self.end_act, 0)
         else:
             self.acting = False
-            self.deadlines.at(self.clock() + ACT, self.act, 0)
+            self.deadlines.at(self.clock() + ACT_TICKS, self.act, 0)
 
-    def acted(self, _):
+    def end_act(self, _):
         self.acting = False
         if self.resource is not None:
             self.resource.transport.write(b'end %d %s\n' % (self.lease.number, self.name.encode()))
         self.act(0)
 
 
-def main(path, name, host, port, history, keeps):
-    """Go on until it is killed. keeps: the chance of holding on for long; over 1: until it is lost."""
+def main(path, name, host, port, history, keep_probability):
+    """Run until killed. keep_probability: probability of holding the lease for long; above 1: until it is
+    lost."""
     begin('error')
     reactor = Reactor()
-    worker = Worker(reactor, limits.read(path), name, History(history), float(keeps))
+    worker = Worker(reactor, limits.read(path), name, History(history), float(keep_probability))
     reactor.connectTCP(host, int(port), worker, timeout=5)
     reactor.run(installSignalHandlers=False)
     sys.exit(0)
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -1,11 +1,10 @@
-"""The soak: some dozens of real processes with random, overlapping faults between, within and beneath them,
-judged from histories by the invariants.
+"""The soak test: dozens of real processes with random, overlapping faults of links, processes and system
+calls, checked against the invariants.
 
-Owns what a seed draws, the boards of the processes' shims (shim.py), the writer's part, and the verdict.
-Nodes, planners and their links are the trial's (ground.py, faults.py). Must never judge by timing alone: what
-a machine under load makes late is given the slack of the lab's runs on loopback.
+Adds to the trials (ground.py, faults.py) the boards of the processes' shims (shim.py) and a writer with
+relays. Must never fail a run by timing alone: time bounds have the slack of the lab's runs on loopback.
 
-    python -m lilacdyke.trial.soak '[SEED, SECONDS, NODES]'    # one run in this process: its verdict
+    python -m lilacdyke.trial.soak '[SEED, SECONDS, NODES]'    # one run in this process; prints its verdict
 """
 
 import errno
@@ -31,12 +30,12 @@
 from ..lab.scenario import Event, check
 from ..scale.fleet_run import free_ports
 from . import draw
-from .faults import Troubles
+from .faults import TrialFaults
 from .ground import Ground as TrialGround
-from .ground import Stillness
+from .ground import StallMonitor
 from .shim import Board
 
-# What the timeline is drawn from, with how often; those of the machine come beneath the libraries.
+# Weight of each kind of fault in the timeline.
 KINDS = {
     **{'step': 6, 'calls': 6, 'short': 3, 'disk': 5, 'kill_writer': 2, 'stop_writer': 1},
     **{'way_cut': 3, 'way_tear': 1, 'way_late': 2, 'way_thin': 1, 'way_reset': 3, 'way_refuse': 1},
@@ -44,15 +43,16 @@
     **{'kill': 4, 'term': 3, 'standstill': 3, 'hup': 2, 'crash': 2, 'slow': 2, 'hung': 1, 'drain': 3},
     **{'cut': 1, 'delay': 2, 'cut_watch': 2, 'silence': 1},
 }
-OWN = frozenset(('short', 'disk', 'kill_writer', 'stop_writer'))  # that scenarios of the lab do not have
-NEEDED_MOST = 400_000  # microseconds for which a call fails without which nobody can be answered
-EVERY_S = 1.5  # between two troubles, in the mean
-DISK = (
+# Kinds that lab scenarios do not have.
+EXTRA_KINDS = frozenset(('short', 'disk', 'kill_writer', 'stop_writer'))
+MAX_NEEDED_FAILURE_US = 400_000  # for calls without which no request can be answered
+MEAN_INTERVAL_S = 1.5  # between two faults
+DISK_FAILURES = (
     *(('write', number) for number in (errno.ENOSPC, errno.EIO)),
     *(('fsync', number) for number in (errno.EIO, errno.ENOSPC)),
     ('open', errno.ENFILE),
 )
-CHANGES = """
+CHANGES_FILE = """
 enabled = true
 installation = "soak"
 stale_after_s = 3.0
@@ -65,7 +65,7 @@
 [keys]
 limit = "number"
 """
-RELAY = """[[process]]
+RELAY_ENTRY = """[[process]]
 name = "r%d"
 role = "relay"
 address = "127.0.0.1:%d"
@@ -74,8 +74,8 @@
 RELAYS = 4
 
 
-class Trouble(msgspec.Struct, frozen=True):
-    """One trouble of this module's own."""
+class ExtraFault(msgspec.Struct, frozen=True):
+    """A fault of this module, which lab scenarios do not have."""
 
     at_s: float
     kind: str
@@ -84,7 +84,8 @@
 
 
 class Verdict(msgspec.Struct, kw_only=True):
-    """What came of one run. broken: [(rule, seconds, text)]; faults: what was played, for a failing seed."""
+    """The result of one run. broken: [(rule, seconds, text)]; faults: the injected faults, for a failing
+    seed."""
 
     seed: int
     broken: list[tuple[str, float, str]] = []
@@ -96,26 +97,26 @@
     faults: list[str] = []
 
 
-def drawn_size(kind, chance):
-    """The size of a trouble of this kind."""
+def draw_size(kind, chance):
+    """Draw the size of a fault of this kind."""
     if kind == 'step':
         return chance.choice(STEPS_S)
     if kind == 'calls':
         return chance.randint(1, len(OWN_FAILURES))
-    return round(chance.uniform(*draw.SIZES.get(kind, (4, 4))), 2)
+    return round(chance.uniform(*draw.SIZE_RANGES.get(kind, (4, 4))), 2)
 
 
-def drawn(seed, seconds, nodes):
-    """(the scenario of a seed, the troubles of this module's own)."""
+def draw_run(seed, seconds, nodes):
+    """Return (scenario, extra faults) of a seed."""
     chance = Random('soak/%d' % seed)
-    base, events, own = draw.scenario(seed), [], []
-    for _ in range(max(2, int(seconds / EVERY_S))):
+    base, events, extra_faults = draw.scenario(seed), [], []
+    for _ in range(max(2, int(seconds / MEAN_INTERVAL_S))):
         kind = chance.choices(sorted(KINDS), [KINDS[name] for name in sorted(KINDS)])[0]
         at, span = round(chance.uniform(0.5, seconds * 0.85), 2), round(chance.uniform(0.1, 3.0), 2)
-        if kind in OWN:
-            own.append(Trouble(at, kind, span, chance.randrange(1, 100)))
+        if kind in EXTRA_KINDS:
+            extra_faults.append(ExtraFault(at, kind, span, chance.randrange(1, 100)))
             continue
-        count, size = chance.choice((1, 1, 2, 3)), drawn_size(kind, chance)
+        count, size = chance.choice((1, 1, 2, 3)), draw_size(kind, chance)
         events.append(Event(at_s=at, kind=kind, count=count, for_s=span, size=size))
     made = replace(
         base,
@@ -128,29 +129,29 @@
         planning=replace(base.planning, seats=nodes, bounds=[replace(base.planning.bounds[0], most=5_000.0)]),
         events=sorted(events, key=lambda event: event.at_s),
     )
-    return check(made), sorted(own, key=lambda trouble: trouble.at_s)
+    return check(made), sorted(extra_faults, key=lambda fault: fault.at_s)
 
 
-class SoakTroubles(Troubles):
-    """The trial's troubles, and those of the machines beneath the processes."""
+class SoakFaults(TrialFaults):
+    """The trial's faults, and clock steps and failing calls through the shims."""
 
     def plays(self, kind):
         return kind in ('step', 'calls') or super().plays(kind)
 
     def do_step(self, index, event, what, span, chance):
         for place in self.places(what):
-            self.stage.ground.machine(place.name).step(event.size)
+            self.stage.ground.process_shim(place.name).step(event.size)
 
     def do_calls(self, index, event, what, span, chance):
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         if call in NEEDED:
-            span = min(span, NEEDED_MOST)
+            span = min(span, MAX_NEEDED_FAILURE_US)
         for place in self.places(what):
-            self.stage.ground.machine(place.name).fail(span, {'call': call, 'errno': number})
+            self.stage.ground.process_shim(place.name).fail(span, {'call': call, 'errno': number})
 
 
-class Machine:
-    """What a process's shim plays now: all faults that overlap, on one board."""
+class ProcessShim:
+    """Controls the shim of one process: combines overlapping faults on one board."""
 
     def __init__(self, ground, path):
         self.ground, self.board = ground, Board(path)
@@ -160,12 +161,12 @@
         self.board.put(self.wall_s, self.calls)
 
     def step(self, seconds):
-        """The wall clock is ahead by so much more."""
+        """Step the wall clock by so many more seconds."""
         self.wall_s += seconds
         self.put()
 
     def fail(self, span, *rules):
-        """These calls fail for so many microseconds."""
+        """Apply call rules for so many microseconds."""
         self.calls += rules
         self.put()
         self.ground.later(span, self.heal, rules)
@@ -176,57 +177,57 @@
 
 
 class Ground(TrialGround):
-    """The trial's ground with a shim beneath each process."""
+    """The environment of a trial, with a shim in each process."""
 
-    def __init__(self, scenario, seed, reactor, own, seconds):
+    def __init__(self, scenario, seed, reactor, extra_faults, seconds):
         super().__init__(scenario, seed, reactor)
-        self.own, self.machines, self.seconds, self.writing = own, {}, seconds, None
+        self.extra_faults, self.process_shims, self.seconds, self.writing = extra_faults, {}, seconds, None
 
     def faults(self, stage):
-        self.writing = Writing(self, self.seconds)
-        for trouble in self.own:
-            self.later(int(trouble.at_s * 1e6), self.play_own, trouble)
-        return SoakTroubles(stage)
+        self.writing = WriterProcesses(self, self.seconds)
+        for fault in self.extra_faults:
+            self.later(int(fault.at_s * 1e6), self.inject_extra, fault)
+        return SoakFaults(stage)
 
-    def machine(self, name):
-        """The machine of the process of this name."""
-        if name not in self.machines:
-            self.machines[name] = Machine(self, os.path.join(self.folder, name + '.board'))
-        return self.machines[name]
+    def process_shim(self, name):
+        """Return the shim control of the process of this name."""
+        if name not in self.process_shims:
+            self.process_shims[name] = ProcessShim(self, os.path.join(self.folder, name + '.board'))
+        return self.process_shims[name]
 
     def program(self, name):
-        return [sys.executable, '-m', 'lilacdyke.trial.shim', self.machine(name).board.path]
-
-    def play_own(self, trouble):
-        """A trouble that the lab's scenarios do not have."""
-        span = int(trouble.for_s * 1e6)
-        if trouble.kind == 'short':
-            name = 'n%d' % (trouble.size % self.scenario.nodes)
-            call = ('send', 'recv')[trouble.size % 2]
-            self.machine(name).fail(span, {'call': call, 'size': 1 + trouble.size % 50})
-        elif trouble.kind == 'disk':
-            call, number = DISK[trouble.size % len(DISK)]
-            short = {'call': 'write', 'size': trouble.size, 'count': 1}
-            self.machine('w0').fail(span, short, {'call': call, 'errno': number})
+        return [sys.executable, '-m', 'lilacdyke.trial.shim', self.process_shim(name).board.path]
+
+    def inject_extra(self, fault):
+        """Inject a fault that lab scenarios do not have."""
+        span = int(fault.for_s * 1e6)
+        if fault.kind == 'short':
+            name = 'n%d' % (fault.size % self.scenario.nodes)
+            call = ('send', 'recv')[fault.size % 2]
+            self.process_shim(name).fail(span, {'call': call, 'size': 1 + fault.size % 50})
+        elif fault.kind == 'disk':
+            call, number = DISK_FAILURES[fault.size % len(DISK_FAILURES)]
+            short = {'call': 'write', 'size': fault.size, 'count': 1}
+            self.process_shim('w0').fail(span, short, {'call': call, 'errno': number})
         elif self.writing is not None:
-            self.writing.trouble(trouble.kind, span)
+            self.writing.inject(fault.kind, span)
 
 
-class Writing:
-    """The writer, its relays, and the process that puts changes and notes what it was told."""
+class WriterProcesses:
+    """The writer, its relays, and the process that sends changes and records their results."""
 
     def __init__(self, ground, seconds):
         self.ground, self.processes = ground, {}
         ports = free_ports(1 + RELAYS)
         self.path = os.path.join(ground.folder, 'changes.toml')
-        relays = ''.join(RELAY % (number, ports[1 + number]) for number in range(RELAYS))
+        relays = ''.join(RELAY_ENTRY % (number, ports[1 + number]) for number in range(RELAYS))
         with open(self.path, 'w', encoding='utf-8') as file:
-            file.write(CHANGES % (ports[0], ground.folder, relays))
+            file.write(CHANGES_FILE % (ports[0], ground.folder, relays))
         for name in ('w0', *('r%d' % number for number in range(RELAYS))):
             self.start(name)
-        self.told = os.path.join(ground.folder, 'told.jsonl')
-        self.staff = subprocess.Popen(
-            [sys.executable, '-m', 'lilacdyke.trial.putter', self.path, self.told, str(seconds)]
+        self.results_path = os.path.join(ground.folder, 'told.jsonl')
+        self.putter = subprocess.Popen(
+            [sys.executable, '-m', 'lilacdyke.trial.putter', self.path, self.results_path, str(seconds)]
         )
 
     def start(self, name):
@@ -234,8 +235,8 @@
         with open(os.path.join(self.ground.folder, name + '.log'), 'ab') as log:
             self.processes[name] = subprocess.Popen([*self.ground.program(name), *command], stderr=log)
 
-    def trouble(self, kind, span):
-        """The writer is killed, and started anew later, or stands still."""
+    def inject(self, kind, span):
+        """Kill the writer and restart it later, or stop it for a while."""
         writer = self.processes['w0']
         if kind == 'kill_writer':
             writer.kill()
@@ -246,17 +247,18 @@
             self.ground.later(span, writer.send_signal, signal.SIGCONT)
 
     def end(self):
-        """End all; (how many were told as kept, what is wrong with the writer's file or None)."""
-        self.staff.wait(20)
+        """End all processes; return (number of changes reported as kept, error in the writer's file or
+        None)."""
+        self.putter.wait(20)
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
             process.wait()
-        return self.judged()
+        return self.evaluate()
 
-    def judged(self):
-        """What staff were told, against the file."""
-        with open(self.told, encoding='utf-8') as file:
+    def evaluate(self):
+        """Compare the recorded results with the writer's file; return as end() does."""
+        with open(self.results_path, encoding='utf-8') as file:
             rows = [json.loads(line) for line in file]
         kept = [row['value'] for row in rows if row['told'] == 'kept']
         refused = {row['value'] for row in rows if row['told'] == 'refused'}
@@ -264,7 +266,7 @@
         shown = [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
         missing, extra = set(kept) - set(shown), refused & set(shown)
         if missing or extra or shown != sorted(shown):
-            wrong = 'told as kept and not there: %s; told as refused and there: %s' % (
+            wrong = 'reported as kept but missing: %s; reported as refused but present: %s' % (
                 sorted(missing)[:5],
                 sorted(extra)[:5],
             )
@@ -272,20 +274,20 @@
         return len(kept), None
 
 
-def once(seed, seconds, nodes):
-    """Play and judge one run in this process: a reactor runs but once."""
-    given, own = drawn(seed, seconds, nodes)
+def run_in_process(seed, seconds, nodes):
+    """Run and check one soak in this process, which can run no second one: a reactor cannot be restarted."""
+    given, extra_faults = draw_run(seed, seconds, nodes)
     given = real(given)
     made = []
 
     def build(scenario, seed_, reactor):
-        made.append(Ground(scenario, seed_, reactor, own, seconds))
+        made.append(Ground(scenario, seed_, reactor, extra_faults, seconds))
         return made[0]
 
     ended = []
 
     def around(folder):
-        watching = Stillness(folder)
+        watching = StallMonitor(folder)
         longest = watching.longest
         watching.longest = lambda: ended.append(made[0].writing.end()) or longest()
         return watching
@@ -294,12 +296,12 @@
     rows = stage.witness.rows
     broken = judge(given, rows)
     kept, wrong = ended[0]
-    told = [(found.rule, found.when / 1e6, found.text) for found in broken]
+    violations = [(found.rule, found.when / 1e6, found.text) for found in broken]
     if wrong:
-        told.append(('kept', seconds, wrong))
+        violations.append(('kept', seconds, wrong))
     return Verdict(
         seed=seed,
-        broken=told,
+        broken=violations,
         still=made[0].still,
         asked=sum(row[0] == 'ask' for row in rows),
         served=sum(row[0] == 'answer' and row[3] == 200 for row in rows),
@@ -308,13 +310,13 @@
         faults=[
             '%6.2f s %s %s for %.2f s, size %g'
             % (event.at_s, event.kind, event.what or '', event.for_s, event.size)
-            for event in sorted([*given.events, *own_events(own)], key=lambda event: event.at_s)
+            for event in sorted([*given.events, *as_events(extra_faults)], key=lambda event: event.at_s)
         ],
     )
 
 
-def own_events(own):
-    """This module's own troubles in the form of the lab's, for printing."""
+def as_events(extra_faults):
+    """Return extra faults in the form of lab events, for printing."""
 
     class Shown(msgspec.Struct):
         at_s: float
@@ -323,26 +325,26 @@
         size: float
         what: tuple = ()
 
-    return [Shown(trouble.at_s, trouble.kind, trouble.for_s, trouble.size) for trouble in own]
+    return [Shown(fault.at_s, fault.kind, fault.for_s, fault.size) for fault in extra_faults]
 
 
-def one(seed, seconds, nodes):
-    """One run in a process of its own; its Verdict."""
-    told = subprocess.run(
+def run_in_subprocess(seed, seconds, nodes):
+    """Run one soak in a process of its own; return its Verdict."""
+    finished = subprocess.run(
         [sys.executable, '-m', 'lilacdyke.trial.soak', json.dumps([seed, seconds, nodes])],
         capture_output=True,
         timeout=3 * seconds + 60,
         check=False,
     )
-    if told.returncode:
-        why = told.stderr.decode(errors='replace').strip()[-400:]
+    if finished.returncode:
+        why = finished.stderr.decode(errors='replace').strip()[-400:]
         return Verdict(seed=seed, broken=[('crashed', 0.0, why)])
-    return msgspec.json.decode(told.stdout.splitlines()[-1], type=Verdict)
+    return msgspec.json.decode(finished.stdout.splitlines()[-1], type=Verdict)
 
 
 def main():
     begun = time.monotonic()
-    found = once(*json.loads(sys.argv[1]))
+    found = run_in_process(*json.loads(sys.argv[1]))
     print('%.0f s' % (time.monotonic() - begun), file=sys.stderr)
     print(msgspec.json.encode(found).decode())
 
--- a/tests/trial/test_holders.py
+++ b/tests/trial/test_holders.py
@@ -1,4 +1,4 @@
-"""Leases for tasks among real processes: drawn trials, broken programs, `task hold` and what ends its command, a voter's file."""
+"""Task leases among real processes: drawn trials, mutants, the command `task hold`, and the voter's file."""
 
 import os
 import signal
@@ -16,32 +16,35 @@
 from ..test_upgrade import free
 
 FIXED = (1, 2, 3, 4, 5, 6)
-# One without its book shows only where most voters were restarted: the search finds it (tests/plan/test_leases.py, Blank).
-BROKEN = ('forgetful', 'same-number')
+# A voter that ignores its file needs most voters to restart at once: the search catches it (ForgetsBound in
+# tests/plan/test_leases.py).
+MUTANTS = ('forgetful', 'same-number')
 
 
 class Trials(unittest.TestCase):
-    """All of them side by side, judged one by one."""
+    """Runs all trials concurrently and checks each one."""
 
     @classmethod
     def setUpClass(cls):
-        tasks = [(seed, None) for seed in FIXED] + [(1, name) for name in BROKEN]
+        tasks = [(seed, None) for seed in FIXED] + [(1, name) for name in MUTANTS]
         with ThreadPoolExecutor(4) as pool:
-            cls.found = dict(zip(tasks, pool.map(lambda task: holders.one(*task), tasks)))
+            cls.found = dict(zip(tasks, pool.map(lambda task: holders.run_in_subprocess(*task), tasks)))
 
-    def test_no_two_act_or_hold_at_once_and_numbers_rise(self):
+    def test_at_most_one_process_holds_and_acts_and_numbers_increase(self):
         for seed in FIXED:
             with self.subTest(seed=seed):
                 found = self.found[seed, None]
                 self.assertEqual(found.broken, [])
                 self.assertGreater(found.changes, 30)
 
-    def test_broken_programs_are_found(self):
-        # Chance of real time: each has three trials, and one is enough.
-        for name in BROKEN:
+    def test_mutants_are_caught(self):
+        # Real time is not reproducible: a mutant must be caught in one of three trials.
+        for name in MUTANTS:
             with self.subTest(name=name):
                 found = (
-                    self.found[1, name].broken or holders.one(2, name).broken or holders.one(3, name).broken
+                    self.found[1, name].broken
+                    or holders.run_in_subprocess(2, name).broken
+                    or holders.run_in_subprocess(3, name).broken
                 )
                 self.assertIn(found[0][0], ('acts', 'two', 'number'))
 
@@ -55,8 +58,8 @@
 """
 
 
-class Hold(unittest.TestCase):
-    """Three planners that vote, and staff's command."""
+class HoldCommand(unittest.TestCase):
+    """The command `task hold` with three voting planners."""
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -86,7 +89,7 @@
         self.addCleanup(process.kill)
         return process
 
-    def test_the_command_has_its_number_and_its_own_status_and_the_next_has_a_higher_one(self):
+    def test_command_gets_its_number_and_the_next_one_a_higher_number(self):
         first = self.start(
             'task hold',
             'job',
@@ -108,7 +111,7 @@
         self.assertEqual((second.returncode, first.wait(5)), (0, 0))
         self.assertGreater(time.monotonic() - begun, 0.6)
 
-    def test_a_command_that_lasts_for_many_leases_is_left_alone_and_listed(self):
+    def test_command_running_for_many_leases_continues_and_is_listed(self):
         held = self.start('task hold', 'job', '--', 'sleep', '3')
         time.sleep(2.0)
         listed = subprocess.run(self.words('task', 'list'), capture_output=True, text=True, timeout=20)
@@ -116,7 +119,7 @@
         self.assertRegex(listed.stdout, r'job +held +number [1-9]')
         self.assertEqual((listed.returncode, held.wait(8)), (0, 0))
 
-    def test_with_most_voters_gone_the_command_is_ended_within_the_lease(self):
+    def test_command_is_ended_within_the_lease_without_a_quorum(self):
         for words, code in (
             (('sleep', '30'), 70),
             (('sh', '-c', 'trap "" TERM; while :; do sleep 0.05; done'), 71),
@@ -133,21 +136,21 @@
                 for planner in self.planners[:2]:
                     planner.send_signal(signal.SIGCONT)
 
-    def test_what_is_not_to_be_had_in_time_is_said(self):
+    def test_wait_timeout_exits_with_its_own_code(self):
         self.start('task hold', 'job', '--', 'sleep', '6')
         time.sleep(1.8)
         self.assertEqual(self.start('task hold', '--wait', '0.5', 'job', '--', 'true').wait(8), 75)
 
 
-class Kept(unittest.TestCase):
-    """A voter's file."""
+class VoterFile(unittest.TestCase):
+    """The file that keeps a voter's state across restarts."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.book = Book(folder.name, 'p0')
 
-    def test_what_was_written_last_is_read_and_a_half_written_one_beside_it_is_not(self):
+    def test_last_complete_write_is_read_despite_a_partial_new_file(self):
         self.book.write(7, ['p0'], 100)
         self.book.write(1_000, ['p0', 'p1'], 200)
         with open(self.book.path + '.new', 'w', encoding='utf-8') as file:
@@ -155,7 +158,7 @@
         found = Book(self.book.folder, 'p0').read()
         self.assertEqual((found.bound, found.voters, found.lease), (1_000, ['p0', 'p1'], 200))
 
-    def test_what_cannot_be_read_is_never_an_empty_one(self):
+    def test_missing_or_invalid_file_raises(self):
         with self.assertRaises(BadLine):
             self.book.read()
         for text in (
@@ -172,14 +175,14 @@
             with self.subTest(text=text), self.assertRaises(BadLine):
                 self.book.read()
 
-    def test_voters_change_one_at_a_time(self):
+    def test_only_one_voter_may_change_at_a_time(self):
         three, other = ['p0', 'p1', 'p2'], ['p0', 'p1', 'p3']
         self.assertEqual(
             [step(three, after) for after in (three, three[:2], [*three, 'p3'], other, [*three, 'p3', 'p4'])],
             [True, True, True, False, False],
         )
 
-    def test_a_planner_without_its_file_or_with_a_skipped_step_says_that_it_does_not_vote(self):
+    def test_planner_without_its_file_or_after_a_skipped_change_does_not_vote(self):
         self.book.write(5, ['p7', 'p8', 'p9'], 100)
         path = os.path.join(self.book.folder, 'fleet.toml')
         for name in ('p0', 'p1'):
--- a/tests/trial/test_trial.py
+++ b/tests/trial/test_trial.py
@@ -1,4 +1,5 @@
-"""Several processes of the program with faults between them: no rule and no limit broken; broken programs are found; nothing stays behind."""
+"""Trials of real processes with faults violate no rule and no limit, catch mutants, and leave no process
+behind."""
 
 import os
 import signal
@@ -12,49 +13,53 @@
 from twisted.internet.testing import StringTransport
 
 from lilacdyke.trial import runs
-from lilacdyke.trial.relay import DOWN, STORE, UP, End, Way
+from lilacdyke.trial.relay import DOWN, MAX_HELD_BYTES, UP, Direction, RelayEnd
 
-# Played in CI: drawn ones, two that are set, and broken programs that a trial finds at its first seed.
+# Drawn trials, two predefined ones, and mutants that are usually caught at their first seed.
 FIXED = [(seed, None, None) for seed in (1, 2, 3, 5, 8, 13, 21, 34)] + [
     (1, None, 'kills'),
     (1, None, 'absurd'),
 ]
-BROKEN = [
+MUTANTS = [
     (1, name, name)
     for name in ('lease-past-its-end', 'seat-held-twice', 'limit-read-once', 'waits-for-a-plan')
 ]
 
 
 class Trials(unittest.TestCase):
-    """All of them side by side, judged one by one."""
+    """Runs all trials concurrently and checks each one."""
 
     @classmethod
     def setUpClass(cls):
         with ThreadPoolExecutor(4) as pool:
-            cls.found = dict(zip(FIXED + BROKEN, pool.map(lambda task: runs.one(*task), FIXED + BROKEN)))
+            cls.found = dict(
+                zip(FIXED + MUTANTS, pool.map(lambda task: runs.run_in_subprocess(*task), FIXED + MUTANTS))
+            )
 
-    def test_no_rule_and_no_limit_is_broken_and_requests_are_served(self):
+    def test_trials_hold_all_rules_and_serve_requests(self):
         for task in FIXED:
             with self.subTest(task=task):
                 self.assertEqual(self.found[task].broken, [])
                 self.assertGreater(self.found[task].figures['outcomes'].get('served', 0), 50)
 
-    def test_planners_killed_a_hundred_times_leave_one_answer_for_each_request(self):
+    def test_a_hundred_planner_kills_leave_one_answer_per_request(self):
         found = self.found[1, None, 'kills']
         self.assertEqual((found.kinds.count('kill_planner'), found.broken), (100, []))
 
-    def test_broken_programs_are_found(self):
-        # A machine that is short of time for a moment hides some: each has three trials, and one is enough.
-        for task in BROKEN:
+    def test_mutants_are_caught(self):
+        # A stall of the machine can hide a mutant: it must be caught in one of three trials.
+        for task in MUTANTS:
             with self.subTest(task=task):
                 found = (
-                    self.found[task].broken or runs.one(2, *task[1:]).broken or runs.one(3, *task[1:]).broken
+                    self.found[task].broken
+                    or runs.run_in_subprocess(2, *task[1:]).broken
+                    or runs.run_in_subprocess(3, *task[1:]).broken
                 )
                 self.assertIn(found[0][0], ('limits', 'short'))
 
 
-class Behind(unittest.TestCase):
-    def test_nothing_outlives_a_trial_that_is_killed(self):
+class KilledTrial(unittest.TestCase):
+    def test_no_process_outlives_a_killed_trial(self):
         mark = 'lilacdyke.trial'
         running = subprocess.Popen(
             [sys.executable, '-m', 'lilacdyke.trial.runs', '[1, null, null]'], stdout=subprocess.DEVNULL
@@ -90,20 +95,20 @@
             return []
 
 
-class Passing(unittest.TestCase):
-    """A relay's directions, by state."""
+class RelayDirections(unittest.TestCase):
+    """A relay's directions under each fault."""
 
     def setUp(self):
         clock = self.clock = Clock()
 
         class Link:
-            ways = (Way(), Way())
+            directions = (Direction(), Direction())
             clock = staticmethod(lambda: int(clock.seconds() * 1e6))
             later = staticmethod(lambda wait, call, *given: clock.callLater(wait / 1e6, call, *given))
-            chance, tells_old, old = __import__('random').Random(1), False, None
+            chance, replays, replay_bytes = __import__('random').Random(1), False, None
             opened = closed = staticmethod(lambda end: None)
 
-        self.link, self.asked, self.there = Link, End(Link, UP), End(Link, DOWN)
+        self.link, self.asked, self.there = Link, RelayEnd(Link, UP), RelayEnd(Link, DOWN)
         self.asked.other, self.there.other = self.there, self.asked
         self.wires = []
         for end in (self.asked, self.there):
@@ -112,40 +117,40 @@
             end.makeConnection(wire)
             self.wires.append(wire)
 
-    def test_a_cut_holds_one_direction_and_lets_go_in_order(self):
-        self.link.ways[UP].cut = True
+    def test_cut_holds_one_direction_and_forwards_in_order_when_healed(self):
+        self.link.directions[UP].cut = True
         self.asked.dataReceived(b'one'), self.asked.dataReceived(b'two'), self.there.dataReceived(b'back')
         held = self.wires[1].value(), self.wires[0].value()
-        self.link.ways[UP].heal()
-        self.asked.pass_on()
+        self.link.directions[UP].heal()
+        self.asked.forward()
         self.assertEqual((held, self.wires[1].value()), ((b'', b'back'), b'onetwo'))
 
-    def test_a_torn_frame_stops_within(self):
-        self.link.ways[UP].torn = 4
+    def test_cut_after_bytes_truncates_a_frame(self):
+        self.link.directions[UP].cut_after = 4
         self.asked.dataReceived(b'abc'), self.asked.dataReceived(b'defg')
-        self.assertEqual((self.wires[1].value(), self.link.ways[UP].cut), (b'abcd', True))
+        self.assertEqual((self.wires[1].value(), self.link.directions[UP].cut), (b'abcd', True))
 
-    def test_late_bytes_come_late_and_in_order(self):
-        self.link.ways[UP].late = 500_000
+    def test_delayed_bytes_stay_in_order(self):
+        self.link.directions[UP].delay = 500_000
         self.asked.dataReceived(b'a')
-        self.link.ways[UP].late = 0
+        self.link.directions[UP].delay = 0
         self.asked.dataReceived(b'b')
         before = self.wires[1].value()
         self.clock.advance(0.6)
         self.assertEqual((before, self.wires[1].value()), (b'', b'ab'))
 
-    def test_no_more_is_held_than_a_pipe_would(self):
-        self.link.ways[UP].cut = True
-        self.asked.dataReceived(b'x' * (STORE + 1))
+    def test_reading_pauses_above_the_held_bytes_limit(self):
+        self.link.directions[UP].cut = True
+        self.asked.dataReceived(b'x' * (MAX_HELD_BYTES + 1))
         self.assertEqual(self.wires[0].producerState, 'paused')
 
-    def test_an_end_is_told_behind_the_bytes_and_not_through_a_cut(self):
-        self.link.ways[UP].cut = True
+    def test_end_of_stream_follows_held_bytes_and_waits_for_a_cut(self):
+        self.link.directions[UP].cut = True
         self.asked.dataReceived(b'last')
         self.asked.connectionLost()
         before = self.wires[1].disconnecting
-        self.link.ways[UP].heal()
-        self.asked.pass_on()
+        self.link.directions[UP].heal()
+        self.asked.forward()
         self.assertEqual((before, self.wires[1].value(), self.wires[1].disconnecting), (False, b'last', True))
 
 
