--- a/lilacdyke/trial/cli.py
+++ b/lilacdyke/trial/cli.py
@@ -75,9 +75,9 @@
     """Print the scenario and the process faults of a seed."""
     from ..lab.scenario import write
 
-    given = draw.scenario(seed)
-    click.echo(write(given))
-    for name, process_faults in draw.process_faults(seed, given).items():
+    scenario = draw.scenario(seed)
+    click.echo(write(scenario))
+    for name, process_faults in draw.process_faults(seed, scenario).items():
         click.echo('# %s: %s' % (name, process_faults))
 
 
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -253,13 +253,13 @@
     return check(MUTANTS[fit].fit(scenario(seed)))
 
 
-def process_faults(seed, given):
+def process_faults(seed, trial_scenario):
     """Return the launcher's faults by process name: clock rates up to 5 % apart, steps of the wall clock, and
     planners that are killed between two operations, such as after recording a deposit and before lending
     it."""
     chance = Random('bends/%d' % seed)
-    names = ['n%d' % number for number in range(given.nodes)] + [
-        'p%d' % number for number in range(given.planning.planners)
+    names = ['n%d' % number for number in range(trial_scenario.nodes)] + [
+        'p%d' % number for number in range(trial_scenario.planning.planners)
     ]
     found = {}
     for name in names:
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -182,12 +182,12 @@
             self.stage.zones[index % len(self.stage.zones)],
             {server.name for server in self.numbered(what)},
         )
-        here = {place.name for place in self.stage.places if place.zone == zone}
+        nodes = {place.name for place in self.stage.places if place.zone == zone}
         self.apply_for(
             [
                 relay
                 for (name, other), relay in self.stage.ground.relays.items()
-                if name in here and other in names
+                if name in nodes and other in names
             ],
             lambda relay: [
                 setattr(direction, 'cut', True) for direction in self.directions(relay, event.size)
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -106,34 +106,42 @@
 
     def listen(self, factory, address):
         if address[0].startswith('127.2.'):
-            made = []
+            ports = []
             for place in self.stage.places:
                 host, _, port = self.seen_as(place.number, address).rpartition(':')
-                made.append(self.reactor.listenTCP(int(port), factory, 1024, self.target_host(host)))
+                ports.append(self.reactor.listenTCP(int(port), factory, 1024, self.target_host(host)))
                 self.relay_between(place.name, factory.name, (host, int(port)))
-            return loopback.Ports(made)
+            return loopback.Ports(ports)
         if address[0].startswith('127.3.'):
-            here = (address[0], self.port(address[1]))
-            self.relay_between(factory.node, 'agent', here)
-            return self.reactor.listenTCP(here[1], factory, 1024, self.target_host(here[0]))
+            listen_address = (address[0], self.port(address[1]))
+            self.relay_between(factory.node, 'agent', listen_address)
+            return self.reactor.listenTCP(
+                listen_address[1], factory, 1024, self.target_host(listen_address[0])
+            )
         return super().listen(factory, address)
 
-    def relay_between(self, name, other, here, target=None):
+    def relay_between(self, name, other, listen_address, target=None):
         """Return the relay between two processes, creating it on first use."""
-        made = self.relays.get((name, other))
-        if made is None or made.here != here:
-            if made is not None:
-                made.refuse()
-            made = self.relays[name, other] = Relay(
-                self, '%s>%s' % (name, other), here, target or (self.target_host(here[0]), here[1])
+        relay = self.relays.get((name, other))
+        if relay is None or relay.listen_address != listen_address:
+            if relay is not None:
+                relay.refuse()
+            relay = self.relays[name, other] = Relay(
+                self,
+                '%s>%s' % (name, other),
+                listen_address,
+                target or (self.target_host(listen_address[0]), listen_address[1]),
             )
-            made.open()
-        return made
+            relay.open()
+        return relay
 
     def planner_for(self, place, office):
-        here = ('127.%d.%d.1' % (64 + place.number, office.number + 1), self.port(office.address[1]))
-        self.relay_between(place.name, office.name, here, (office.address[0], here[1]))
-        return '%s:%d' % here
+        listen_address = (
+            '127.%d.%d.1' % (64 + place.number, office.number + 1),
+            self.port(office.address[1]),
+        )
+        self.relay_between(place.name, office.name, listen_address, (office.address[0], listen_address[1]))
+        return '%s:%d' % listen_address
 
     def histories(self):
         """Return what forwarders recorded of servers, as rows stamped relative to the run's start."""
@@ -153,11 +161,11 @@
 
 def play(scenario, seed, process_faults=None, mutant=None):
     """Run a scenario on real processes; return (Stage, longest stall of the machine in seconds)."""
-    made = []
+    environments = []
 
     def build(*given):
-        made.append(Ground(*given, process_faults, mutant))
-        return made[0]
+        environments.append(Ground(*given, process_faults, mutant))
+        return environments[0]
 
     stage = loopback.play(scenario, seed, build=build, around=StallMonitor)
-    return stage, made[0].still
+    return stage, environments[0].still
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -206,14 +206,19 @@
         """Write the fleet file of a process; a seeker reaches each voter through a separate relay."""
         rows = []
         for number in range(VOTERS):
-            there = ('127.9.0.%d' % (number + 1), self.port)
+            voter_address = ('127.9.0.%d' % (number + 1), self.port)
             if name[0] == 's':
-                here = ('127.%d.%d.1' % (100 + int(name[1:]), number + 1), self.port)
+                relay_address = ('127.%d.%d.1' % (100 + int(name[1:]), number + 1), self.port)
                 relay = self.relays[name, 'p%d' % number] = Relay(
-                    self, '%s>p%d' % (name, number), here, there
+                    self, '%s>p%d' % (name, number), relay_address, voter_address
                 )
                 relay.open()
-            rows.append({'name': 'p%d' % number, 'address': '%s:%d' % (here if name[0] == 's' else there)})
+            rows.append(
+                {
+                    'name': 'p%d' % number,
+                    'address': '%s:%d' % (relay_address if name[0] == 's' else voter_address),
+                }
+            )
         folder = os.path.join(self.folder, name)
         os.mkdir(folder)
         write_fleet(
--- a/lilacdyke/trial/launch.py
+++ b/lilacdyke/trial/launch.py
@@ -97,10 +97,10 @@
     def hooked(*given, **named):
         if step[0] == '<':
             hook.on_reached()
-        made = original(*given, **named)
+        result = original(*given, **named)
         if step[0] == '>':
             hook.on_reached()
-        return made
+        return result
 
     setattr(owner, name, hooked)
 
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -114,8 +114,14 @@
 
     noisy = False
 
-    def __init__(self, ground, name, here, target, bind=None):
-        self.ground, self.name, self.here, self.target, self.bind = ground, name, here, target, bind
+    def __init__(self, ground, name, listen_address, target, bind=None):
+        self.ground, self.name, self.listen_address, self.target, self.bind = (
+            ground,
+            name,
+            listen_address,
+            target,
+            bind,
+        )
         self.clock, self.later, self.chance = ground.clock, ground.later, ground.chance('relay ' + name)
         self.directions, self.ends, self.port = (Direction(), Direction()), {}, None
         # The first upstream bytes of an ended connection, sent to the next one if `replays` is set.
@@ -124,7 +130,9 @@
 
     def open(self):
         if self.port is None:
-            self.port = self.ground.reactor.listenTCP(self.here[1], self, 256, self.here[0])
+            self.port = self.ground.reactor.listenTCP(
+                self.listen_address[1], self, 256, self.listen_address[0]
+            )
 
     def refuse(self):
         """Stop listening; open connections stay."""
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -44,13 +44,13 @@
     """Run and check one trial in this process, which can run no second one: a reactor cannot be restarted.
     fit: a mutant whose faults are injected, or a trial of draw.NAMED; None: as drawn from the seed."""
     begun = time.monotonic()
-    given = draw.scenario_for(seed, fit)
-    given = msgspec.structs.replace(
-        real(given), rules=msgspec.structs.replace(given.rules, slack_ms=SLACK_MS)
+    scenario = draw.scenario_for(seed, fit)
+    scenario = msgspec.structs.replace(
+        real(scenario), rules=msgspec.structs.replace(scenario.rules, slack_ms=SLACK_MS)
     )
-    stage, still = play(given, seed, draw.process_faults(seed, given), mutant)
+    stage, still = play(scenario, seed, draw.process_faults(seed, scenario), mutant)
     rows = stage.witness.rows
-    found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(given, rows)]
+    found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(scenario, rows)]
     return Verdict(
         seed=seed,
         mutant=mutant,
@@ -58,9 +58,9 @@
         still=still,
         void=still > MAX_STALL_S,
         wall=time.monotonic() - begun,
-        figures=figures(given, rows),
-        kinds=[event.kind for event in given.events],
-        over=margins(Case(given, rows)),
+        figures=figures(scenario, rows),
+        kinds=[event.kind for event in scenario.events],
+        over=margins(Case(scenario, rows)),
     )
 
 
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -118,7 +118,7 @@
             continue
         count, size = chance.choice((1, 1, 2, 3)), draw_size(kind, chance)
         events.append(Event(at_s=at, kind=kind, count=count, for_s=span, size=size))
-    made = replace(
+    scenario = replace(
         base,
         name='soak-%d' % seed,
         length_s=seconds,
@@ -129,7 +129,7 @@
         planning=replace(base.planning, seats=nodes, bounds=[replace(base.planning.bounds[0], most=5_000.0)]),
         events=sorted(events, key=lambda event: event.at_s),
     )
-    return check(made), sorted(extra_faults, key=lambda fault: fault.at_s)
+    return check(scenario), sorted(extra_faults, key=lambda fault: fault.at_s)
 
 
 class SoakFaults(TrialFaults):
@@ -263,9 +263,9 @@
         kept = [row['value'] for row in rows if row['told'] == 'kept']
         refused = {row['value'] for row in rows if row['told'] == 'refused'}
         lines = store.read(settings.read(self.path).named('w0').folder)
-        shown = [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
-        missing, extra = set(kept) - set(shown), refused & set(shown)
-        if missing or extra or shown != sorted(shown):
+        stored = [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
+        missing, extra = set(kept) - set(stored), refused & set(stored)
+        if missing or extra or stored != sorted(stored):
             wrong = 'reported as kept but missing: %s; reported as refused but present: %s' % (
                 sorted(missing)[:5],
                 sorted(extra)[:5],
@@ -276,25 +276,25 @@
 
 def run_in_process(seed, seconds, nodes):
     """Run and check one soak in this process, which can run no second one: a reactor cannot be restarted."""
-    given, extra_faults = draw_run(seed, seconds, nodes)
-    given = real(given)
-    made = []
+    scenario, extra_faults = draw_run(seed, seconds, nodes)
+    scenario = real(scenario)
+    environments = []
 
-    def build(scenario, seed_, reactor):
-        made.append(Ground(scenario, seed_, reactor, extra_faults, seconds))
-        return made[0]
+    def build(real_scenario, seed_, reactor):
+        environments.append(Ground(real_scenario, seed_, reactor, extra_faults, seconds))
+        return environments[0]
 
     ended = []
 
     def around(folder):
-        watching = StallMonitor(folder)
-        longest = watching.longest
-        watching.longest = lambda: ended.append(made[0].writing.end()) or longest()
-        return watching
+        monitor = StallMonitor(folder)
+        longest = monitor.longest
+        monitor.longest = lambda: ended.append(environments[0].writing.end()) or longest()
+        return monitor
 
-    stage = loopback.play(given, seed, build=build, around=around)
+    stage = loopback.play(scenario, seed, build=build, around=around)
     rows = stage.witness.rows
-    broken = judge(given, rows)
+    broken = judge(scenario, rows)
     kept, wrong = ended[0]
     violations = [(found.rule, found.when / 1e6, found.text) for found in broken]
     if wrong:
@@ -302,15 +302,15 @@
     return Verdict(
         seed=seed,
         broken=violations,
-        still=made[0].still,
+        still=environments[0].still,
         asked=sum(row[0] == 'ask' for row in rows),
         served=sum(row[0] == 'answer' and row[3] == 200 for row in rows),
         kept=kept,
-        processes=nodes + given.planning.planners + 1 + RELAYS,
+        processes=nodes + scenario.planning.planners + 1 + RELAYS,
         faults=[
             '%6.2f s %s %s for %.2f s, size %g'
             % (event.at_s, event.kind, event.what or '', event.for_s, event.size)
-            for event in sorted([*given.events, *as_events(extra_faults)], key=lambda event: event.at_s)
+            for event in sorted([*scenario.events, *as_events(extra_faults)], key=lambda event: event.at_s)
         ],
     )
 
