--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -11,7 +11,7 @@
 
 from . import __version__
 from .decode import address, page
-from .values import BadLine
+from .values import InvalidValueError
 
 
 def read_page(path):
@@ -21,7 +21,7 @@
         sys.exit(2)
     try:
         return page(path)
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
@@ -31,7 +31,7 @@
     try:
         if not node_config.operator and os.environ.get('EDGE_OPERATOR'):
             node_config.operator = address(os.environ['EDGE_OPERATOR'])
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: EDGE_OPERATOR: %s' % err, err=True)
         sys.exit(2)
     return node_config
@@ -43,7 +43,7 @@
 
     try:
         return limits.read(path)
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
@@ -57,7 +57,7 @@
 
     try:
         return settings.enabled(settings.read(path), node_config.installation)
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
@@ -75,10 +75,10 @@
         limits.enabled(fleet, node_config.installation)
         longest = max(profile.hard for profile in node_config.terms.profiles)
         if longest > fleet.longest_s * 10_000:
-            raise BadLine(
+            raise InvalidValueError(
                 'longest_s: %g, but the page has requests of %g s' % (fleet.longest_s, longest / 10_000)
             )
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
     return fleet
--- a/lilacdyke/benchlink/serve.py
+++ b/lilacdyke/benchlink/serve.py
@@ -2,7 +2,19 @@
 
 from .. import decode
 from ..logic import Router, Server
-from ..values import STATES, BadLine, boolean, down, hex_bytes, number, optional, report, seconds, up, whole
+from ..values import (
+    STATES,
+    InvalidValueError,
+    boolean,
+    down,
+    hex_bytes,
+    number,
+    optional,
+    report,
+    seconds,
+    up,
+    whole,
+)
 
 ENDINGS = {
     'delivered': 'committed',
@@ -33,10 +45,10 @@
         self.malformed = 0  # load reports and peer messages
 
     def server(self, name):
-        """Return the server of this name; raise BadLine if no list has named it."""
+        """Return the server of this name; raise InvalidValueError if no list has named it."""
         found = self.servers.get(name)
         if found is None:
-            raise BadLine('a server never named: %r' % name)
+            raise InvalidValueError('a server never named: %r' % name)
         return found
 
     def check_unused(self, read, text):
@@ -44,7 +56,7 @@
         counted, and the first is logged."""
         try:
             optional(read, text)
-        except BadLine as err:
+        except InvalidValueError as err:
             self.malformed += 1
             if self.malformed == 1:
                 self.router.logs.append('not read, counted from here on: %.100s' % err)
@@ -81,9 +93,9 @@
         tenant, bits = optional(whole, org) or 0, optional(whole, flags) or 0
         terms = self.router.terms
         if row >= len(terms.profiles) or tenant >= max(1, len(terms.tenants)):
-            raise BadLine('no such profile or tenant')
+            raise InvalidValueError('no such profile or tenant')
         if tx_id in self.txs:
-            raise BadLine('a transaction taken twice: %d' % tx_id)
+            raise InvalidValueError('a transaction taken twice: %d' % tx_id)
         tx = self.router.take(now, row, None if key == '-' else key, limit, bool(bits & WRITE_FLAG), now)
         tx.ref = tx_id
         self.txs[tx_id] = tx
@@ -93,7 +105,7 @@
         tx_id, index, server, outcome, lasted, complete, remark, feedback = parts
         tx_id, index = whole(tx_id), whole(index)
         if outcome not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % outcome)
+            raise InvalidValueError('unknown outcome: %r' % outcome)
         lasted, complete = down(number(lasted)), boolean(complete)
         remark = optional(whole, remark) or 0
         self.check_unused(report, feedback)
@@ -102,7 +114,7 @@
         if tx is None:
             return
         if index >= len(tx.hops) or tx.hops[index].server is not server or not tx.hops[index].out:
-            raise BadLine('no such hop is out: %d of %d' % (index, tx_id))
+            raise InvalidValueError('no such hop is out: %d of %d' % (index, tx_id))
         self.router.hop_ended(now, tx.hops[index], ENDINGS[outcome], lasted, complete, remark)
         self.forget(tx_id, tx)
 
@@ -123,7 +135,7 @@
         if tx is None:
             return
         if index >= len(tx.hops):
-            raise BadLine('no such hop: %d of %d' % (index, tx_id))
+            raise InvalidValueError('no such hop: %d of %d' % (index, tx_id))
         tx.hops[index].dropped = True
         self.router.client_gone(now, tx)
 
@@ -131,7 +143,7 @@
         """Check the line of a finished probe; the router sends none."""
         server, outcome, lasted, feedback = parts
         if outcome not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % outcome)
+            raise InvalidValueError('unknown outcome: %r' % outcome)
         number(lasted)
         self.check_unused(report, feedback)
         self.server(server)
@@ -221,7 +233,7 @@
                 parts[2:] = ['\t'.join(parts[2:])]
             try:
                 self.read(name, parts)
-            except BadLine as err:
+            except InvalidValueError as err:
                 self.report_error(parts, '%s: %s' % (name, err))
         if self.now is not None:
             self.errors.write('line %d: input ended inside a batch\n' % self.line)
@@ -240,15 +252,15 @@
         """Handle one line."""
         if self.pool and name != 'ROW':
             self.pool = None
-            raise BadLine('a list ended early')
+            raise InvalidValueError('a list ended early')
         if name == 'TURN':
             self.expect(parts, 1)
             if self.now is not None:
-                raise BadLine('a batch inside a batch')
+                raise InvalidValueError('a batch inside a batch')
             self.now = down(number(parts[0]))
         elif self.now is None:
             if name or parts:
-                raise BadLine('outside a batch')
+                raise InvalidValueError('outside a batch')
         elif name == 'EOF_BATCH':
             self.expect(parts, 0)
             self.answer()
@@ -275,32 +287,32 @@
             instance = self.instance(parts[0])
             call(instance, self.now, parts[1:])
         else:
-            raise BadLine('unknown verb')
+            raise InvalidValueError('unknown verb')
 
     @staticmethod
     def expect(parts, count):
-        """Raise BadLine unless there are exactly this many values."""
+        """Raise InvalidValueError unless there are exactly this many values."""
         if len(parts) != count:
-            raise BadLine('%d values, not %d' % (len(parts), count))
+            raise InvalidValueError('%d values, not %d' % (len(parts), count))
 
     def instance(self, text):
         """Return a running instance, whose decisions are pulled at the end of the batch."""
         found = self.instances.get(whole(text))
         if found is None:
-            raise BadLine('no such instance: %s' % text)
+            raise InvalidValueError('no such instance: %s' % text)
         self.active[found.number] = found
         return found
 
     def row(self, parts):
         """Read one row of a pool."""
         if not self.pool:
-            raise BadLine('a row outside a list')
+            raise InvalidValueError('a row outside a list')
         self.pool[1] -= 1
         try:
             self.expect(parts, 7)
             zone, cell, weight, name, started, state, kind = parts
             if state not in STATES:
-                raise BadLine('unknown state: %r' % state)
+                raise InvalidValueError('unknown state: %r' % state)
             started = optional(number, started)
             self.pool[2].append(
                 (
@@ -328,12 +340,12 @@
         instance = self.instance(parts[0])
         mode, records = parts[1], ()
         if mode not in LIST_MODES:
-            raise BadLine('unknown mode: %r' % mode)
+            raise InvalidValueError('unknown mode: %r' % mode)
         if mode != 'unavailable':
             whole(parts[2])
             records = self.pools.get(whole(parts[3]))
             if records is None:
-                raise BadLine('a list never sent: %s' % parts[3])
+                raise InvalidValueError('a list never sent: %s' % parts[3])
         instance.on_roster(self.now, mode, records)
 
     def answer(self):
--- a/lilacdyke/changes/cli.py
+++ b/lilacdyke/changes/cli.py
@@ -10,7 +10,7 @@
 import click
 
 from ..decode import address
-from ..values import BadLine
+from ..values import InvalidValueError
 from . import settings as settings_file
 from .messages import (
     LENGTH,
@@ -37,7 +37,7 @@
     try:
         settings = settings_file.read(path)
         return settings_file.enabled(settings, settings.installation)
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
@@ -47,7 +47,7 @@
     try:
         if name is not None:
             return settings.named(name)
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
     return next(process for process in settings.process if role in (None, process.role))
@@ -106,7 +106,7 @@
     find_process(settings, path, name)
     try:
         sys.exit(process.run(settings, name))
-    except BadLine as err:
+    except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
 
--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -8,7 +8,7 @@
 from ..net.logs import say, warn
 from ..net.sockets import connect
 from ..net.tables import Deadlines
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from .link import Listener, ParentLink
 from .messages import PutAnswer, PutRequest, Status, StatusRequest, TakeBackRequest
 from .replica import HEARTBEAT_INTERVAL
@@ -164,14 +164,15 @@
             return PutAnswer(refused='%s writes no log' % self.name)
         try:
             change = self.apply_request(request)
-        except BadLine as err:
+        except InvalidValueError as err:
             return PutAnswer(refused=str(err))
         return PutAnswer(self.replica.log(self.replica.origin).position if change else None)
 
     def apply_request(self, request):
-        """Put a change, or take one back, and return the new change. Raise BadLine if it is refused."""
+        """Put a change, or take one back, and return the new change. Raise InvalidValueError if it is
+        refused."""
         if not self.replica.holds_lease(self.clock()):
-            raise BadLine('%s does not hold the lease' % self.name)
+            raise InvalidValueError('%s does not hold the lease' % self.name)
         if isinstance(request, PutRequest):
             items = [(item.key, item.value) for item in request.items]
             change = self.writer.put(request.kind, items, self.wall_ms())
--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -19,7 +19,7 @@
 from .host import Host
 from .replica import Replica
 from .store import DiskError, Store
-from .writer import NotKeptError, Writer
+from .writer import NotStoredError, Writer
 
 STATS_INTERVAL = 10 * SECOND
 START_ATTEMPTS, START_RETRY_DELAY_S = 20, 0.25
@@ -28,12 +28,12 @@
 def retry_disk(call):
     """Return the result of a call that reads or writes the file, retrying transient disk errors at a start.
 
-    Raise BadLine if it keeps failing.
+    Raise InvalidValueError if it keeps failing.
     """
     for attempts_left in reversed(range(START_ATTEMPTS)):
         try:
             return call()
-        except (DiskError, NotKeptError) as err:
+        except (DiskError, NotStoredError) as err:
             if not attempts_left:
                 raise
             warn('disk failed at the start', reason=err)
@@ -41,7 +41,7 @@
 
 
 def make_writer(settings, process, replica):
-    """Return the writer of this process. Raise BadLine if its file cannot be read or written."""
+    """Return the writer of this process. Raise InvalidValueError if its file cannot be read or written."""
     store = retry_disk(lambda: Store(process.folder))
     writer = Writer(
         replica, settings.keys, lambda line: retry_disk(lambda: store.keep(line)), store.lines
@@ -51,7 +51,8 @@
 
 
 def make_host(settings, process, reactor, system=System):
-    """Return the host of this process. Raise BadLine if a writer's file cannot be read or written."""
+    """Return the host of this process. Raise InvalidValueError if a writer's file cannot be read or
+    written."""
     is_writer = process.role == 'writer'
     replica = Replica(process.name, process.name if is_writer else None)
     parents = [(name, address(settings.named(name).address)) for name in process.above]
@@ -91,7 +92,8 @@
 
 
 def run(settings, name):
-    """Run the process with this name until SIGTERM and return its exit code. Raise BadLine if it fails."""
+    """Run the process with this name until SIGTERM and return its exit code. Raise InvalidValueError if it
+    fails."""
     from twisted.internet.main import installReactor
     from twisted.logger import STDLibLogObserver, globalLogBeginner
 
--- a/lilacdyke/changes/settings.py
+++ b/lilacdyke/changes/settings.py
@@ -1,6 +1,6 @@
 """The changes file: the processes that distribute changes, and the keys of the configuration.
 
-Every error in the file is a BadLine that names the key.
+Every error in the file is an InvalidValueError that names the key.
 """
 
 from typing import Annotated, Literal
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from ..decode import address
-from ..values import BadLine
+from ..values import InvalidValueError
 from .messages import Name
 from .writer import KeyType
 
@@ -39,11 +39,11 @@
     stale_after_s: Annotated[float, Meta(gt=0, le=3_600)] = 10.0
 
     def named(self, name):
-        """Return the process with this name. Raise BadLine if there is none."""
+        """Return the process with this name. Raise InvalidValueError if there is none."""
         for process in self.process:
             if process.name == name:
                 return process
-        raise BadLine('process: no %s' % name)
+        raise InvalidValueError('process: no %s' % name)
 
     @property
     def relays(self):
@@ -52,64 +52,65 @@
 
 
 def check(settings):
-    """Check what the types cannot express, and return the settings. Raise BadLine if they are invalid."""
+    """Check what the types cannot express, and return the settings. Raise InvalidValueError if they are
+    invalid."""
     names = [process.name for process in settings.process]
     if len(set(names)) < len(names):
-        raise BadLine('process: a name twice')
+        raise InvalidValueError('process: a name twice')
     roles = {process.name: process.role for process in settings.process}
     for process in settings.process:
         check_process(process, roles)
     if not any(role == 'writer' for role in roles.values()):
-        raise BadLine('process: no writer')
+        raise InvalidValueError('process: no writer')
     for process in settings.process:
         check_no_cycle(process.name, settings)
     return settings
 
 
 def check_process(process, roles):
-    """Check one process. Raise BadLine if it is invalid."""
+    """Check one process. Raise InvalidValueError if it is invalid."""
     where = 'process %s: ' % process.name
     try:
         address(process.address)
-    except BadLine as err:
-        raise BadLine('%saddress: %s' % (where, err)) from None
+    except InvalidValueError as err:
+        raise InvalidValueError('%saddress: %s' % (where, err)) from None
     if process.role == 'writer' and (process.above or process.folder is None):
-        raise BadLine('%sa writer requires folder and must not have above' % where)
+        raise InvalidValueError('%sa writer requires folder and must not have above' % where)
     if process.role == 'relay' and (not process.above or process.folder is not None):
-        raise BadLine('%sa relay requires above and must not have folder' % where)
+        raise InvalidValueError('%sa relay requires above and must not have folder' % where)
     unknown = [name for name in process.above if name not in roles]
     if unknown:
-        raise BadLine('%sabove: no %s' % (where, unknown[0]))
+        raise InvalidValueError('%sabove: no %s' % (where, unknown[0]))
 
 
 def check_no_cycle(name, settings):
-    """Raise BadLine if this process is among its own ancestors."""
+    """Raise InvalidValueError if this process is among its own ancestors."""
     seen, pending = set(), [name]
     while pending:
         for above in settings.named(pending.pop()).above:
             if above == name:
-                raise BadLine('process %s: above: it is above itself' % name)
+                raise InvalidValueError('process %s: above: it is above itself' % name)
             if above not in seen:
                 seen.add(above)
                 pending.append(above)
 
 
 def read(path):
-    """Return the settings in this file. Raise BadLine if it cannot be read or is invalid."""
+    """Return the settings in this file. Raise InvalidValueError if it cannot be read or is invalid."""
     try:
         with open(path, 'rb') as file:
             settings = msgspec.toml.decode(file.read(), type=Settings)
     except (msgspec.MsgspecError, OSError, ValueError, RecursionError) as err:
-        raise BadLine(' '.join(str(err).split())) from None
+        raise InvalidValueError(' '.join(str(err).split())) from None
     return check(settings)
 
 
 def enabled(settings, installation):
-    """Return the settings if they are enabled for this installation, else raise BadLine."""
+    """Return the settings if they are enabled for this installation, else raise InvalidValueError."""
     if not settings.enabled:
-        raise BadLine('enabled: is false')
+        raise InvalidValueError('enabled: is false')
     if installation != settings.installation:
-        raise BadLine(
+        raise InvalidValueError(
             'installation: %s here, %s in the page' % (settings.installation, installation or 'none')
         )
     return settings
--- a/lilacdyke/changes/store.py
+++ b/lilacdyke/changes/store.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from ..net.logs import warn
-from ..values import BadLine
-from .writer import Begun, Compacted, Line, NotKeptError, Put
+from ..values import InvalidValueError
+from .writer import Compacted, EpochBegun, Line, NotStoredError, Put
 
 LINES = 4_096  # a file of this many lines is compacted at a start
 NAME = 'changes.jsonl'
@@ -22,7 +22,8 @@
 
 
 def read(folder):
-    """Return the lines of a folder's file, [] if there is no file. Raise BadLine if it cannot be read."""
+    """Return the lines of a folder's file, [] if there is no file. Raise InvalidValueError if it cannot be
+    read."""
     path = os.path.join(folder, NAME)
     try:
         with open(path, 'rb') as file:
@@ -30,18 +31,19 @@
     except FileNotFoundError:
         return []
     except OSError as err:
-        raise BadLine('%s: %s' % (path, err)) from None
+        raise InvalidValueError('%s: %s' % (path, err)) from None
 
 
 def parse(path, text):
-    """Return the complete lines in a file's bytes and their length in bytes. Raise BadLine on a bad line."""
+    """Return the complete lines in a file's bytes and their length in bytes. Raise InvalidValueError on a bad
+    line."""
     rows = text.split(LINE_END)
     lines_found = []
     for number, row in enumerate(rows[:-1], 1):
         try:
             lines_found.append(msgspec.json.decode(row, type=Line))
         except msgspec.MsgspecError as err:
-            raise BadLine('%s: line %d: %s' % (path, number, err)) from None
+            raise InvalidValueError('%s: line %d: %s' % (path, number, err)) from None
     return lines_found, len(text) - len(rows[-1])
 
 
@@ -51,7 +53,7 @@
         return lines
     epoch, configuration, newest = 0, {}, 0
     for line in lines:
-        if isinstance(line, Begun):
+        if isinstance(line, EpochBegun):
             epoch = max(epoch, line.epoch)
         elif isinstance(line, Compacted):
             epoch, configuration, newest = max(epoch, line.epoch), dict(line.configuration), line.newest
@@ -81,13 +83,13 @@
         os.close(descriptor)
 
 
-class DiskError(BadLine):
+class DiskError(InvalidValueError):
     """The file cannot be opened or read, perhaps only for now. The message is one line."""
 
 
 class Store:
-    """A writer's file, open for appending. Raises DiskError if it cannot be opened or read, BadLine if it is
-    malformed.
+    """A writer's file, open for appending. Raises DiskError if it cannot be opened or read, InvalidValueError
+    if it is malformed.
 
     lines: the lines at the start. length: bytes of stored lines; anything beyond is truncated before the next
     line is written.
@@ -106,7 +108,7 @@
         except OSError as err:
             self.close()
             raise DiskError('%s: %s' % (self.path, err)) from None
-        except BadLine:
+        except InvalidValueError:
             self.close()
             raise
 
@@ -143,7 +145,7 @@
         self.close()
         self.descriptor = descriptor
 
-    def cut_back(self):
+    def truncate_to_stored(self):
         """Truncate the file to its stored lines, and sync its folder entry. Raise OSError if that fails."""
         if not self.name_synced:
             sync_folder(self.folder)
@@ -154,13 +156,13 @@
             self.clean = True
 
     def keep(self, line):
-        """Append a line and sync it to disk. Raise NotKeptError if that fails.
+        """Append a line and sync it to disk. Raise NotStoredError if that fails.
 
         The line is then not in the file; or, if the error says so, it may be there until the next is stored.
         """
         data = msgspec.json.encode(line) + LINE_END
         try:
-            self.cut_back()
+            self.truncate_to_stored()
             self.clean = False
             write_all(self.descriptor, data)
             os.fsync(self.descriptor)
@@ -172,10 +174,10 @@
     def refusal(self, err):
         """Truncate the file after a failed write, and return the error to raise."""
         try:
-            self.cut_back()
+            self.truncate_to_stored()
         except OSError:
-            return NotKeptError('not kept, may come back with a restart: %s' % err.strerror)
-        return NotKeptError('not kept: %s' % err.strerror)
+            return NotStoredError('not kept, may come back with a restart: %s' % err.strerror)
+        return NotStoredError('not kept: %s' % err.strerror)
 
     def close(self):
         """Close the file."""
--- a/lilacdyke/changes/writer.py
+++ b/lilacdyke/changes/writer.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..values import BadLine
+from ..values import InvalidValueError
 from .log import CONFIGURATION, KINDS, PURGE
 from .messages import Change, Item, Position, Snapshot
 
@@ -17,15 +17,15 @@
 MAX_REVERSIBLE = 1_024  # number of changes that can be taken back
 
 
-class RefusedError(BadLine):
+class RefusedError(InvalidValueError):
     """A change is refused. The message is one line that names the key."""
 
 
-class NotKeptError(RefusedError):
+class NotStoredError(RefusedError):
     """A change could not be stored."""
 
 
-class Begun(msgspec.Struct, frozen=True, tag='epoch'):
+class EpochBegun(msgspec.Struct, frozen=True, tag='epoch'):
     """A line of the writer's file: the start of an epoch."""
 
     epoch: int
@@ -45,7 +45,7 @@
     newest: int
 
 
-Line = Begun | Put | Compacted
+Line = EpochBegun | Put | Compacted
 KeyType = Literal['number', 'text', 'flag']
 
 
@@ -74,14 +74,14 @@
         self.epoch = last + 1 if epoch is None else epoch
         if self.epoch <= last:
             raise RefusedError('epoch: %d is not above %d' % (self.epoch, last))
-        keep(Begun(self.epoch))
+        keep(EpochBegun(self.epoch))
         self.log.begin_epoch(self.epoch)
 
     def replay(self, lines):
         """Apply the stored lines to the log, and return the last epoch."""
         last = 0
         for line in lines:
-            if isinstance(line, Begun):
+            if isinstance(line, EpochBegun):
                 last = max(last, line.epoch)
                 self.log.begin_epoch(line.epoch)
             elif isinstance(line, Compacted):
--- a/lilacdyke/decode.py
+++ b/lilacdyke/decode.py
@@ -7,29 +7,29 @@
 from ipaddress import ip_address
 
 from .terms import IDEMPOTENT, JOURNALLED, NON_IDEMPOTENT, Profile, SiteTerms, Tenant
-from .values import BadLine, down, up
+from .values import InvalidValueError, down, up
 
 REAL = (int, float)
 EFFECTS = {'free': IDEMPOTENT, 'guarded': JOURNALLED, 'single_shot': NON_IDEMPOTENT}
 
 
 def find(tree, path, kind):
-    """Return the value at a dotted path; raise BadLine if it is missing or of another type."""
+    """Return the value at a dotted path; raise InvalidValueError if it is missing or of another type."""
     value = tree
     for name in path.split('.'):
         if not isinstance(value, dict) or name not in value:
-            raise BadLine('missing: %s' % path)
+            raise InvalidValueError('missing: %s' % path)
         value = value[name]
     if isinstance(value, bool) is not (kind is bool) or not isinstance(value, kind):
-        raise BadLine('out of form: %s: %.200r' % (path, value))
+        raise InvalidValueError('out of form: %s: %.200r' % (path, value))
     return value
 
 
 def _choice(tree, path, known):
-    """Return the word at a path; raise BadLine unless it is one of the known ones."""
+    """Return the word at a path; raise InvalidValueError unless it is one of the known ones."""
     word = find(tree, path, str)
     if word not in known:
-        raise BadLine('unknown: %s: %.200r' % (path, word))
+        raise InvalidValueError('unknown: %s: %.200r' % (path, word))
     return word
 
 
@@ -56,7 +56,7 @@
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as err:
-        raise BadLine('%s not JSON: %s' % (what, err)) from None
+        raise InvalidValueError('%s not JSON: %s' % (what, err)) from None
 
 
 def decode(text):
@@ -77,31 +77,31 @@
         aside=find(tree, 'kindOfService', str) == 'cache'
         and _choice(tree, 'familyInfo.mode', ('through', 'aside')) == 'aside',
         watched=_choice(tree, 'membershipMode', ('pushed', 'on_request')) == 'on_request',
-        may_copy=find(tree, 'limits.mayDuplicate', bool),
+        may_hedge=find(tree, 'limits.mayDuplicate', bool),
         may_cancel=find(tree, 'limits.cancel', bool),
         max_hops=find(tree, 'limits.maxHops', int),
-        max_return=down(find(tree, 'limits.maxRetryAfterS', REAL)) if may_suggest else 0,
-        ask_within=down(find(tree, 'safety.askWithinS', REAL)),
+        max_retry_after=down(find(tree, 'limits.maxRetryAfterS', REAL)) if may_suggest else 0,
+        list_request_within=down(find(tree, 'safety.askWithinS', REAL)),
         fall_multiple=find(tree, 'safety.fallMultiple', REAL),
-        fall_window=up(find(tree, 'safety.overloadForS', REAL)),
+        overload_window=up(find(tree, 'safety.overloadForS', REAL)),
         cold_from=find(tree, 'safety.coldFrom', REAL),
-        warm_up=up(find(tree, 'safety.warmUpS', REAL)),
+        warm_up_time=up(find(tree, 'safety.warmUpS', REAL)),
         tick=up(find(tree, 'tickS', REAL)),
-        cross_price=find(tree, 'fees.crossZone', REAL),
-        waste_price=find(tree, 'fees.waste', REAL),
+        cross_zone_fee=find(tree, 'fees.crossZone', REAL),
+        waste_fee=find(tree, 'fees.waste', REAL),
     )
     if not terms.profiles or min(profile.goal for profile in terms.profiles) <= 0 or terms.nodes < 1:
-        raise BadLine('settings: no profile, a goal of nothing, or no node')
+        raise InvalidValueError('settings: no profile, a goal of nothing, or no node')
     origin_kind = find(tree, 'familyInfo.originKind', int) if terms.aside else -1
     return terms, find(tree, 'rank', int), origin_kind
 
 
 def validated_zones(tree):
-    """Return the numbers of the zones by name; raise BadLine if keys of the settings contradict each other,
-    such as a fee for a feature that another key turns off."""
+    """Return the numbers of the zones by name; raise InvalidValueError if keys of the settings contradict
+    each other, such as a fee for a feature that another key turns off."""
     zones = find(tree, 'dcs', list)
     if not zones or not all(isinstance(zone, str) for zone in zones) or len(set(zones)) < len(zones):
-        raise BadLine('out of form: dcs: %.200r' % zones)
+        raise InvalidValueError('out of form: dcs: %.200r' % zones)
     probing, peers = find(tree, 'limits.probing', bool), find(tree, 'limits.peers', bool)
     how = _choice(tree, 'stats.how', ('inline', 'on_probe', 'off'))
     for key, contradicts, why in (
@@ -114,11 +114,11 @@
         ('fees.peer', not peers and find(tree, 'fees.peer', REAL) > 0, 'limits.peers is false'),
     ):
         if contradicts:
-            raise BadLine('settings mix two shapes: %s: %s' % (key, why))
+            raise InvalidValueError('settings mix two shapes: %s: %s' % (key, why))
     return {zone: number for number, zone in enumerate(zones)}
 
 
-class Place:
+class NodeConfig:
     """Configuration of one node. Addresses are pairs of a literal IP address and a port."""
 
     __slots__ = (
@@ -133,7 +133,7 @@
         'origin_kind',
         'idle',
         'connect_within',
-        'stop_within',
+        'stop_sending_timeout',
         'memory',
         'operator',
         'zones',
@@ -153,9 +153,9 @@
         ip_address(host)
         number = int(port) if port.isascii() and port.isdigit() else 0
     except ValueError:
-        raise BadLine('no literal address: %r' % text) from None
+        raise InvalidValueError('no literal address: %r' % text) from None
     if not 0 < number < 65_536:
-        raise BadLine('no port: %r' % text)
+        raise InvalidValueError('no port: %r' % text)
     return host, number
 
 
@@ -171,10 +171,10 @@
     try:
         seed = int(seed, 16)
     except ValueError:
-        raise BadLine('config: seed is out of form: %r' % seed) from None
+        raise InvalidValueError('config: seed is out of form: %r' % seed) from None
     if origin >= len(kinds):
-        raise BadLine('settings: familyInfo.originKind is no kind: %d' % origin)
-    return Place(
+        raise InvalidValueError('settings: familyInfo.originKind is no kind: %d' % origin)
+    return NodeConfig(
         name=find(tree, 'name', str),
         listen=address(find(tree, 'listen', str)),
         discovery=address(find(tree, 'discovery', str)),
@@ -186,7 +186,7 @@
         origin_kind=kinds[origin] if origin >= 0 else None,
         idle=down(find(tree, 'settings.limits.connIdleS', REAL)),
         connect_within=timeout,
-        stop_within=down(find(tree, 'settings.safety.stopSendingWithinS', REAL)),
+        stop_sending_timeout=down(find(tree, 'settings.safety.stopSendingWithinS', REAL)),
         memory=find(tree, 'limits.memory_mb', int) << 20,
         operator=address(find(tree, 'operator', str)) if 'operator' in tree else None,
         zones=validated_zones(settings),
@@ -195,9 +195,9 @@
 
 
 def page(path):
-    """Read a node's configuration page from a file; raise BadLine if that fails."""
+    """Read a node's configuration page from a file; raise InvalidValueError if that fails."""
     try:
         with open(path, encoding='utf-8') as file:
             return place(file.read())
     except (OSError, UnicodeDecodeError) as err:
-        raise BadLine(err) from None
+        raise InvalidValueError(err) from None
--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -47,7 +47,7 @@
         'retry_cache',
         'hedged',
         'queued',
-        'twice',
+        'hedgeable',
         'spent',
         'key_seen',
         'refused',
@@ -88,7 +88,7 @@
         the expected wait exceeds a third of the goal, down to MIN_SHARE at two thirds; for the origin, later
         answers are accepted the more revenue they still earn. A node that often hears from each cache relies
         on the in-flight limit instead, except in an overload behind the caches."""
-        if self.often and self.failure_ratio() < OVERLOAD_RATIO and not server.origin:
+        if self.gets_hops_often and self.failure_ratio() < OVERLOAD_RATIO and not server.origin:
             return True
         slope = 3 - tx.profile.late_revenue if server.origin else 3
         excess = slope * self.expected_wait(now, server) / (self.goal if server.origin else tx.profile.goal)
@@ -125,19 +125,19 @@
         """Return whether the limit has passed; there is none while the body is arriving."""
         return tx.limit is not None and now >= tx.limit
 
-    def cold_room(self, now, server):
+    def cold_budget_allows(self, now, server):
         """Return whether a server may get one more hop despite being cold.
 
         The rate of a cold cache is the peak rate of warm caches, scaled by weight and age, times half of the
         multiple that the whole fleet must stay under. It may be far below one hop per window, so credit
         accumulates from a random start."""
-        warmth = self.presence(now, server)
+        warmth = self.capacity_factor(now, server)
         if self.shares and not self.shares.allows(now, server, warmth < 1):
             return False
         if server.origin or warmth == 1:
             return True
         rate = max(1 / self.terms.nodes, self.usual * server.weight * warmth * self.terms.fall_multiple / 2)
-        gained = 0 if self.handed else rate * (now - server.credit_updated) / self.terms.fall_window
+        gained = 0 if self.handed else rate * (now - server.credit_updated) / self.terms.overload_window
         server.cold_credit, server.credit_updated = min(max(1, rate / 2), server.cold_credit + gained), now
         return server.cold_credit >= 1
 
@@ -145,7 +145,7 @@
         """Return whether the rules allow one more hop of this transaction to this server."""
         if tx.done or self.over(now, tx) or len(tx.hops) >= self.terms.max_hops or server.state != 'ready':
             return False
-        if tx.spent or not self.cold_room(now, server) or tx.out and not tx.twice:
+        if tx.spent or not self.cold_budget_allows(now, server) or tx.out and not tx.hedgeable:
             return False
         ran = [hop for hop in tx.hops if hop.ran]
         if not ran or tx.profile.effect == IDEMPOTENT:
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -17,7 +17,7 @@
 INITIAL_IN_FLIGHT = 32.0  # in-flight limit of a server without any history
 MAX_SUSPENDED = 1_024  # remembered suspensions, ended ones included
 # What the fleet says of a server: valid until, lower and upper bound of its share, expected wait.
-NO_WORD = (0, 0, 1, 0)
+NO_FLEET_BOUNDS = (0, 0, 1, 0)
 
 
 class Histogram:
@@ -116,7 +116,7 @@
         'cell',
         'out',
         'share',
-        'doubt',
+        'unanswered_hops',
         'share_updated',
         'hedge_timer',
         'cold_credit',
@@ -129,13 +129,13 @@
     )
 
     def __init__(self, name, origin):
-        self.name, self.origin, self.word = name, origin, NO_WORD
+        self.name, self.origin, self.word = name, origin, NO_FLEET_BOUNDS
         self.name_hash = crc32(name.encode()) << 32
         self.state, self.weight, self.started, self.zone, self.cell = 'gone', 1, None, 0, 0
         self.told = 'gone'  # as listed; self.state is 'banned' for a ready server that an operator suspended
         self.out = 0  # this node's in-flight hops
         self.share = 1  # share of the reads of its keys that it gets; below 1 while set aside
-        self.doubt = 0  # consecutive unanswered hops
+        self.unanswered_hops = 0  # consecutive unanswered hops
         self.share_updated = 0
         self.in_flight_limit, self.limit_cut = INITIAL_IN_FLIGHT, 0  # limit_cut: time of the last decrease
         self.lag, self.latency_updated = 0, 0  # moving average of its latency
@@ -154,18 +154,18 @@
         self.hand = {}  # suspensions by name: (start, end), end None while it lasts
         self.logs = deque()
         # Decaying counts of hops that ended well and badly; whether each cache gets a hop or more per goal.
-        self.smooth, self.poor, self.often = 1.0, 0.0, True
+        self.good_hops, self.poor, self.gets_hops_often = 1.0, 0.0, True
         self.usual = 0  # peak of the warm caches' answers per window and unit of weight
         self.warm_answers, self.window_start = 0, 0  # answers in the current window
         self.total_out = 0  # in-flight hops at ready caches
         self.lag, self.latency_updated = 0, 0  # moving average over reads at all caches
-        self.watch_at, self.failures = 0 if terms.watched else None, 0
+        self.list_request_at, self.failures = 0 if terms.watched else None, 0
 
     # --- membership -----------------------------------------------------------------------------------
 
     def list_changed(self, now, entries):
         """Apply changes to the server list."""
-        self.failures, self.watch_at = 0, None
+        self.failures, self.list_request_at = 0, None
         self.list_remembered(now, entries)
 
     def list_replaced(self, now, entries):
@@ -179,15 +179,15 @@
         """Apply entries kept from before a restart; they hold until discovery answers."""
         for entry in entries:
             self.list_entry(now, *entry)
-        self.relist()
+        self.rebuild_ready()
 
     def list_failed(self, now):
         """Schedule a retry after a failed call or broken watch: jittered exponential backoff, capped so that
-        requests stay more frequent than terms.ask_within demands."""
+        requests stay more frequent than terms.list_request_within demands."""
         self.failures += 1
-        wait = min(self.terms.ask_within // 4, self.goal << min(self.failures, 8))
-        self.watch_at = now + int(wait * (0.5 + self.chance()))
-        self.alarm(self.watch_at, None)
+        wait = min(self.terms.list_request_within // 4, self.goal << min(self.failures, 8))
+        self.list_request_at = now + int(wait * (0.5 + self.chance()))
+        self.set_timer(self.list_request_at, None)
 
     def list_entry(self, now, server, state, weight, started, zone, cell):
         since, back = self.hand.get(server.name, (0, 0))
@@ -195,9 +195,9 @@
             started = back  # the list may not know yet that the server restarted while it was suspended
         if started != server.started or server.state == 'gone':
             # A restarted server is cold, and its history is void.
-            server.share, server.doubt, server.share_updated, server.limit_cut = 1, 0, now, now
+            server.share, server.unanswered_hops, server.share_updated, server.limit_cut = 1, 0, now, now
             server.started = started
-            server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.presence(now, server))
+            server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.capacity_factor(now, server))
             server.lag, server.hedge_timer = self.lag, HedgeTimer(self.unit)
             server.cold_credit, server.credit_updated = self.chance(), now
         server.told, server.weight, server.zone, server.cell = state, weight, zone, cell
@@ -207,11 +207,11 @@
     def suspend(self, now, name):
         """Suspend a cache, whatever lists say, until resume(). Return whether it is suspended now."""
         server = self.known.get(name)
-        if self.banned(name) or server is None or server.origin:
-            return self.banned(name)
+        if self.is_suspended(name) or server is None or server.origin:
+            return self.is_suspended(name)
         self.hand.pop(name, None)
         if len(self.hand) >= MAX_SUSPENDED:
-            self.hand.pop(next((old for old in self.hand if not self.banned(old)), None), None)
+            self.hand.pop(next((old for old in self.hand if not self.is_suspended(old)), None), None)
         if len(self.hand) >= MAX_SUSPENDED:
             return False
         self.hand[name] = (now, None)
@@ -221,7 +221,7 @@
     def resume(self, now, name):
         """End a suspension; the cache was restarted meanwhile and is cold. Return whether it was known."""
         server = self.known.get(name)
-        if not self.banned(name):
+        if not self.is_suspended(name):
             return server is not None and not server.origin
         self.hand[name] = (self.hand[name][0], now)
         if server:
@@ -229,12 +229,12 @@
             self.list_remembered(now, [row])
         return True
 
-    def banned(self, name):
+    def is_suspended(self, name):
         """Return whether an operator has suspended the server."""
         return self.hand.get(name, (0, 0))[1] is None
 
-    def legacy(self, now):
-        """Return plain values, with ages for times, that inherit() takes in the node's next process."""
+    def export_state(self, now):
+        """Return plain values, with ages for times, that import_state() takes in the node's next process."""
         return [
             self.usual,
             {
@@ -248,7 +248,7 @@
             },
         ]
 
-    def inherit(self, now, usual, servers):
+    def import_state(self, now, usual, servers):
         """Take over the state of this node's previous process, which stops spending its cold credit."""
         self.usual = usual
         for name, (age, cold_credit, in_flight_limit, lag) in servers.items():
@@ -267,7 +267,7 @@
         """Return a server's entry as in the latest list."""
         return server, server.told, server.weight, server.started, server.zone, server.cell
 
-    def relist(self):
+    def rebuild_ready(self):
         # A gone server is kept while it has in-flight hops, and dropped when a later list is applied.
         self.known = {name: s for name, s in self.known.items() if s.state != 'gone' or s.out}
         ready = [server for server in self.known.values() if server.state == 'ready']
@@ -284,8 +284,8 @@
     def record_answer(self, now, hop, duration, ending, note):
         """Record an answer: a reduced share doubles once per round trip; feeds the hedge timer."""
         server = hop.server
-        server.doubt = 0
-        if ending == 'committed' and not server.origin and self.presence(now, server) == 1:
+        server.unanswered_hops = 0
+        if ending == 'committed' and not server.origin and self.capacity_factor(now, server) == 1:
             self.warm_answers += 1
         if server.share < 1 and hop.sent >= server.share_updated and duration < hop.tx.profile.goal // 2:
             server.share, server.share_updated = min(1, 2 * self.turns(now, server)), now
@@ -308,10 +308,10 @@
         threshold = hop.tx.profile.goal if server.origin else hop.tx.profile.goal // 3
         answered = ending in ('committed', 'missing')
         good = answered and duration < hop.tx.profile.goal // 2
-        self.smooth += good
+        self.good_hops += good
         self.poor += not good and ending not in NEUTRAL_ENDINGS
-        if self.smooth + self.poor > Histogram.DECAY_AFTER:
-            self.smooth, self.poor = self.smooth / 2, self.poor / 2
+        if self.good_hops + self.poor > Histogram.DECAY_AFTER:
+            self.good_hops, self.poor = self.good_hops / 2, self.poor / 2
         if answered and duration < threshold:
             if server.out + 1 >= server.in_flight_limit / 2:
                 server.in_flight_limit += 1 / server.in_flight_limit
@@ -319,7 +319,7 @@
             hop.sent >= server.limit_cut
             and ending != 'unsent'
             and (
-                (min(duration, server.lag) if self.often else duration) >= threshold
+                (min(duration, server.lag) if self.gets_hops_often else duration) >= threshold
                 or ending in ('refused', 'error')
             )
         ):
@@ -349,7 +349,7 @@
 
     def common_wait(self, now):
         """Return the wait to expect at any cache, which fades without new samples."""
-        return self.lag * self.fade(now, self.latency_updated)
+        return self.lag * self.decay(now, self.latency_updated)
 
     def expected_wait(self, now, server):
         """Return the wait to expect at a server: its own average, fading into that of all caches, since one
@@ -357,9 +357,9 @@
         overload would learn too late that it is over."""
         common = 0 if server.origin else self.common_wait(now)
         reported = server.word[3] if now < server.word[0] else 0
-        return max(reported, common + (server.lag - common) * self.fade(now, server.latency_updated))
+        return max(reported, common + (server.lag - common) * self.decay(now, server.latency_updated))
 
-    def fade(self, now, since):
+    def decay(self, now, since):
         """Return the weight of an observation made at this time, in (0, 1].
 
         Without decay a node could avoid a recovered server for ever, as it gets no new samples from it."""
@@ -367,11 +367,11 @@
 
     def turns(self, now, server):
         """Return a server's current share of its reads; a reduced one grows with time."""
-        return min(1, server.share / self.fade(now, server.share_updated))
+        return min(1, server.share / self.decay(now, server.share_updated))
 
     def admitted_share(self, now, server):
         """Return the server's share within the bounds that the fleet sets, if they have not expired."""
-        _, lowest, highest, _ = server.word if now < server.word[0] else NO_WORD
+        _, lowest, highest, _ = server.word if now < server.word[0] else NO_FLEET_BOUNDS
         return max(lowest, min(highest, self.turns(now, server)))
 
     def halve_share(self, now, server):
@@ -381,36 +381,36 @@
     def failure_ratio(self):
         """Return the share of recent hops that ended late or badly. Hedging presumes that slowness is rare
         and uncorrelated; in a wide overload, copies only add to it."""
-        return self.poor / (self.smooth + self.poor)
+        return self.poor / (self.good_hops + self.poor)
 
     def record_silence(self, now, server):
         """Count an unanswered hop and set the server aside after SET_ASIDE_AFTER in a row."""
-        server.doubt += 1
+        server.unanswered_hops += 1
         share = self.turns(now, server)
-        if share < 1 or server.doubt >= SET_ASIDE_AFTER:
+        if share < 1 or server.unanswered_hops >= SET_ASIDE_AFTER:
             if share == 1:
                 recovery_s = -log(MIN_SHARE, 2) * 8 * self.goal // 10_000
                 self.logs.append(
                     'set aside: %s, %d hops unanswered; a trickle tries it, in full in %d s '
-                    'unless silent again' % (server.name, server.doubt, recovery_s)
+                    'unless silent again' % (server.name, server.unanswered_hops, recovery_s)
                 )
             server.share, server.share_updated = MIN_SHARE, now
 
     def update_warm_rate(self, now):
         """Update the peak rate of the warm caches once per window."""
-        if now - self.window_start >= self.terms.fall_window:
-            weight = sum(s.weight for s in self.caches if self.presence(now, s) == 1)
+        if now - self.window_start >= self.terms.overload_window:
+            weight = sum(s.weight for s in self.caches if self.capacity_factor(now, s) == 1)
             rate = (
-                self.warm_answers / weight * self.terms.fall_window / (now - self.window_start)
+                self.warm_answers / weight * self.terms.overload_window / (now - self.window_start)
                 if weight
                 else 0
             )
             # The peak is kept: during a fast deployment no warm cache may be left to measure.
             self.usual, self.warm_answers, self.window_start = max(self.usual, rate), 0, now
 
-    def presence(self, now, server):
+    def capacity_factor(self, now, server):
         """Return a server's capacity by its age, from terms.cold_from at its start to 1 when it is warm."""
-        if server.started is None or now - server.started >= self.terms.warm_up:
+        if server.started is None or now - server.started >= self.terms.warm_up_time:
             return 1
         cold = self.terms.cold_from
-        return cold + (1 - cold) * max(0, now - server.started) / self.terms.warm_up
+        return cold + (1 - cold) * max(0, now - server.started) / self.terms.warm_up_time
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -22,7 +22,7 @@
 
             def take(router, *given):
                 tx = usual(router, *given)
-                tx.twice = False
+                tx.hedgeable = False
                 return tx
 
             ground.put(Router, 'take', take)
@@ -34,7 +34,7 @@
     return [
         server
         for server in router.caches
-        if server.state == 'ready' and server not in tried and router.cold_room(now, server)
+        if server.state == 'ready' and server not in tried and router.cold_budget_allows(now, server)
     ]
 
 
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -4,26 +4,26 @@
 Must never outlive a run.
 """
 
-from ..known import NO_WORD
+from ..known import NO_FLEET_BOUNDS
 from ..plan import belief, verdicts
-from ..plan.belief import Belief, Seen
+from ..plan.belief import ActiveVerdicts, Seen
 from ..plan.fleet import Share
 from ..plan.forwarder import Forwarder
-from ..plan.ledger import Bank, Purse
+from ..plan.ledger import ForwarderLedger, PlannerLedger
 from ..plan.planner import Planner
-from ..plan.shares import Shares, Spent
-from ..plan.verdicts import Sight, Verdict
+from ..plan.shares import Shares, Usage
+from ..plan.verdicts import Verdict, VerdictTracker
 from ..plan.view import View
 
 
 def part_spent_twice(put, chance):
-    put(Purse, 'given', lambda self, now, key: 0)
+    put(ForwarderLedger, 'given', lambda self, now, key: 0)
 
 
 def lease_past_its_end(put, chance):
     put(
-        Purse,
-        'borrowed',
+        ForwarderLedger,
+        'leased',
         lambda self, now, key: sum(
             account.leases.get(key, (0, 0))[1] for lives in self.accounts.values() for account in lives[-1:]
         ),
@@ -39,63 +39,67 @@
         self.tokens += may * max(0, now - self.dated) * 20
         self.dated = now
 
-    put(Spent, 'fill', fill)
+    put(Usage, 'fill', fill)
 
 
 def seat_held_twice(put, chance):
-    usual = Share.take_seat
+    usual = Share.lock_seat
 
-    def take_seat(self, ignored):
+    def lock_seat(self, ignored):
         if self.rank is None:  # one more than there are seats
             self.rank = 0
-            self.purse.seated(self.clock(), self.told.seat_parts(0), self.told.seat_parts(0), True)
+            self.forwarder_ledger.set_seat_budget(
+                self.clock(), self.told.seat_parts(0), self.told.seat_parts(0), True
+            )
         else:
             usual(self, ignored)
 
-    put(Share, 'take_seat', take_seat)
+    put(Share, 'lock_seat', lock_seat)
 
 
 def bank_forgets_leases(put, chance):
-    usual = Bank.plan
+    usual = PlannerLedger.plan
 
     def plan(self, now, holder):
         for other in self.holders.values():
             other.grants = []
         return usual(self, now, holder)
 
-    put(Bank, 'plan', plan)
+    put(PlannerLedger, 'plan', plan)
 
 
 def waits_for_a_plan(put, chance):
-    usual, heard = Shares.admits, {}
+    usual, heard = Shares.admit, {}
 
     def planned(self, now, name, plan):
-        heard[id(self.purse)] = now
+        heard[id(self.forwarder_ledger)] = now
         return was(self, now, name, plan)
 
     was = Forwarder.planned
     put(Forwarder, 'planned', planned)
     put(
         Shares,
-        'admits',
+        'admit',
         lambda self, now, profile: (
-            usual(self, now, profile) if now < heard.get(id(self.purse), -1 << 40) + self.purse.lease else 429
+            usual(self, now, profile)
+            if now < heard.get(id(self.forwarder_ledger), -1 << 40) + self.forwarder_ledger.lease
+            else 429
         ),
     )
 
 
 def planner_lends_at_once(put, chance):
-    usual = Bank.__init__
+    usual = PlannerLedger.__init__
 
     def begin(self, *given):
         usual(self, *given)
         self.since -= 1 << 30
 
-    put(Bank, '__init__', begin)
+    put(PlannerLedger, '__init__', begin)
 
 
 def limit_read_once(put, chance):
-    put(Planner, 'reread', lambda self, fleet: None)
+    put(Planner, 'reload', lambda self, fleet: None)
     put(Planner, 'hear', lambda self, edition, mosts: None)
 
 
@@ -109,16 +113,16 @@
 
 
 def smaller_lease_held(put, chance):
-    usual = Purse.digest
+    usual = ForwarderLedger.digest
     put(
-        Purse,
+        ForwarderLedger,
         'digest',
         lambda self, now, planner, spare, wants, used=(): usual(self, now, planner, spare, wants),
     )
 
 
 def plan_without_age(put, chance):
-    usual = Purse.planned
+    usual = ForwarderLedger.planned
 
     def planned(self, now, planner, plan):
         good = usual(self, now, planner, plan)
@@ -129,7 +133,7 @@
             }
         return good
 
-    put(Purse, 'planned', planned)
+    put(ForwarderLedger, 'planned', planned)
 
 
 # --- verdicts ---------------------------------------------------------------------------------------------
@@ -154,35 +158,35 @@
 
 
 def evidence_twice(put, chance):
-    usual = Sight.told
+    usual = VerdictTracker.told
 
     def told(self, left, seat, site, life, seq, report):
         for part in range(2):
             usual(self, left, 1_000 * part + seat, site if not part else 'z9', life, seq, report)
 
-    put(Sight, 'told', told)
+    put(VerdictTracker, 'told', told)
 
 
 def one_witness(put, chance):
-    put(verdicts, 'BOTH', 1)
+    put(verdicts, 'MIN_WITNESSES', 1)
 
 
 def harm_unbounded(put, chance):
-    put(belief, 'HARM', 1.0)
-    put(belief, 'HARM_SITE', 1.0)
+    put(belief, 'MAX_RESTRAINED_SHARE', 1.0)
+    put(belief, 'MAX_RESTRAINED_SITE_SHARE', 1.0)
 
 
 def own_eyes_ignored(put, chance):
-    put(Belief, 'saw', lambda self, now, server, well: None)
+    put(ActiveVerdicts, 'observe', lambda self, now, server, well: None)
 
 
 def verdict_endless(put, chance):
-    usual = Belief.planned
-    put(Belief, 'planned', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
+    usual = ActiveVerdicts.planned
+    put(ActiveVerdicts, 'planned', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
 
 
 def way_for_all(put, chance):
-    usual = Sight.verdicts
+    usual = VerdictTracker.verdicts
 
     def told(self, now):
         found = usual(self, now)
@@ -190,7 +194,7 @@
             verdict.site = None
         return found
 
-    put(Sight, 'verdicts', told)
+    put(VerdictTracker, 'verdicts', told)
 
 
 def brought_back(put, chance):
@@ -199,9 +203,9 @@
     def look(self, now):
         usual(self, now)
         for server in self.node.router.known.values():
-            if server.word is not NO_WORD and server.word[1] > 0 or server.state == 'banned':
+            if server.word is not NO_FLEET_BOUNDS and server.word[1] > 0 or server.state == 'banned':
                 server.state = 'ready'
-        self.node.router.relist()
+        self.node.router.rebuild_ready()
 
     put(View, 'look', look)
 
--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -103,9 +103,9 @@
 def answers_mixed(put, chance):
     usual, last = http.relayed, [None]
 
-    def relayed(message, lasting):
+    def relayed(message, keep_alive):
         given, last[0] = last[0] if last[0] and chance() < 0.02 else message, message
-        return usual(given, lasting)
+        return usual(given, keep_alive)
 
     put(http, 'relayed', relayed)
 
@@ -113,34 +113,34 @@
 def answer_cut_short(put, chance):
     usual = http.relayed
 
-    def relayed(message, lasting):
+    def relayed(message, keep_alive):
         if chance() < 0.02:
             message.body = message.body[:-1]
-        return usual(message, lasting)
+        return usual(message, keep_alive)
 
     put(http, 'relayed', relayed)
 
 
 def cold_flooded(put, chance):
-    put(Router, 'presence', lambda self, now, server: 1)
+    put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
 def credit_endless(put, chance):
-    usual = Router.cold_room
+    usual = Router.cold_budget_allows
 
-    def cold_room(self, now, server):
+    def cold_budget_allows(self, now, server):
         usual(self, now, server)
         return True
 
-    put(Router, 'cold_room', cold_room)
-    put(Router, 'presence', lambda self, now, server: 1)
+    put(Router, 'cold_budget_allows', cold_budget_allows)
+    put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
 def clock_mistaken(put, chance):
     put(
         StartTimes,
         'of',
-        lambda self, entry, now, last_word: (
+        lambda self, entry, now, last_line_at: (
             started(entry, self.offset - 3_600 * SECOND) if entry.started else None
         ),
     )
@@ -206,11 +206,11 @@
 
 
 def cut_at_the_limit(put, chance):
-    put(Download, 'due', Download.cut_off)
+    put(Download, 'due', Download.abort_both)
 
 
 def held_past_the_limit(put, chance):
-    put(Link, 'holds_part', property(lambda self: False))
+    put(Link, 'has_partial_answer', property(lambda self: False))
 
 
 def held_without_limit(put, chance):
@@ -350,7 +350,7 @@
     usual = Router.list_entry
 
     def list_entry(self, now, server, state, *rest):
-        if self.banned(server.name) and self.hand[server.name][0] < now:
+        if self.is_suspended(server.name) and self.hand[server.name][0] < now:
             self.hand.pop(server.name)
         usual(self, now, server, state, *rest)
 
@@ -381,11 +381,11 @@
         return usual(self, now, name)
 
     put(Router, 'resume', resume)
-    put(Router, 'presence', lambda self, now, server: 1)
+    put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
 def idle_kept(put, chance):
-    put(Node, 'send_away', lambda self, since: None)
+    put(Node, 'close_idle_clients', lambda self, since: None)
     put(Phases, 'make_room', lambda self, places, need: None)  # else they go after 2.5 s of rest all the same
 
 
@@ -393,8 +393,8 @@
     usual = Node.ready
 
     def ready(self):
-        kept, self.gone_away = self.gone_away, False
-        told, self.gone_away = usual(self), kept
+        kept, self.out_of_rotation = self.out_of_rotation, False
+        told, self.out_of_rotation = usual(self), kept
         return told
 
     put(Node, 'ready', ready)
--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -147,7 +147,7 @@
     """Play the scenario with a point's fault; the breaches that nothing excuses, as text."""
     made, seen = scenario(), {}
     stage = ground.play(made, SEED, bent(point, seen))
-    found = judge(made, stage.witness.rows)
+    found = judge(made, stage.recorder.rows)
     return [repr(broken) for broken in found if not excused(point, seen.get('rule'), broken)]
 
 
--- a/lilacdyke/lab/eyes.py
+++ b/lilacdyke/lab/eyes.py
@@ -4,7 +4,7 @@
 Owns the two rows that judges of verdicts read. Must never change what it looks at.
 """
 
-from ..known import NO_WORD
+from ..known import NO_FLEET_BOUNDS
 
 
 def open_up(put, see):
@@ -14,11 +14,11 @@
     swaps a method."""
     from ..plan.view import View
 
-    saw, look = View.saw, View.look
+    observe, look = View.observe, View.look
 
-    def noting(self, now, ident, said, lasted, quick):
-        see('seen', self.node.place.name, ident[0], said, lasted * 100, quick)
-        saw(self, now, ident, said, lasted, quick)
+    def noting(self, now, server_id, said, lasted, quick):
+        see('seen', self.node.place.name, server_id[0], said, lasted * 100, quick)
+        observe(self, now, server_id, said, lasted, quick)
 
     def looking(self, now):
         before = {server: server.word for server in self.node.router.known.values()}
@@ -30,7 +30,7 @@
         ):
             until, least, most, wait = server.word
             if server.word != before.get(server):
-                left = max(0, until - now) * 100 if server.word is not NO_WORD else 0
+                left = max(0, until - now) * 100 if server.word is not NO_FLEET_BOUNDS else 0
                 see(
                     'word',
                     self.node.place.name,
@@ -42,5 +42,5 @@
                     self.words.get(server.name, ('',))[0],
                 )
 
-    put(View, 'saw', noting)
+    put(View, 'observe', noting)
     put(View, 'look', looking)
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -57,7 +57,7 @@
         times = [0] * 12
         times[10 if slow else 4] = 0 if bad else 1_000
         return {
-            ident: [
+            server_id: [
                 1_000,
                 0 if bad else 1_000,
                 1_000 if bad else 0,
@@ -70,7 +70,7 @@
                 1_000 if bad else 0,
             ]
             for server in self.view.node.router.caches
-            if (ident := self.view.ident(server))
+            if (server_id := self.view.server_id(server))
         }
 
 
@@ -100,7 +100,7 @@
         if kind == 'node':
             pool = [place.number for place in stage.places]
         elif kind == 'planner':
-            pool = [office.number for office in stage.offices]
+            pool = [planner_slot.number for planner_slot in stage.planner_slots]
         elif kind == 'zone':
             pool = list(range(len(stage.zones)))
         else:
@@ -143,7 +143,7 @@
         models = [server.model for server in self.numbered(what)]
         for model in models:
             model.hung = True
-        self.stage.later(span, lambda: [model.thaw() for model in models])
+        self.stage.later(span, lambda: [model.end_hang() for model in models])
 
     def do_garbled(self, index, event, what, span, chance):
         self.set(self.numbered(what), 'garbled', min(1.0, event.size / 10), 0.0, span)
@@ -170,7 +170,7 @@
                 self.stage.later(span, self.reopen, server)
 
     def reopen(self, server):
-        if server.port is None and not self.stage.closing and self.stage.at_work(server.name):
+        if server.port is None and not self.stage.closing and self.stage.is_member(server.name):
             server.port = self.stage.listen(server, server.address)
 
     def do_miss(self, index, event, what, span, chance):
@@ -192,7 +192,7 @@
         self.stage.later(span, self.gone, server)
 
     def gone(self, server):
-        if self.stage.at_work(server.name) and not server.model.draining:
+        if self.stage.is_member(server.name) and not server.model.draining:
             server.model.draining = True
             self.stage.roster.put(server.name, 'gone')
             self.stage.later(1_500_000, self.remove, server)
@@ -216,9 +216,9 @@
             speed=model.speed,
             queue=model.queue_limit,
             keeps=model.keeps,
-            connections=min(like.cap, 100_000),
+            connections=min(like.max_connections, 100_000),
         )
-        address = like.address if same_address else (stage.spot(2, stage.made + 5), 8000)
+        address = like.address if same_address else (stage.loopback_address(2, stage.made + 5), 8000)
         made = stage.add_server(name, kind, model.zone, model.cell, stage.clock(), address=address)
         made.number = like.number
         made.open()
@@ -227,7 +227,7 @@
     def do_replace(self, index, event, what, span, chance):
         """Each goes without a drain, and a successor under a new name comes up at its address, cold."""
         for server in self.numbered(what):
-            if self.stage.at_work(server.name) and not server.model.draining:
+            if self.stage.is_member(server.name) and not server.model.draining:
                 self.stage.roster.put(server.name, 'gone')
                 self.remove(server)
                 self.stage.later(50_000, self.join, server, True)  # its port is free by then
@@ -244,7 +244,7 @@
 
     def roll(self, batch, span):
         for server in batch:
-            if self.stage.at_work(server.name):
+            if self.stage.is_member(server.name):
                 self.join(server)
                 self.drain(server, span)
 
@@ -266,7 +266,7 @@
             self.stage.later(span, self.call_back, server)
 
     def bounce(self, server):
-        if server.port is not None and self.stage.at_work(server.name):
+        if server.port is not None and self.stage.is_member(server.name):
             server.close('restarted')
             self.stage.later(200_000, server.restart)
 
@@ -296,7 +296,9 @@
     def look_in(self, place, running):
         """What an emptied node keeps after 4 s."""
         if place.running is running and place.away and not running.leaving:
-            kept = [seat for seat in self.stage.crowd.idle.get(place, ()) if seat.up and not seat.ending]
+            kept = [
+                seat for seat in self.stage.load_generator.idle.get(place, ()) if seat.up and not seat.ending
+            ]
             self.stage.see('hand', place.name, 'kept', str(len(kept)))
 
     def take_in(self, place, running):
@@ -327,7 +329,7 @@
                 if where == zone and role in ('server', 'node', 'agent', 'client')
             }
             self.network.cut((index, number), apart)
-            self.stage.later(span, self.network.mend, (index, number))
+            self.stage.later(span, self.network.end_cut, (index, number))
 
     def do_site_cut(self, index, event, what, span, chance):
         """The nodes of one site are cut off from these servers, and from nothing else."""
@@ -405,7 +407,7 @@
             if place.running is not None and not place.running.leaving:
                 stage.moves += 1
                 agent = stage.agents[place.number]
-                host = stage.spot(5, stage.moves)
+                host = stage.loopback_address(5, stage.moves)
                 stage.hosts[host] = ('agent', place.zone, place.name)
                 agent.move((host, agent.address[1]))
                 place.running.hup(stage.page(place))
@@ -458,32 +460,32 @@
     # --- planners ---------------------------------------------------------------------------------------
 
     def planners(self, what):
-        return [self.stage.offices[number] for number in what]
+        return [self.stage.planner_slots[number] for number in what]
 
     def do_kill_planner(self, index, event, what, span, chance):
         """SIGKILL, and back after the span with nothing."""
-        for office in self.planners(what):
-            self.stage.kill_planner(office)
-            self.stage.later(max(1, span), self.stage.start_planner, office)
+        for planner_slot in self.planners(what):
+            self.stage.kill_planner(planner_slot)
+            self.stage.later(max(1, span), self.stage.start_planner, planner_slot)
 
     def do_stop_planner(self, index, event, what, span, chance):
         """It stands still, and goes on with what it held."""
-        for office in self.planners(what):
-            if office.running is not None:
-                office.running.freeze(span)
+        for planner_slot in self.planners(what):
+            if planner_slot.running is not None:
+                planner_slot.running.freeze(span)
 
     def do_cut_planner(self, index, event, what, span, chance):
         """Cut off from all, without a word."""
-        for office in self.planners(what):
-            self.network.cut((index, office.name), {office.address[0]})
-            self.stage.later(span, self.network.mend, (index, office.name))
+        for planner_slot in self.planners(what):
+            self.network.cut((index, planner_slot.name), {planner_slot.address[0]})
+            self.stage.later(span, self.network.end_cut, (index, planner_slot.name))
 
     def do_part_planner(self, index, event, what, span, chance):
         """Cut off together with the first half of the nodes."""
         half = [place.address[0] for place in self.stage.places[: max(1, len(self.stage.places) // 2)]]
-        for office in self.planners(what):
-            self.network.apart[index, office.name] = (office.address[0], frozenset(half))
-            self.stage.later(span, self.together, (index, office.name))
+        for planner_slot in self.planners(what):
+            self.network.apart[index, planner_slot.name] = (planner_slot.address[0], frozenset(half))
+            self.stage.later(span, self.together, (index, planner_slot.name))
 
     def together(self, number):
         self.network.apart.pop(number, None)
@@ -491,15 +493,15 @@
 
     def do_late_planner(self, index, event, what, span, chance):
         """Bytes to and from them travel longer, in order: size in seconds."""
-        hosts = [office.address[0] for office in self.planners(what)]
+        hosts = [planner_slot.address[0] for planner_slot in self.planners(what)]
         self.stage.ground.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
         self.stage.later(span, lambda: [self.stage.ground.slower.pop(host, None) for host in hosts])
 
     def do_planner_clock(self, index, event, what, span, chance):
         """Its clock is up to a part in twenty fast or slow."""
-        for office in self.planners(what):
-            if office.running is not None:
-                office.running.reactor.drift(min(1.05, max(0.95, event.size)))
+        for planner_slot in self.planners(what):
+            if planner_slot.running is not None:
+                planner_slot.running.reactor.drift(min(1.05, max(0.95, event.size)))
 
     def do_lower(self, index, event, what, span, chance):
         """Operators lower a limit: size in tenths of what it was at first, but not under what seats own.
@@ -523,14 +525,14 @@
 
     def do_shift(self, index, event, what, span, chance):
         """Clients come to these nodes only."""
-        self.set([self.stage], 'leaning', tuple(what), (), span)
+        self.set([self.stage], 'preferred_nodes', tuple(what), (), span)
 
     def do_burst(self, index, event, what, span, chance):
-        self.set([self.stage.crowd], 'factor', event.size, 1.0, span)
+        self.set([self.stage.load_generator], 'factor', event.size, 1.0, span)
 
     def do_hot(self, index, event, what, span, chance):
         """`count` keys draw a part of all asked: size in hundredths."""
-        self.set([self.stage.crowd], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
+        self.set([self.stage.load_generator], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
 
     # --- discovery --------------------------------------------------------------------------------------
 
@@ -539,8 +541,8 @@
 
     def do_silence(self, index, event, what, span, chance):
         for agent in self.agents(what):
-            agent.hush(True)
-            self.stage.later(span, agent.hush, False)
+            agent.set_silent(True)
+            self.stage.later(span, agent.set_silent, False)
 
     def do_lag(self, index, event, what, span, chance):
         """The list runs further behind, everywhere: size in seconds."""
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -14,9 +14,9 @@
 
 from ..changes import store
 from ..changes.replica import Replica
-from ..changes.writer import NotKeptError, Put, Writer
-from ..plan.book import Book
-from ..values import BadLine
+from ..changes.writer import NotStoredError, Put, Writer
+from ..plan.book import VoterFile
+from ..values import InvalidValueError
 from . import bentfiles
 from .callfaults import ERRNOS, FILE_CALLS, CallFault, CallFaults
 
@@ -82,7 +82,7 @@
             bentfiles.restore(held)
 
 
-class WriterFile:
+class WriterSweep:
     """A writer that starts on a file, shortens it, and puts changes."""
 
     name, most_prefix = 'writer', 100
@@ -107,7 +107,7 @@
         self.unsure.append(value)  # until it is told, as the process may end
         try:
             writer.put('config', [('limit', str(value))], value)
-        except NotKeptError as err:
+        except NotStoredError as err:
             if 'may come back' not in str(err):
                 self.unsure.remove(value)
         else:
@@ -116,7 +116,7 @@
 
     def run(self):
         """What happens under faults."""
-        with self.limit, contextlib.suppress(BadLine):  # a start that fails says so in one line
+        with self.limit, contextlib.suppress(InvalidValueError):  # a start that fails says so in one line
             self.live((4, 5, 6))
 
     def broken(self):
@@ -146,19 +146,19 @@
         return found
 
 
-class VoterFile:
+class VoterSweep:
     """A voter that writes down ever higher bounds."""
 
     name, most_prefix = 'voter', 80
 
     def __init__(self, folder):
         self.folder, self.told, self.most = folder, 1, 1
-        Book(folder, 'p0').write(1, ['p0'], 1)
+        VoterFile(folder, 'p0').write(1, ['p0'], 1)
 
     def run(self):
         """What happens under faults."""
-        book = Book(self.folder, 'p0')
-        with contextlib.suppress(BadLine):
+        book = VoterFile(self.folder, 'p0')
+        with contextlib.suppress(InvalidValueError):
             book.read()
             for bound in (1_001, 2_001, 3_001):
                 self.most = bound
@@ -168,13 +168,13 @@
 
     def broken(self):
         """What is wrong with the file afterwards, or None."""
-        found = Book(self.folder, 'p0').read().bound
+        found = VoterFile(self.folder, 'p0').read().bound
         if not self.told <= found <= self.most:
             return 'file has %d, told as kept %d' % (found, self.told)
         return None
 
 
-SCENARIOS = {kind.name: kind for kind in (WriterFile, VoterFile)}
+SCENARIOS = {kind.name: kind for kind in (WriterSweep, VoterSweep)}
 
 
 def play(point):
@@ -190,7 +190,7 @@
             return 'raised %s: %s' % (type(err).__name__, str(err).replace(folder, ''))
         try:
             return made.broken()
-        except (BadLine, OSError) as err:
+        except (InvalidValueError, OSError) as err:
             return 'cannot be read again: %s' % str(err).replace(folder, '')
 
 
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -55,7 +55,7 @@
         owners[self.process.address, name] = self.reactor
         return name
 
-    def let_go(self, name):
+    def release_name(self, name):
         """Release the lock on a name."""
         del self.process.net.held_names[self.process.address, name]
 
@@ -80,7 +80,7 @@
         self.write(config)
         before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
         self.node = Node(page(self.path), self.reactor, self.system)
-        if ground.stage.offices:
+        if ground.stage.planner_slots:
             self.node.fleet = Share(
                 self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
             )
@@ -96,7 +96,7 @@
 
     def hup(self, config):
         self.write(config)
-        self.reactor.callFromThread(self.node.reread, self.path)
+        self.reactor.callFromThread(self.node.reload, self.path)
 
     def kill(self):
         self.ground.stage.see('counters', self.place.name, self.counts())
@@ -115,7 +115,7 @@
             clients=len(node.listener.table),
             links=node.caches.open,
             descriptors=len(self.process.open)
-            - node.desk.holds
+            - node.operator_server.holds
             - (len(node.fleet.links) if getattr(node, 'fleet', None) else 0),
             most=self.process.peak_open,
             waits=sum(len(pool.waiting) for pool in node.caches.pools.values()),
@@ -127,12 +127,12 @@
         self.ground.stage.exited(self.place, self.counts())
 
 
-class PlannerProcess:
+class SimulatedPlanner:
     """Simulated planner process."""
 
-    def __init__(self, ground, office):
+    def __init__(self, ground, planner_slot):
         self.ground = ground
-        self.process = Process(ground.network, office.name, office.address[0])
+        self.process = Process(ground.network, planner_slot.name, planner_slot.address[0])
         self.reactor = SimReactor(
             ground.world,
             self.process,
@@ -140,18 +140,18 @@
             on_error=ground.error,
         )
         before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
-        life = '%s-%d' % (office.name, ground.stage.number())
-        self.office = planning.Office(
-            self.file(), office.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
+        life = '%s-%d' % (planner_slot.name, ground.stage.number())
+        self.planner_process = planning.PlannerProcess(
+            self.file(), planner_slot.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
         )
-        self.office.begin(*office.address)
+        self.planner_process.begin(*planner_slot.address)
         ground.world.current_reactor = before
 
     def file(self):
         return fleets.check(msgspec.convert(self.ground.stage.fleet_file(), fleets.Fleet))
 
     def hup(self):
-        self.reactor.callFromThread(self.office.planner.reread, self.file())
+        self.reactor.callFromThread(self.planner_process.planner.reload, self.file())
 
     def kill(self):
         self.reactor.kill()
@@ -233,8 +233,8 @@
     def start_node(self, place, config):
         return NodeProcess(self, place, config)
 
-    def start_planner(self, office):
-        return PlannerProcess(self, office)
+    def start_planner(self, planner_slot):
+        return SimulatedPlanner(self, planner_slot)
 
     def put(self, owner, name, value):
         """Replace an attribute until the end of the run, in the class that defines it."""
--- a/lilacdyke/lab/held.py
+++ b/lilacdyke/lab/held.py
@@ -8,7 +8,7 @@
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
-HARM, HARM_SITE = 0.2, 0.25  # as stated: parts of all, and of a site's servers
+MAX_RESTRAINED_SHARE, MAX_RESTRAINED_SITE_SHARE = 0.2, 0.25  # of all, and of a site's servers
 EARLY = 50_000  # between a hop's end and the row of it, and rounding
 
 
@@ -166,7 +166,9 @@
         here = down[one.node][site]
         (here.add if step > 0 else here.discard)(one.server)
         total = sum(len(servers) for servers in down[one.node].values())
-        if total > HARM * len(count) or len(here) > max(1, HARM_SITE * len(by_site[site])):
+        if total > MAX_RESTRAINED_SHARE * len(count) or len(here) > max(
+            1, MAX_RESTRAINED_SITE_SHARE * len(by_site[site])
+        ):
             yield (
                 'harm',
                 at,
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -71,11 +71,14 @@
 
     def fleet_arguments(self):
         """Write the fleet file and return the arguments that name it; none without planners."""
-        if not self.ground.stage.offices:
+        if not self.ground.stage.planner_slots:
             return []
         path = self.path[:-5] + '-fleet.toml'
         write_fleet(
-            path, self.ground.stage.fleet_file(lambda office: self.ground.planner_for(self.place, office))
+            path,
+            self.ground.stage.fleet_file(
+                lambda planner_slot: self.ground.planner_for(self.place, planner_slot)
+            ),
         )
         return ['--fleet', path]
 
@@ -115,15 +118,22 @@
 class Planning(ChildProcess):
     """Real planner process."""
 
-    def __init__(self, ground, office):
-        self.ground, self.office = ground, office
-        self.path = os.path.join(ground.folder, office.name + '.toml')
+    def __init__(self, ground, planner_slot):
+        self.ground, self.planner_slot = ground, planner_slot
+        self.path = os.path.join(ground.folder, planner_slot.name + '.toml')
         self.write()
         with open(
-            os.path.join(ground.folder, '%s-%d.log' % (office.name, ground.stage.number())), 'wb'
+            os.path.join(ground.folder, '%s-%d.log' % (planner_slot.name, ground.stage.number())), 'wb'
         ) as log:
             self.popen = subprocess.Popen(
-                [*ground.program(office.name), 'plan', '--file', self.path, '--name', office.name],
+                [
+                    *ground.program(planner_slot.name),
+                    'plan',
+                    '--file',
+                    self.path,
+                    '--name',
+                    planner_slot.name,
+                ],
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
@@ -220,8 +230,8 @@
     def start_node(self, place, page):
         return NodeProcess(self, place, page)
 
-    def start_planner(self, office):
-        return Planning(self, office)
+    def start_planner(self, planner_slot):
+        return Planning(self, planner_slot)
 
     def program(self, name):
         """Return the command that starts the program for a process of this name."""
@@ -232,13 +242,13 @@
         """Return rows that the processes wrote themselves; none here."""
         return []
 
-    def planner_at(self, office):
+    def planner_at(self, planner_slot):
         """Return a planner's own address."""
-        return '%s:%d' % (office.address[0], self.port(office.address[1]))
+        return '%s:%d' % (planner_slot.address[0], self.port(planner_slot.address[1]))
 
-    def planner_for(self, place, office):
+    def planner_for(self, place, planner_slot):
         """Return the address at which a node reaches a planner."""
-        return self.planner_at(office)
+        return self.planner_at(planner_slot)
 
 
 def real(scenario):
@@ -279,13 +289,13 @@
         try:
             reactor.run()
         finally:
-            for part in stage.places + stage.offices:
+            for part in stage.places + stage.planner_slots:
                 if part.running is not None:
                     part.running.kill()
             if watching:
                 ground.still = watching.longest()
         if histories := ground.histories():
-            stage.witness.rows = sorted([*stage.witness.rows, *histories], key=lambda row: row[1])
+            stage.recorder.rows = sorted([*stage.recorder.rows, *histories], key=lambda row: row[1])
     return stage
 
 
@@ -306,7 +316,7 @@
             'not available on loopback, left out: %s' % ', '.join(sorted(set(stage.faults.left_out))),
             file=sys.stderr,
         )
-    seen = stage.witness.rows
+    seen = stage.recorder.rows
     return Outcome(
         name=scenario.name,
         seed=seed,
@@ -327,7 +337,7 @@
 
     def update(self, stage):
         """Count the rows added since the last update and redraw the table."""
-        rows = stage.witness.rows
+        rows = stage.recorder.rows
         new, recent = rows[self.next_row :], Counter()
         servers, nodes, latencies = Counter(), Counter(), []
         for row in new:
@@ -348,7 +358,7 @@
 
     def trim(self, stage):
         """Bound the memory of a run without an end."""
-        rows = stage.witness.rows
+        rows = stage.recorder.rows
         if len(rows) > MAX_ROWS:
             del rows[:TRIMMED_ROWS]
             self.next_row -= TRIMMED_ROWS
@@ -432,4 +442,4 @@
     console.print(
         '%d served, %d refused, %d failed' % (counts['served'], counts['refused'], counts['failed'])
     )
-    return 0 if stage.witness.rows and counts['served'] else 1
+    return 0 if stage.recorder.rows and counts['served'] else 1
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -55,7 +55,7 @@
 def played(given, seed):
     """Play and judge: (rows, stage, what was broken)."""
     stage = ground.play(given, seed)
-    return stage.witness.rows, stage, judge(given, stage.witness.rows)
+    return stage.recorder.rows, stage, judge(given, stage.recorder.rows)
 
 
 def served_at_one(rows, since, until):
@@ -94,7 +94,9 @@
                 for begin, end in ((0, 2), (4, 9))
             )
             digests = sum(
-                office.running.office.counts['digests'] for office in stage.offices if office.running
+                planner_slot.running.planner_process.counts['digests']
+                for planner_slot in stage.planner_slots
+                if planner_slot.running
             )
             click.echo(
                 '%3d forwarders, %-16s served in the first 2 s %.3f, from 4 to 9 s %.3f; %d digests; broken: %d; %.0f s'
--- a/lilacdyke/lab/network.py
+++ b/lilacdyke/lab/network.py
@@ -488,7 +488,7 @@
         """Partition these addresses from all others: SYNs are dropped, data is held back."""
         self.cuts[number] = frozenset(addresses)
 
-    def mend(self, number):
+    def end_cut(self, number):
         """End a partition and deliver what it held back, in order."""
         self.cuts.pop(number, None)
         self.release()
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -77,19 +77,19 @@
 class NodeConnection(HttpConnection):
     """Client connection to a node."""
 
-    def __init__(self, crowd, node, attempt):
+    def __init__(self, load_generator, node, attempt):
         super().__init__()
-        self.crowd, self.node, self.pending, self.attempt = crowd, node, attempt, None
+        self.load_generator, self.node, self.pending, self.attempt = load_generator, node, attempt, None
         self.used, self.ending, self.fresh = 0, False, False
 
     def clock(self):
-        return self.crowd.stage.clock()
+        return self.load_generator.stage.clock()
 
     def connectionMade(self):
         super().connectionMade()
         pending, self.pending = self.pending, None
         if pending is None or pending.connection is not self:
-            self.crowd.mark_idle(self)
+            self.load_generator.mark_idle(self)
         else:
             self.send(pending)
 
@@ -97,31 +97,31 @@
         """Report the attempt that waited for the connection as unreachable."""
         pending, self.pending = self.pending, None
         if pending is not None and pending.connection is self:
-            self.crowd.on_unreachable(pending)
+            self.load_generator.on_unreachable(pending)
 
     def send(self, attempt):
         """Send a request."""
         self.attempt, attempt.connection = attempt, self
         self.used += 1
-        self.crowd.write_request(self, attempt)
+        self.load_generator.write_request(self, attempt)
 
     def on_message(self, begun, start_line, fields, body):
         attempt, self.attempt = self.attempt, None
         if attempt is None:
-            self.crowd.stage.see('stray', self.node.name, 'an answer to nothing')
+            self.load_generator.stage.see('stray', self.node.name, 'an answer to nothing')
             self.transport.abortConnection()
             return
         self.ending = fields.get('connection', '').lower() == 'close'
         if len(body) > LARGE_BODY:
-            self.crowd.stage.see('begun', attempt.id, begun)
-        self.crowd.on_answer(self, attempt, start_line, fields, body)
+            self.load_generator.stage.see('begun', attempt.id, begun)
+        self.load_generator.on_answer(self, attempt, start_line, fields, body)
 
     def on_malformed(self, err):
-        self.crowd.stage.see('stray', self.node.name, 'not HTTP')
+        self.load_generator.stage.see('stray', self.node.name, 'not HTTP')
         self.transport.abortConnection()
 
     def on_close(self):
-        self.crowd.connection_closed(self)
+        self.load_generator.connection_closed(self)
 
 
 class LoadGenerator:
@@ -440,23 +440,23 @@
 class MisbehavingClient(HttpConnection):
     """Connection of a misbehaving client; the node must answer with an error or close it."""
 
-    def __init__(self, crowd, node, kind):
+    def __init__(self, load_generator, node, kind):
         super().__init__()
-        self.crowd, self.node, self.kind, self.since, self.reported = (
-            crowd,
+        self.load_generator, self.node, self.kind, self.since, self.reported = (
+            load_generator,
             node,
             kind,
-            crowd.stage.clock(),
+            load_generator.stage.clock(),
             False,
         )
 
     def clock(self):
-        return self.crowd.stage.clock()
+        return self.load_generator.stage.clock()
 
     def connectionMade(self):
         super().connectionMade()
         self.put(MISBEHAVIOURS[self.kind])
-        self.crowd.stage.later(3_500_000, self.give_up)
+        self.load_generator.stage.later(3_500_000, self.give_up)
 
     def on_connect_failed(self):
         self.report('unreached')
@@ -464,7 +464,9 @@
     def report(self, outcome):
         if not self.reported:
             self.reported = True
-            self.crowd.stage.see('rude', self.kind, self.node.name, outcome, self.clock() - self.since)
+            self.load_generator.stage.see(
+                'rude', self.kind, self.node.name, outcome, self.clock() - self.since
+            )
 
     def on_message(self, begun, start_line, fields, body):
         self.report('served' if start_line[1] == '200' else 'error')
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -150,7 +150,7 @@
                 watch.write(b'\n')
         self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.send_heartbeat)
 
-    def hush(self, on):
+    def set_silent(self, on):
         """Stop sending, or resume and send what was missed."""
         self.silent = on
         if not on:
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -303,7 +303,7 @@
 
     # --- faults -----------------------------------------------------------------------------------------
 
-    def thaw(self):
+    def end_hang(self):
         """End a hang and answer the jobs finished meanwhile."""
         self.hung = False
         while self.unanswered:
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -82,7 +82,7 @@
             address,
             number,
         )
-        self.connections, self.port, self.cap = {}, None, 1 << 30
+        self.connections, self.port, self.max_connections = {}, None, 1 << 30
         self.idle_us = int(stage.scenario.caches.idle_s * 1e6)
         self.garbled = self.halved = self.extra = 0.0  # share of answers with each fault
         self.refusing = False
@@ -91,7 +91,7 @@
         model.on_fall = self.fall
 
     def buildProtocol(self, addr):
-        if len(self.connections) >= self.cap:
+        if len(self.connections) >= self.max_connections:
             return None
         return ServerConnection(self)
 
@@ -311,7 +311,7 @@
 
     def restart(self):
         """Restart with an empty cache."""
-        if self.port is None and not self.stage.closing and self.stage.at_work(self.name):
+        if self.port is None and not self.stage.closing and self.stage.is_member(self.name):
             self.model.started = 0 if self.model.origin else self.clock()
             self.open()
             self.stage.roster.restarted(self.name, self.model.started)
--- a/lilacdyke/lab/reactor.py
+++ b/lilacdyke/lab/reactor.py
@@ -10,8 +10,8 @@
 from twisted.internet.posixbase import PosixReactorBase, _PollLikeMixin
 
 from ..net import transports
-from ..net.sockets import AnswersFirst
-from ..net.transports import OpenedConnection, PatientReactor
+from ..net.sockets import PrioritizedEvents
+from ..net.transports import OpenedConnection, RetryingReactor
 from .world import MICRO
 
 TURN_US, EVENT_US = 20, 12  # cost of an iteration, and of each event in it
@@ -129,7 +129,7 @@
         return [self._selectables[fd] for fd in sorted(self._writes)]
 
 
-class SimReactor(AnswersFirst, PatientReactor, SimDescriptors):
+class SimReactor(PrioritizedEvents, RetryingReactor, SimDescriptors):
     """Reactor of one simulated process, with a monotonic clock of its own offset and rate."""
 
     _POLL_DISCONNECTED, _POLL_IN, _POLL_OUT = ERROR_EVENTS, EPOLLIN, EPOLLOUT
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -42,7 +42,7 @@
         stage = ground.play(scenario, seed, patch, progress)
     finally:
         gc.enable()
-    seen = stage.witness.rows
+    seen = stage.recorder.rows
     wall = time.perf_counter() - begun
     return Outcome(
         name=scenario.name,
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -13,7 +13,7 @@
 from .parts.servers import CacheServer
 from .parts.staff import Operators
 from .scenario import Kind
-from .witness import Witness
+from .witness import Recorder
 
 NODE_PORT, AGENT_PORT, OPERATOR_PORT, PLANNER_PORT = 8000, 8500, 8100, 8200
 EPOCH_MS = 1_700_000_000_000  # Unix time at which simulated runs begin
@@ -53,18 +53,18 @@
         self.scenario, self.seed, self.ground = scenario, seed, ground
         self.clock, self.later, self.drop = ground.clock, ground.later, ground.drop
         self.listen, self.connect, self.chance = ground.listen, ground.connect, ground.chance
-        self.witness = Witness(ground.clock)
-        self.see = self.witness.see
+        self.recorder = Recorder(ground.clock)
+        self.see = self.recorder.see
         self.profiles = {profile.name: profile for profile in scenario.profiles}
         self.work_of, self.body_digests, self.last_number = {}, {}, 0
         self.fleet, self.roster = Fleet(), Roster(self)
         self.servers, self.places, self.agents, self.hosts = {}, [], [], {}
         self.closing, self.made, self.moves = False, 0, 0
-        self.leaning = ()  # numbers of the nodes that receive clients; empty: all
+        self.preferred_nodes = ()  # numbers of the nodes that receive clients; empty: all
         self.serve_unknown = False  # whether to serve requests of clients other than the run's
         self.zones = [chr(97 + zone % 26) + str(zone // 26 or '') for zone in range(scenario.zones)]
         self.build()
-        self.crowd, self.staff = LoadGenerator(self), Operators(self)
+        self.load_generator, self.staff = LoadGenerator(self), Operators(self)
         self.faults = getattr(ground, 'faults', Faults)(self)
 
     def number(self):
@@ -95,11 +95,14 @@
         for number in range(scenario.nodes):
             zone = self.zones[number % len(self.zones)]
             place = NodeSlot(
-                number, zone, (self.spot(1, number), NODE_PORT), (self.spot(3, number), AGENT_PORT)
+                number,
+                zone,
+                (self.loopback_address(1, number), NODE_PORT),
+                (self.loopback_address(3, number), AGENT_PORT),
             )
             self.hosts[place.address[0]] = ('node', zone, place.name)
             self.hosts[place.agent[0]] = ('agent', zone, place.name)
-            self.hosts[self.spot(4, number)] = ('client', zone, place.name)
+            self.hosts[self.loopback_address(4, number)] = ('client', zone, place.name)
             self.places.append(place)
             self.agents.append(Agent(self, place))
         self.build_planners()
@@ -107,19 +110,20 @@
     def build_planners(self):
         """Create the planners and set the initial limits."""
         planning = self.scenario.planning
-        self.offices = [
-            PlannerSlot(number, (self.spot(6, number), PLANNER_PORT)) for number in range(planning.planners)
+        self.planner_slots = [
+            PlannerSlot(number, (self.loopback_address(6, number), PLANNER_PORT))
+            for number in range(planning.planners)
         ]
-        for office in self.offices:
-            self.hosts[office.address[0]] = (
+        for planner_slot in self.planner_slots:
+            self.hosts[planner_slot.address[0]] = (
                 'planner',
-                self.zones[office.number % len(self.zones)],
-                office.name,
+                self.zones[planner_slot.number % len(self.zones)],
+                planner_slot.name,
             )
         self.edition, self.limit_values = 1, {bound.name: bound.most for bound in planning.bounds}
 
-    def fleet_file(self, address_of=lambda office: '%s:%d' % office.address):
-        """Return the fleet file as plain values. address_of(office): a planner's address as seen by the
+    def fleet_file(self, address_of=lambda planner_slot: '%s:%d' % planner_slot.address):
+        """Return the fleet file as plain values. address_of(planner_slot): a planner's address as seen by the
         reader."""
         planning = self.scenario.planning
         rows = [
@@ -142,32 +146,35 @@
             'lease_s': planning.lease_s,
             'longest_s': max(profile.limit_s for profile in self.scenario.profiles),
             'limit': rows,
-            'planner': [{'name': office.name, 'address': address_of(office)} for office in self.offices],
+            'planner': [
+                {'name': planner_slot.name, 'address': address_of(planner_slot)}
+                for planner_slot in self.planner_slots
+            ],
         }
 
     # --- planners ---------------------------------------------------------------------------------------
 
-    def start_planner(self, office):
-        if office.running is None and not self.closing:
-            self.see('planner', office.name, 'up')
-            office.running = self.ground.start_planner(office)
+    def start_planner(self, planner_slot):
+        if planner_slot.running is None and not self.closing:
+            self.see('planner', planner_slot.name, 'up')
+            planner_slot.running = self.ground.start_planner(planner_slot)
 
-    def kill_planner(self, office):
-        running, office.running = office.running, None
+    def kill_planner(self, planner_slot):
+        running, planner_slot.running = planner_slot.running, None
         if running is not None:
-            self.see('planner', office.name, 'killed')
+            self.see('planner', planner_slot.name, 'killed')
             running.kill()
 
     def lower(self, name, most):
         """Change a limit in a new edition of the fleet file and reload all running planners."""
         self.edition, self.limit_values[name] = self.edition + 1, most
-        for office in self.offices:
-            if office.running is not None:
-                office.running.hup()
+        for planner_slot in self.planner_slots:
+            if planner_slot.running is not None:
+                planner_slot.running.hup()
         self.see('limit', name, most)
 
     @staticmethod
-    def spot(role, number):
+    def loopback_address(role, number):
         """Return a loopback address for a role and a number."""
         return '127.%d.%d.%d' % (role, number // 250, number % 250 + 1)
 
@@ -189,9 +196,9 @@
             started,
             origin,
         )
-        address = address or (self.spot(2, number), NODE_PORT)
+        address = address or (self.loopback_address(2, number), NODE_PORT)
         server = CacheServer(self, model, address, number)
-        server.cap = getattr(kind, 'connections', 1 << 30) if not origin else 1 << 30
+        server.max_connections = getattr(kind, 'connections', 1 << 30) if not origin else 1 << 30
         self.servers[name] = server
         self.hosts[address[0]] = ('server', zone, name)
         if not origin:
@@ -218,13 +225,13 @@
                     self.fleet.servers[name].store('k%d' % rank, 0)
 
     def client_address(self, place):
-        return (self.spot(4, place.number), 0)
+        return (self.loopback_address(4, place.number), 0)
 
     def name_of(self, host):
         """Return the name of the host at an address."""
         return self.hosts.get(host, ('', '', host))[2]
 
-    def at_work(self, name):
+    def is_member(self, name):
         """Return whether a server is still part of the run."""
         return name in self.servers
 
@@ -235,7 +242,7 @@
         candidates = [
             place
             for place in self.places
-            if place.open and (not self.leaning or place.number in self.leaning)
+            if place.open and (not self.preferred_nodes or place.number in self.preferred_nodes)
         ] or [place for place in self.places if place.open]
         return candidates[int(draw() * len(candidates))] if candidates else None
 
@@ -328,11 +335,11 @@
             agent.open()
         for name, most in self.limit_values.items():
             self.see('limit', name, most)
-        for office in self.offices:
-            self.start_planner(office)
+        for planner_slot in self.planner_slots:
+            self.start_planner(planner_slot)
         for place in self.places:
             self.start_node(place)
-        self.later(SETTLE_US, self.crowd.begin)
+        self.later(SETTLE_US, self.load_generator.begin)
         self.later(SETTLE_US, self.faults.begin)
         self.later(1_000_000, self.close_idle)
 
@@ -386,7 +393,7 @@
 
     def stop_clients(self):
         """Stop new client requests."""
-        self.crowd.stopped = True
+        self.load_generator.stopped = True
 
     def finish(self):
         """Begin the end of the run: send SIGTERM to all nodes."""
--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/witness.py
@@ -54,7 +54,7 @@
 }
 
 
-class Witness:
+class Recorder:
     """Collects rows."""
 
     def __init__(self, clock):
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -68,7 +68,7 @@
 
     def __init__(self, terms, seed, rank):
         super().__init__(terms, seed)
-        self.hint = min(terms.max_return, self.goal)  # delay suggested to rejected clients; 0: none
+        self.hint = min(terms.max_retry_after, self.goal)  # delay suggested to rejected clients; 0: none
         # ready: transactions to examine; timers: a heap; next_wake: the latest requested wake-up.
         self.ready, self.timers, self.next_wake, self.timer_count = deque(), [], None, 0
         self.arrived, self.interval = 0, 0  # time of the latest transaction, mean time between two
@@ -82,11 +82,11 @@
     def take(self, now, row, key, limit, write, since):
         """Accept a transaction that reached the node at `since`; it gets exactly one final answer."""
         self.arrived, self.interval = now, (7 * self.interval + now - self.arrived) / 8 if self.arrived else 0
-        self.often = 3 * self.interval * len(self.caches) <= 2 * self.goal
+        self.gets_hops_often = 3 * self.interval * len(self.caches) <= 2 * self.goal
         key_hash = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
         tx = Tx(self.terms.profiles[row], key, key_hash, since, limit, write)
-        tx.refused = self.shares and self.shares.admits(now, tx.profile)
-        tx.twice = self.terms.may_copy and tx.read  # only idempotent reads are hedged
+        tx.refused = self.shares and self.shares.admit(now, tx.profile)
+        tx.hedgeable = self.terms.may_hedge and tx.read  # only idempotent reads are hedged
         if tx.read and key is not None:
             tx.key_seen = self.key_history.add(key_hash)
             self.recent_keys.add(key_hash)
@@ -96,17 +96,17 @@
             )
         self.ready.append(tx)
         if limit is not None:
-            self.alarm(limit, tx)
+            self.set_timer(limit, tx)
         return tx
 
-    def body_came(self, now, tx, limit):
+    def body_received(self, now, tx, limit):
         """Start the clock of a large request whose body is complete; its hop counts as in flight from now."""
         tx.taken, tx.limit = now, limit
         for hop in tx.hops:
             if hop.out:
                 hop.sent, hop.weight = now, 1
                 self.adjust_in_flight(hop.server, 1)
-        self.alarm(limit, tx)
+        self.set_timer(limit, tx)
 
     def hop_ended(self, now, hop, ending, duration, final, note):
         """Record the end of a hop; each hop ends once. final: the transaction has ended too."""
@@ -118,10 +118,10 @@
             self.record_answer(now, hop, duration, ending, note)
         elif ending == 'error':
             # A failing cache may be the fastest to answer; a second error in a row counts as silence.
-            (self.record_silence if server.doubt else self.halve_share)(now, server)
-            server.doubt = max(1, server.doubt)
+            (self.record_silence if server.unanswered_hops else self.halve_share)(now, server)
+            server.unanswered_hops = max(1, server.unanswered_hops)
         elif ending in ('spoilt', 'rejected'):
-            server.doubt = 0  # the server did answer
+            server.unanswered_hops = 0  # the server did answer
         elif (
             ending in ('unreachable', 'lost')
             or ending == 'expired'
@@ -179,7 +179,7 @@
 
     # --- deciding -------------------------------------------------------------------------------------
 
-    def alarm(self, when, tx):
+    def set_timer(self, when, tx):
         """Set a timer for a transaction, or for the server list if tx is None."""
         self.timer_count += 1
         heappush(self.timers, (when, self.timer_count, tx))
@@ -198,10 +198,10 @@
             heappop(self.timers)
             if tx is not None and not stale:
                 self.ready.append(tx)
-        if self.watch_at is not None and now >= self.watch_at:
-            # Request the list again if no answer arrives, in time for terms.ask_within.
-            self.watch_at = now + self.terms.ask_within // 2
-            self.alarm(self.watch_at, None)
+        if self.list_request_at is not None and now >= self.list_request_at:
+            # Request the list again if no answer arrives, in time for terms.list_request_within.
+            self.list_request_at = now + self.terms.list_request_within // 2
+            self.set_timer(self.list_request_at, None)
             return ('watch',)
         while self.ready:
             decision = self.step(now, self.ready[0])
@@ -243,7 +243,7 @@
 
     def step_in_flight(self, now, tx):
         """Handle a transaction with a hop in flight: hedge after the delay, or fetch after a miss."""
-        if tx.next_send_at is None or now < tx.next_send_at or not tx.twice:
+        if tx.next_send_at is None or now < tx.next_send_at or not tx.hedgeable:
             return None
         if tx.missed:
             return self.step_fetch(now, tx)
@@ -270,8 +270,8 @@
         else:
             tx.hedge_delay = server.hedge_timer.next_delay(tx.profile.goal // 4, tx.profile.goal // 2)
         tx.next_send_at = now + max(tx.hedge_delay, copy)  # only the first copy may follow at once
-        if tx.twice:
-            self.alarm(tx.next_send_at, tx)
+        if tx.hedgeable:
+            self.set_timer(tx.next_send_at, tx)
         return decision
 
     def step_single(self, now, tx):
@@ -307,7 +307,7 @@
     def hold(self, tx):
         """Hold a transaction until another one's fetch ends or the origin has capacity."""
         tx.held = True
-        self.alarm(self.hold_until(tx), tx)
+        self.set_timer(self.hold_until(tx), tx)
 
     def pick(self, now, tx):
         """Return the best-ranked untried cache that is neither overloaded nor set aside, or None.
@@ -322,7 +322,7 @@
         busy = BUSY_FACTOR * self.total_out / len(self.caches) + MIN_IN_FLIGHT
         home, spare, aside, drawn = None, None, 0, self.chance()
         for server in self.ranked(now, tx):
-            if server in tried or server.state != 'ready' or not self.cold_room(now, server):
+            if server in tried or server.state != 'ready' or not self.cold_budget_allows(now, server):
                 continue
             room = urgent or server.out < server.in_flight_limit and self.accepts_read(now, tx, server, drawn)
             share = self.admitted_share(now, server)
@@ -346,7 +346,7 @@
 
     def load(self, now, server):
         """Return a sort key: this node's load relative to the server's capacity, set-aside servers last."""
-        size = server.weight * self.presence(now, server) + 1e-9
+        size = server.weight * self.capacity_factor(now, server) + 1e-9
         return self.admitted_share(now, server) < 1, (server.out + 1) / size
 
     def ranked(self, now, tx):
@@ -356,7 +356,7 @@
             for s in self.caches:
                 drawn = (mix64(s.name_hash ^ tx.key_hash) + 1) / (MASK_64 + 2)
                 size = (
-                    self.presence(now, s)
+                    self.capacity_factor(now, s)
                     * s.weight
                     * (ZONE_FACTOR if local and s.zone == self.terms.zone else 1)
                 )
@@ -372,7 +372,7 @@
 
         As waits at the caches or the origin grow, more keys share one home across zones, keys that were not
         read lately first. This depends on the key alone: one with two homes would miss in both."""
-        if self.terms.cross_price <= self.terms.waste_price:
+        if self.terms.cross_zone_fee <= self.terms.waste_fee:
             return False
         bound = 2 - 6 * self.common_wait(now) / self.goal
         if self.origin:
--- a/lilacdyke/net/bodies.py
+++ b/lilacdyke/net/bodies.py
@@ -8,7 +8,7 @@
 from . import http
 from .flow import STALL_TIMEOUT, Flow
 from .phases import ASKED, LOOK, MAX_BODY_PAUSE, STREAMING
-from .sockets import nothing_unread, unread_for
+from .sockets import nothing_unread, time_unread
 
 
 class Upload:
@@ -21,7 +21,7 @@
         self.paused_since = 0  # when reading was last paused
         self.deadline_set = False  # whether a check of the paused body is scheduled
 
-    def body_came(self):
+    def body_received(self):
         """Handle received body data: forward it to the server, or pause reading until a connection
         carries the request. Raise BadMessage if the body is malformed.
         """
@@ -38,14 +38,14 @@
             client.listener.put(client, ASKED)
         link.body(data, whole)
         if whole and client.active:
-            client.listener.node.body_came(client.active, client.received_at)
+            client.listener.node.body_received(client.active, client.received_at)
 
     def attach(self, link):
         """Attach the connection that carries the request; the body goes to it and to no other from here
         on.
         """
         self.link = link
-        self.client.listener.node.body_spent(self.client.active)
+        self.client.listener.node.body_sent(self.client.active)
         self.progressed()
         self.resume()
         self.client.listener.schedule_read(self.client)
@@ -68,7 +68,7 @@
         self.client.transport.pauseProducing()
         self.reading_paused, self.paused_since = True, self.client.listener.clock()
         if not self.deadline_set:
-            self.set_deadline(self.time_up())
+            self.set_deadline(self.body_timed_out())
 
     def resume(self):
         """Resume reading from the client."""
@@ -80,12 +80,12 @@
         self.deadline_set = True
         self.client.listener.deadlines.at(when, self.client.listener.upload_due, self.client.number)
 
-    def time_up(self):
+    def body_timed_out(self):
         """Return when the request's limit ends, assuming that the last bytes received complete it."""
         client = self.client
         wait = client.active.wait if client.active else 0
         # Bytes that arrive while reading is paused were sent earlier and delayed by a full receive window.
-        came = min(self.paused_since, client.listener.clock() - unread_for(client.transport))
+        came = min(self.paused_since, client.listener.clock() - time_unread(client.transport))
         return came + wait
 
     def due(self):
@@ -99,9 +99,9 @@
         if not self.reading_paused or not client.active:
             return
         now = client.listener.clock()
-        when = self.time_up()
+        when = self.body_timed_out()
         if now >= when:
-            client.listener.node.time_up(client.active)
+            client.listener.node.body_timed_out(client.active)
         else:
             self.set_deadline(when)
 
@@ -147,7 +147,7 @@
         self.client.closed_for = 'streamed answer aborted'
         self.client.transport.abortConnection()
 
-    def cut_off(self):
+    def abort_both(self):
         """Drop the server's connection and abort the client's."""
         self.source.drop()
         self.abort()
@@ -163,7 +163,7 @@
             return
         silent = not self.flow.paused and now >= since + STALL_TIMEOUT
         if silent and nothing_unread(self.source.transport):
-            self.cut_off()
+            self.abort_both()
         else:
             self.set_deadline(max(now + LOOK, since + STALL_TIMEOUT))
 
@@ -171,8 +171,8 @@
 def begin_download(client, answer, minor, until):
     """Send the head of a large answer to a client of HTTP/1.minor; the body is forwarded as it arrives."""
     in_chunks = minor == b'1'
-    client.lasting = client.lasting and (in_chunks or answer.length is not None)
+    client.keep_alive = client.keep_alive and (in_chunks or answer.length is not None)
     client.listener.put(client, STREAMING)
-    client.transport.write(http.relayed_head(answer, client.lasting, in_chunks))
+    client.transport.write(http.relayed_head(answer, client.keep_alive, in_chunks))
     client.download = Download(client, answer, in_chunks and answer.length is None, until)
     client.download.begin()
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -23,7 +23,7 @@
 # its remaining time and at most MAX_HOLD ticks, as all hops that wait reach the server at once.
 MIN_REDIAL_DELAY, MAX_REDIAL_DELAY, HOLD_DIVISOR, MAX_HOLD = 50, 500, 8, 2_500
 SHORT_IDLE_TIME = 3 * SETTLE_TIME  # ticks an idle connection is kept while the server has no free slots
-NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
+CACHE_STATUSES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
 def ending(answer):
@@ -54,14 +54,14 @@
         'leave_by',
         'link',
         'done',
-        'in_part',
+        'on_partial',
         'held_until',
         'leaves',
     )
 
     def __init__(self, pool, message, until, wanted, leave_by, leaves):
         self.pool, self.message, self.until = pool, message, until
-        self.in_part = None  # called for each piece of a buffered answer of unknown length
+        self.on_partial = None  # called for each piece of a buffered answer of unknown length
         # wanted(): whether it may still be sent; leave_by: latest time for that, or None
         self.wanted, self.leave_by = wanted, leave_by
         self.leaves = leaves  # called when its first byte is sent
@@ -184,7 +184,7 @@
         except BadMessage as err:
             self.pool.caches.broken(self.pool.server, err)
             if self.sink:
-                self.cut_off()
+                self.abort_both()
             else:
                 self.finish('spoilt')
             self.close('answer out of form')
@@ -198,15 +198,15 @@
             self.answered(answer)
         elif self.reader.large:
             self.begin(self.reader.message)
-        elif self.holds_part:
+        elif self.has_partial_answer:
             self.last_piece = self.pool.caches.clock()
             if self.first_piece is None:
                 self.first_piece = self.last_piece
-            if self.exchange.in_part:
-                self.exchange.in_part()
+            if self.exchange.on_partial:
+                self.exchange.on_partial()
 
     @property
-    def holds_part(self):
+    def has_partial_answer(self):
         """Whether a partial 200 answer of unknown length is buffered, which may still become a large
         one. An answer that precedes the end of its request does not count.
         """
@@ -219,22 +219,22 @@
             and ending(message) == 'committed'
         )
 
-    def still_gives(self, now, spread):
+    def still_receiving(self, now, spread):
         """Return whether a partial answer is still being received: its pieces have spanned at least
         `spread` ticks, and the server has sent something recently or has data unread.
         """
-        if not self.holds_part or self.last_piece - self.first_piece < spread:
+        if not self.has_partial_answer or self.last_piece - self.first_piece < spread:
             return False
         return now < self.last_piece + STALL_TIMEOUT or not nothing_unread(self.transport)
 
-    def pass_on_part(self):
+    def stream_partial_answer(self):
         """Start streaming the partial answer as a large one."""
         self.begin(self.reader.message)
 
     def answered(self, answer):
         """Handle a complete answer."""
-        kept, how = self.left and answer.lasting and not self.reader.has_input, ending(answer)
-        if how == 'refused' and not answer.lasting and not self.used:
+        kept, how = self.left and answer.keep_alive and not self.reader.has_input, ending(answer)
+        if how == 'refused' and not answer.keep_alive and not self.used:
             self.pool.declined()
         self.used = True
         if kept:
@@ -258,20 +258,20 @@
     def stream(self):
         """Forward received data of a large answer."""
         data, whole = self.reader.piece(), self.reader.whole
-        sink, lasting = self.sink, self.reader.message.lasting
+        sink, keep_alive = self.sink, self.reader.message.keep_alive
         if whole:
             self.sink = None
             self.reader.reset()
         sink.write_body(data)
         if whole:
             sink.finish_body()
-            if self.left and lasting and not self.reader.has_input:
+            if self.left and keep_alive and not self.reader.has_input:
                 self.transport.resumeProducing()
                 self.pool.release(self)
             else:
                 self.close('closed after answer')
 
-    def cut_off(self):
+    def abort_both(self):
         """Abort a large answer that will not be completed."""
         sink, self.sink = self.sink, None
         sink.abort()
@@ -340,7 +340,7 @@
         if reason is not None and reason.check(ConnectionDone):
             self.ended()
         if self.sink:
-            self.cut_off()
+            self.abort_both()
         if self.exchange:
             # The hop surely did not run only if its last byte was not sent.
             self.finish('lost' if self.left else 'unreachable')
@@ -412,10 +412,10 @@
         opening = connect(caches.reactor, self.address, link)
         number = caches.dialling.add(opening)
         caches.deadlines.at(caches.clock() + caches.connect_timeout, caches.dial_due, number)
-        opening.addCallbacks(self.dialled, self.failed, (number,), None, (number, link))
+        opening.addCallbacks(self.connection_up, self.failed, (number,), None, (number, link))
         opening.addErrback(caches.fault)
 
-    def dialled(self, link, number):
+    def connection_up(self, link, number):
         """Assign an established connection to the first waiting hop."""
         self.dials -= 1
         self.caches.dialling.remove(number)
--- a/lilacdyke/net/client.py
+++ b/lilacdyke/net/client.py
@@ -12,7 +12,7 @@
 from .http import BadMessage, Reader
 from .logs import LOG
 from .phases import ASKED, CLOSING, FRESH, IDLE, RECEIVING, STREAMING
-from .sockets import no_delay, peer_closed, send_now, unread_for, waiting
+from .sockets import no_delay, peer_closed, send_now, time_unread, waiting
 
 MIN_BODY_RATE = 16_384  # bytes per second; each byte received extends the time for the rest
 MAX_READ_AHEAD = 2 * http.MAX_BODY  # bytes of pipelined input; then reading is paused
@@ -28,7 +28,7 @@
         self.phase = None  # see phases.py; None: the connection has ended
         self.since = 0  # start of the phase; for a request, when its first byte was received
         self.received_at = 0  # when the last bytes read were received by the system
-        self.lasting = True  # whether the connection stays open after this request
+        self.keep_alive = True  # whether the connection stays open after this request
         self.answered = False  # whether any answer was sent
         self.bad_requests = 0  # requests with unknown paths or methods
         self.upload = None  # large request whose body is being received
@@ -50,7 +50,7 @@
             return
         if self.phase == RECEIVING:
             self.extend_deadline(len(data))
-        self.received_at = self.listener.clock() - unread_for(self.transport)
+        self.received_at = self.listener.clock() - time_unread(self.transport)
         if self.phase in (FRESH, IDLE):
             if self.listener.too_late(self.received_at, data):
                 self.reply(self.listener.refusal(True))
@@ -75,7 +75,7 @@
             download.source.drop()
         if active:
             if self.closed_for:
-                self.listener.node.guard.closes(active, self.closed_for)
+                self.listener.node.guard.report_close(active, self.closed_for)
             self.listener.node.client_gone(active)
 
     def extend_deadline(self, count):
@@ -109,7 +109,7 @@
         """Process received data: successive requests, or more of a large body."""
         try:
             if self.upload:
-                self.upload.body_came()
+                self.upload.body_received()
             else:
                 self.advance()
         except BadMessage as err:
@@ -131,7 +131,7 @@
                     return
                 message = self.reader.message
                 self.upload = message.source = Upload(self, message)
-            self.lasting = message.lasting
+            self.keep_alive = message.keep_alive
             self.handle(message)
             if self.upload:
                 self.begin_upload()
@@ -148,7 +148,7 @@
         """Start forwarding the body of a large request that the node has accepted."""
         if self.active:
             self.listener.put(self, RECEIVING, self.since)
-            self.upload.body_came()
+            self.upload.body_received()
 
     def handle(self, message):
         """Pass a request to the listener. An internal fault is logged and answered with 500."""
@@ -179,13 +179,13 @@
 
     def refuse(self, status, text):
         """Answer with an error and close: what follows a malformed request cannot be read."""
-        self.lasting, self.closed_for = False, '%d: %s' % (status, text)
+        self.keep_alive, self.closed_for = False, '%d: %s' % (status, text)
         self.reply(http.answer(status, False, text + '\n'))
 
     def reply(self, pieces):
         """Answer the current request.
 
-        The pieces were written for the current value of `lasting`.
+        The pieces were written for the current value of `keep_alive`.
         """
         self.active, self.answered = None, True
         data = b''.join(pieces)
@@ -207,8 +207,8 @@
             self.transport.write(data)
         if self.upload:
             # The body is still being received: closing now would reset the connection and lose the answer.
-            self.upload, self.discards_body, self.lasting = None, True, False
-        if not self.lasting:
+            self.upload, self.discards_body, self.keep_alive = None, True, False
+        if not self.keep_alive:
             self.close_after_reply()
         elif self.reader.has_input:
             self.received_at = self.listener.clock()
@@ -226,7 +226,7 @@
         """Return whether the client has gone, even if that lies unread."""
         return self.phase is None or peer_closed(self.transport)
 
-    def see_off(self):
+    def drop_disconnected(self):
         """Drop a client that has gone, together with its request."""
         self.closed_for = 'client disconnected'
         self.cancel_request()
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -8,7 +8,7 @@
 import re
 
 from ..decode import address, find
-from ..values import STATES, BadLine, up
+from ..values import STATES, InvalidValueError, up
 from .http import ANSWER, BadMessage, Chunks, Reader
 from .local_errors import local_errno
 from .logs import LOG, warn
@@ -50,7 +50,7 @@
         self.weight = find(row, 'weight', (int, float))
         self.started = find(row, 'startedAtMs', (int, float))
         if self.state is None or not self.name or not 0 <= self.weight < 1e9 or not 0 <= self.started < 1e15:
-            raise BadLine('malformed entry: %r' % row)
+            raise InvalidValueError('malformed entry: %r' % row)
 
     def row(self):
         """Return the entry in discovery's format."""
@@ -101,7 +101,7 @@
                 self.discovery.last_received = self.discovery.clock()
                 self.line += self.chunks.read(self.reader.buffer)
                 self.process_lines()
-        except (BadMessage, BadLine, ValueError, RecursionError) as err:
+        except (BadMessage, InvalidValueError, ValueError, RecursionError) as err:
             self.discovery.lost(self, 'invalid answer: %s' % err)
         except Exception:
             LOG.exception('fault')
@@ -125,13 +125,13 @@
             del self.line[: end + 1]
             if not line and self.partial_list:
                 # An empty line is a heartbeat and cannot be part of a list.
-                raise BadLine('incomplete list')
+                raise InvalidValueError('incomplete list')
             if line and (whole := self.assemble_list(line)):
                 self.discovery.told(read_list(json.loads(whole)))
             if not self.partial_list:
-                self.discovery.last_complete = self.discovery.last_word = self.discovery.last_received
+                self.discovery.last_complete = self.discovery.last_line_at = self.discovery.last_received
         if len(self.line) + len(self.partial_list) > MAX_LIST:
-            raise BadLine('line too long')
+            raise InvalidValueError('line too long')
         if self.chunks.ended:
             self.discovery.lost(self, 'ended')
 
@@ -162,7 +162,7 @@
         # If not set, the router decides when to open a watch; retries are made here in either mode.
         self.pushed = not place.terms.watched
         self.backoff, self.max_backoff = (
-            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
+            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_sending_timeout * part))) for part in BACKOFF
         )
         self.head_timeout = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
         # failures: consecutive; throttled: those rejected for load
@@ -172,7 +172,7 @@
         self.last_received, self.last_complete = 0, 0
         self.attempt = 0  # number of watches opened; a retry scheduled for an earlier one is void
         self.backing_off = False  # whether a retry is scheduled
-        self.last_word = None  # time of the last complete line; None: never
+        self.last_line_at = None  # time of the last complete line; None: never
         self.redials = 0  # consecutive local failures
 
     def close(self):
--- a/lilacdyke/net/guard.py
+++ b/lilacdyke/net/guard.py
@@ -42,9 +42,9 @@
     owes the request an answer.
     """
 
-    def __init__(self, now, count, is_open, router, stop_within):
+    def __init__(self, now, count, is_open, router, stop_sending_timeout):
         self.now, self.count, self.is_open = now, count, is_open
-        self.router, self.stop_within = router, stop_within
+        self.router, self.stop_sending_timeout = router, stop_sending_timeout
         self.not_ready_since = {}  # by server: when the list first said that it takes no new requests
         self.cold_sends = {}  # by server: times of recent attempts, while it is cold
 
@@ -78,7 +78,7 @@
             self.violated('second_effect', active, server=hop.server.name)
         active.sent_hops.append((now, hop))
         since = self.not_ready_since.get(hop.server.name)
-        if since is not None and now > since + self.stop_within + TOLERANCE:
+        if since is not None and now > since + self.stop_sending_timeout + TOLERANCE:
             self.violated('sent_to_drained', active, server=hop.server.name, after_ms=(now - since) // 10)
         if hop.server.started is not None and not hop.server.origin:
             self.check_slow_start(now, active, hop.server)
@@ -104,13 +104,13 @@
     def check_slow_start(self, now, active, server):
         """Check that attempts at a cold server in one window stay below this node's share of its limit."""
         router, terms = self.router, self.router.terms
-        warmth = router.presence(now, server)
+        warmth = router.capacity_factor(now, server)
         if warmth >= 1:
             self.cold_sends.pop(server.name, None)
             return
         times = self.cold_sends.setdefault(server.name, deque())
         times.append(now)
-        while times[0] <= now - terms.fall_window:
+        while times[0] <= now - terms.overload_window:
             times.popleft()
         limit = router.usual * server.weight * warmth * terms.fall_multiple + EXTRA_ATTEMPTS
         if len(times) > limit:
@@ -129,6 +129,6 @@
             self.violated('answered_late', active, late_ms=overrun // 10)
 
     @never_raises
-    def closes(self, active, why):
+    def report_close(self, active, why):
         """Report that this side closes a client's connection that is still owed an answer."""
         self.violated('closed_unanswered', active, why=why)
--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -19,7 +19,7 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 from zope.interface import implementer
 
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from .logs import LOG, say, warn
 from .succession import SERVING, UNRESPONSIVE, Succession
 
@@ -78,8 +78,8 @@
                 del self.buffer[: end + 1]
                 self.line_received(json.loads(line))
             if len(self.buffer) > MAX_LINE:
-                raise BadLine('line too long')
-        except (BadLine, ValueError, RecursionError) as err:
+                raise InvalidValueError('line too long')
+        except (InvalidValueError, ValueError, RecursionError) as err:
             warn('hand-over not read', reason=err)
             self.abort()
         except Exception:
@@ -87,9 +87,9 @@
             self.abort()
 
     def line_received(self, line):
-        """Handle one line. Raise BadLine if it is not known, as from a peer of another version."""
+        """Handle one line. Raise InvalidValueError if it is not known, as from a peer of another version."""
         if not isinstance(line, dict):
-            raise BadLine('no object')
+            raise InvalidValueError('no object')
         if 'v' in line and self.peer_is_predecessor:
             self.handover.state_received(self, line)
         elif 'serves' in line and not self.peer_is_predecessor:
@@ -109,7 +109,7 @@
         elif 'done' in line:
             self.pending.pop(line['done'], bool)()
         else:
-            raise BadLine('unknown line')
+            raise InvalidValueError('unknown line')
 
     def send(self, **line):
         """Send a line, if the link is still up."""
@@ -235,7 +235,7 @@
     def state_received(self, link, state):
         """Handle the predecessor's first line."""
         if not self.start_node or link is not self.predecessor:
-            raise BadLine('unexpected state')
+            raise InvalidValueError('unexpected state')
         if state['v'] != VERSION or link.fd is None:
             warn('no hand-over', why='version %s' % state['v'])
             self.predecessor = None
@@ -286,7 +286,7 @@
         self.successor = link
         say('successor connected', pid=os.getpid())
         link.transport.sendFileDescriptor(fd)
-        link.send(v=VERSION, holds=self.node.holds(), beats=True, **self.node.legacy())
+        link.send(v=VERSION, holds=self.node.holds(), beats=True, **self.node.export_state())
 
     def successor_serving(self):
         """The successor accepts clients; this process drains."""
--- a/lilacdyke/net/listener.py
+++ b/lilacdyke/net/listener.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import Factory
 
-from ..values import BadLine, down, number
+from ..values import InvalidValueError, down, number
 from . import http
 from .client import ClientConnection
 from .phases import ASKED, BUSY, CHECK_INTERVAL_FULL, FRESH, FULL, LOOK, NORMAL, STREAMING, Phases
@@ -31,12 +31,12 @@
         self.node, self.deadlines, self.clock = node, deadlines, clock
         self.terms, self.table, self.budget = terms, Table(), budget
         self.events = events  # log of individual connections (events.py)
-        self.slowest = max(profile.hard for profile in terms.profiles)
+        self.longest_limit = max(profile.hard for profile in terms.profiles)
         self.profiles = {p.name.encode(): row for row, p in enumerate(terms.profiles)}
         self.tenants = {t.name.encode() for t in terms.tenants}
         self.phases = Phases(clock)
         self.port, self.full, self.shut = None, False, False
-        self.yielded = False  # whether another process of this node accepts connections
+        self.accepting_elsewhere = False  # whether another process of this node accepts connections
         self.last_connected, self.connections = 0, 0  # time of the last connection; number of connections
         self.idle_closed_at = 0  # when an idle connection was last closed
 
@@ -50,9 +50,14 @@
             self.port = reactor.adoptStreamPort(given, AF_INET6 if ':' in host else AF_INET, self)
         self.port.numberAccepts = 1
         guard(
-            self.port, self.node.router.late, http.one_read, self.refusal, self.crowded, self.node.call_failed
+            self.port,
+            self.node.router.late,
+            http.is_single_read,
+            self.refusal,
+            self.crowded,
+            self.node.call_failed,
         )
-        self.see_to_door()
+        self.update_accepting()
         self.evict_overdue()
 
     def buildProtocol(self, addr):
@@ -65,13 +70,13 @@
         Guards against overload, in which parsing requests that can only be refused costs most of what
         serving them does.
         """
-        return self.node.router.late(self.clock() - came) and http.one_read(data)
+        return self.node.router.late(self.clock() - came) and http.is_single_read(data)
 
-    def refusal(self, lasting=False):
+    def refusal(self, keep_alive=False):
         """Return the answer for a request that has waited too long before it was accepted."""
         self.node.count('turned_away')
         self.events.say('request refused', why='waited too long before accept')
-        return self.node.refusal(lasting and not self.node.leaving(), self.node.router.hint)
+        return self.node.refusal(keep_alive and not self.node.leaving(), self.node.router.hint)
 
     def put(self, client, phase, since=None):
         """Move a client's connection to a phase, now or since the given time."""
@@ -89,7 +94,7 @@
         self.put(client, FRESH)
         if len(self.table) > self.budget * EVICTION_SHARE:
             self.phases.make_room(1, BUSY)
-        self.see_to_room()
+        self.check_slots()
 
     def evict_overdue(self, _=0):
         """Close overdue connections periodically."""
@@ -102,19 +107,19 @@
             self.phases.make_room(max(1, self.budget // 16), FULL)
             self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
-    def see_to_room(self):
+    def check_slots(self):
         """Stop accepting when all slots are taken, and resume when one is free."""
         full = len(self.table) >= self.budget
         if full != self.full and not self.shut:
             self.full = full
-            self.see_to_door()
+            self.update_accepting()
             if full:
                 self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL, self.evict_while_full, 0)
 
-    def see_to_door(self):
+    def update_accepting(self):
         """Start or stop reading from the listening socket."""
         if not self.shut:
-            closed = self.full or self.yielded or not self.node.began()
+            closed = self.full or self.accepting_elsewhere or not self.node.began()
             (self.port.stopReading if closed else self.port.startReading)()
 
     def crowded(self, no_descriptor):
@@ -131,9 +136,9 @@
         self.deadlines.at(self.clock() + CHECK_INTERVAL_FULL // 10, self.retry_accepting, 0)
 
     def retry_accepting(self, _):
-        self.see_to_door()
+        self.update_accepting()
 
-    def show_all(self):
+    def disable_deferred_accept(self):
         """Disable TCP_DEFER_ACCEPT before the exit, so that connections are seen before their first
         bytes. Guards against closing the socket on one that nobody has seen.
         """
@@ -142,20 +147,20 @@
         except OSError as err:
             self.node.call_failed('setsockopt', err.errno)
 
-    def nobody_comes(self, until):
+    def no_clients_expected(self, until):
         """Return whether the listening socket may be closed: no connection has arrived for a while
         (counted from `until` at the latest) and none is queued. Also waits for clients that reconnect
         because their request crossed the end of an idle connection.
         """
         if self.clock() < max(min(self.last_connected, until), self.idle_closed_at) + QUIET_PERIOD:
             return False
-        if not (self.full or self.shut or self.yielded):
+        if not (self.full or self.shut or self.accepting_elsewhere):
             before, self.port.numberAccepts = self.connections, 1
             self.port.doRead()
             return self.connections == before
         return True
 
-    def shut_door(self):
+    def stop_listening(self):
         """Close the listening socket."""
         if not self.shut:
             self.shut = True
@@ -165,7 +170,7 @@
         """Unregister a connection that has ended."""
         self.phases.remove(client)
         self.table.remove(client.number)
-        self.see_to_room()
+        self.check_slots()
 
     def schedule_read(self, client):
         """Schedule reading of pipelined requests in a later reactor iteration."""
@@ -189,13 +194,13 @@
         if client and client.upload:
             client.upload.due()
 
-    def break_off(self, _):
+    def abort_streaming(self, _):
         """Abort the answers being streamed, shortly before the process exits: an exit would look like
         the orderly end of their bodies.
         """
         for client in self.phases.listed(STREAMING):
             if client.download:
-                client.download.cut_off()
+                client.download.abort_both()
 
     def close_idle(self, rested=0):
         """Close connections that have been without a request for this long, in ticks.
@@ -217,7 +222,7 @@
         if row is None or method not in (b'GET', b'PUT'):
             # Guards against a client that repeats a bad request as soon as it is refused.
             client.bad_requests += 1
-            client.lasting = client.lasting and client.bad_requests < MAX_BAD_REQUESTS
+            client.keep_alive = client.keep_alive and client.bad_requests < MAX_BAD_REQUESTS
         if row is None:
             client.reply(http.answer(404, self.stay(client), 'no such path\n'))
         elif method not in (b'GET', b'PUT'):
@@ -233,7 +238,7 @@
             wait = hard = self.terms.profiles[row].hard
             if told is not None:
                 wait = min(hard, down(number(told.decode('latin-1'))))
-        except BadLine:
+        except InvalidValueError:
             wait = -1
         if (
             wait < 0
@@ -258,5 +263,7 @@
         scarce.
         """
         crowded = self.phases.count(ASKED) >= self.budget - RESERVED_SLOTS
-        client.lasting = client.lasting and not crowded and not self.node.leaving() and not client.upload
-        return client.lasting
+        client.keep_alive = (
+            client.keep_alive and not crowded and not self.node.leaving() and not client.upload
+        )
+        return client.keep_alive
--- a/lilacdyke/net/local_errors.py
+++ b/lilacdyke/net/local_errors.py
@@ -16,7 +16,7 @@
     )
 )
 # send(2) and recv(2): the connection is unaffected and the call can be retried.
-MOVING = frozenset((errno.ENOBUFS, errno.ENOMEM, errno.EINTR))
+RETRIED_IO_ERRNOS = frozenset((errno.ENOBUFS, errno.ENOMEM, errno.EINTR))
 # epoll_ctl(2): the call can be retried.
 RETRIED_EPOLL_ERRNOS = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
 # accept(2): out of descriptors; out of memory; the pending connection itself has failed.
@@ -31,7 +31,7 @@
 )
 
 
-def name_of(number):
+def errno_name(number):
     """Return the symbolic name of an errno, such as `ENOBUFS`."""
     return errno.errorcode.get(number, 'E%s' % number)
 
--- a/lilacdyke/net/logs.py
+++ b/lilacdyke/net/logs.py
@@ -10,7 +10,7 @@
 LOG = logging.getLogger('lilacdyke')
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Format a record as `at=… level=… event=…` followed by the fields of the event."""
 
     def format(self, record):
@@ -31,7 +31,7 @@
         return json.dumps(text)
 
 
-class Sparse(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Limit each event of level warning and above to MOST lines a minute, by the monotonic clock.
 
     Keeps the log readable when every request runs into the same fault.
@@ -58,8 +58,8 @@
 def begin(level):
     """Log to standard error in this format: this package from `level` on, other libraries from warning on."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
-    handler.addFilter(Sparse())
+    handler.setFormatter(KeyValueFormatter())
+    handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=logging.WARNING, handlers=[handler], force=True)
     LOG.setLevel(level.upper())
 
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -14,22 +14,22 @@
 
 from ..decode import page
 from ..logic import Router, Server
-from ..values import SECOND, BadLine, seconds
+from ..values import SECOND, InvalidValueError, seconds
 from . import http
-from .caches import NOTES, Caches
+from .caches import CACHE_STATUSES, Caches
 from .discovery import Discovery, read_list
 from .events import EventLog
 from .guard import Guard
 from .listener import Listener
-from .local_errors import name_of
+from .local_errors import errno_name
 from .logs import LOG, say, warn
-from .sockets import Reactor, unread_for
+from .sockets import Reactor, time_unread
 from .starts import StartTimes
 from .system import System
 from .tables import Deadlines, Table
 
 # away: an operator has taken the node out of rotation; it still serves the clients that come.
-STARTING, SERVING, AWAY, DRAINING, STOPPED = 'starting', 'serving', 'away', 'draining', 'stopped'
+STARTING, SERVING, OUT_OF_ROTATION, DRAINING, STOPPED = 'starting', 'serving', 'away', 'draining', 'stopped'
 # Times are in ticks of 0.1 ms unless the name says otherwise.
 RESERVED_DESCRIPTORS, MIN_DESCRIPTORS = 32, 4  # for all but clients and caches; for each of these at least
 ARRIVAL_GRACE = 5_000  # new clients stop arriving within this time after SIGTERM
@@ -82,7 +82,7 @@
         self.wall_offset = system.wall() - self.elapsed()  # changes when the wall clock is stepped
         self.chance = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
-        self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_within)
+        self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_sending_timeout)
         self.servers, self.entries = {}, {}  # by name: the router's objects; the latest list entries
         self.active_requests, self.attempts = Table(), Table()
         self.ids = set()  # Req-Ids of the active requests
@@ -103,8 +103,8 @@
             self.call_failed,
         )
         self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.chance, self)
-        self.desk = None  # the operators' server
-        self.gone_away, self.away_since = False, 0  # whether operators took it out of rotation; since when
+        self.operator_server = None
+        self.out_of_rotation, self.away_since = False, 0  # by operators; since when
         self.handover, self.exit_code = None, 0  # links to the node's other processes, if it can hand over
         self.changes = None  # distributed changes, if there is a changes file (changes/node.py)
         self.fleet = None  # limits shared with other nodes, if there is a fleet file (plan/fleet.py)
@@ -132,8 +132,8 @@
         if self.place.operator:
             from .operator import OperatorServer  # imported only where it is used
 
-            self.desk = OperatorServer(self, self.deadlines, self.clock)
-            self.desk.listen(self.reactor, *self.place.operator)
+            self.operator_server = OperatorServer(self, self.deadlines, self.clock)
+            self.operator_server.listen(self.reactor, *self.place.operator)
         if self.place.operator and folder:
             from .handover import Handover
 
@@ -176,10 +176,10 @@
         try:
             self.discovery.version, _, entries = read_list(state.get('list') if state else self.place.known)
             self.remember(entries)
-        except BadLine as err:
+        except InvalidValueError as err:
             warn('remembered list not read', reason=err)
         if state:
-            self.inherit(state)
+            self.import_state(state)
         self.listener.listen(self.reactor, *self.place.listen, *([fd] if fd is not None else []))
         if state:
             self.serve()
@@ -198,8 +198,8 @@
         """Start to accept clients."""
         if self.phase != STARTING:
             return
-        self.phase = AWAY if self.gone_away else SERVING
-        self.listener.see_to_door()
+        self.phase = OUT_OF_ROTATION if self.out_of_rotation else SERVING
+        self.listener.update_accepting()
         if self.handover:
             self.update_shares()
             self.handover.announce_serving()
@@ -216,7 +216,7 @@
     def ready(self):
         """Return whether clients should use this node (the readiness check)."""
         here = self.can_serve() or self.phase == DRAINING and self.handed
-        return here and not self.gone_away and bool(self.router.caches)
+        return here and not self.out_of_rotation and bool(self.router.caches)
 
     def began(self):
         """Return whether the node has started to accept clients."""
@@ -224,7 +224,7 @@
 
     def can_serve(self):
         """Return whether this process serves the clients that come, in rotation or not."""
-        return self.phase in (SERVING, AWAY)
+        return self.phase in (SERVING, OUT_OF_ROTATION)
 
     def leaving(self):
         """Return whether clients are asked to close their connections."""
@@ -245,7 +245,7 @@
         elif self.can_serve():
             self.phase = DRAINING
             if not self.handed:  # otherwise the successor listens on the same socket
-                self.listener.show_all()
+                self.listener.disable_deferred_accept()
             say(
                 'draining',
                 signal=signum,
@@ -255,10 +255,10 @@
             )
             if self.handover:
                 self.handover.succession.end()
-            self.last = since + min(self.listener.slowest, MAX_DRAIN) + ARRIVAL_GRACE
+            self.last = since + min(self.listener.longest_limit, MAX_DRAIN) + ARRIVAL_GRACE
             for active in self.active_requests:
                 self.cap_deadline(active)
-            self.deadlines.at(self.last, self.listener.break_off, 0)
+            self.deadlines.at(self.last, self.listener.abort_streaming, 0)
             self.deadlines.at(since + ARRIVAL_GRACE, self.drain_step, since)
 
     def cap_deadline(self, active):
@@ -266,10 +266,10 @@
         tx = active.tx
         if self.last and tx.limit is not None and tx.limit > self.last:
             tx.limit = self.last
-            self.router.alarm(tx.limit, tx)
+            self.router.set_timer(tx.limit, tx)
             self.deadlines.at(tx.limit, self.limit_due, active.number)
 
-    def reread(self, path):
+    def reload(self, path):
         """Handle SIGHUP: apply the discovery address of the node's page.
 
         All other settings are applied only at a start. A page that cannot be read changes nothing.
@@ -278,7 +278,7 @@
             return
         try:
             where = page(path).discovery
-        except BadLine as err:
+        except InvalidValueError as err:
             warn('page not read', reason=err)
             return
         say('page read', discovery='%s:%d' % where, moved=self.discovery.move(where))
@@ -294,8 +294,12 @@
         # With a successor the listening socket stays open until the exit: nobody else would accept if the
         # successor became unresponsive.
         held = self.handed or self.keeps_listening
-        if now >= self.last - ARRIVAL_GRACE or not held and self.listener.nobody_comes(since + ARRIVAL_GRACE):
-            self.listener.shut_door()
+        if (
+            now >= self.last - ARRIVAL_GRACE
+            or not held
+            and self.listener.no_clients_expected(since + ARRIVAL_GRACE)
+        ):
+            self.listener.stop_listening()
         if (
             not len(self.listener.table)
             and (self.listener.shut or not self.keeps_listening and held)
@@ -312,26 +316,26 @@
 
     def empty(self):
         """Take the node out of rotation; clients that still come are served."""
-        self.gone_away = True
+        self.out_of_rotation = True
         if self.phase == SERVING:
-            self.phase, self.away_since = AWAY, self.clock()
+            self.phase, self.away_since = OUT_OF_ROTATION, self.clock()
             say('away', open=len(self.active_requests), clients=len(self.listener.table))
-            self.deadlines.at(self.away_since + ARRIVAL_GRACE, self.send_away, self.away_since)
-        return self.phase in (AWAY, DRAINING)
+            self.deadlines.at(self.away_since + ARRIVAL_GRACE, self.close_idle_clients, self.away_since)
+        return self.phase in (OUT_OF_ROTATION, DRAINING)
 
     def activate(self):
         """Bring the node back into rotation."""
-        self.gone_away = False
-        if self.phase == AWAY:
+        self.out_of_rotation = False
+        if self.phase == OUT_OF_ROTATION:
             self.phase = SERVING
             say('active')
         return self.phase == SERVING or self.handed
 
-    def send_away(self, since):
+    def close_idle_clients(self, since):
         """Close idle connections while the node is out of rotation, at first only those idle for long."""
-        if self.phase == AWAY and since == self.away_since:
+        if self.phase == OUT_OF_ROTATION and since == self.away_since:
             self.listener.close_idle(SETTLED_IDLE if self.clock() < since + 4 * ARRIVAL_GRACE else 0)
-            self.deadlines.at(self.clock() + ARRIVAL_GRACE // 5, self.send_away, since)
+            self.deadlines.at(self.clock() + ARRIVAL_GRACE // 5, self.close_idle_clients, since)
 
     def suspend(self, name):
         """Take a cache server out of use. Return whether it is known."""
@@ -387,7 +391,7 @@
 
     def update_shares(self):
         """Apply a change in who accepts clients and how many descriptors this process may use."""
-        self.router.handed, self.listener.yielded = self.handed, self.successor_accepts
+        self.router.handed, self.listener.accepting_elsewhere = self.handed, self.successor_accepts
         if self.successor_accepts:
             self.listener.budget = max(MIN_DESCRIPTORS, len(self.listener.table))
             self.caches.shrink(MIN_DESCRIPTORS)
@@ -401,21 +405,21 @@
                 self.handover.succession.capacity
             )
         if self.listener.port:
-            self.listener.see_to_room()
-            self.listener.see_to_door()
+            self.listener.check_slots()
+            self.listener.update_accepting()
         if self.fleet:
             self.fleet.hand_over()
 
-    def legacy(self):
+    def export_state(self):
         """Return the state that a successor needs, as JSON values; times in ticks of Unix time."""
-        usual, servers = self.router.legacy(self.clock())
+        usual, servers = self.router.export_state(self.clock())
         hand = {
             name: [since - self.starts.offset, back and back - self.starts.offset]
             for name, (since, back) in self.router.hand.items()
         }
         listed = [entry.row() for name, entry in self.entries.items() if name in self.router.known]
         return {
-            'away': self.gone_away,
+            'away': self.out_of_rotation,
             'hand': hand,
             # With these a successor converts the times above to its own clock without reading Unix time.
             'elapsed': self.elapsed(),
@@ -425,17 +429,17 @@
             'list': {'generation': self.discovery.version or 0, 'reset': True, 'instances': listed},
         }
 
-    def inherit(self, state):
+    def import_state(self, state):
         """Adopt the state of a predecessor."""
         try:
-            self.gone_away = state['away'] is True
+            self.out_of_rotation = state['away'] is True
             offset = self.clock_offset_from(state)
             for name, (since, back) in state['hand'].items():
                 self.router.hand[name] = (since + offset, back and back + offset)
             self.router.list_remembered(
                 self.clock(), [self.router.row(s) for s in self.router.known.values()]
             )
-            self.router.inherit(self.clock(), state['usual'], state['servers'])
+            self.router.import_state(self.clock(), state['usual'], state['servers'])
             for name, server in self.router.known.items():
                 self.starts.adopt(name, server.started)
         except (KeyError, TypeError, ValueError, AttributeError) as err:
@@ -470,19 +474,19 @@
         self.cap_deadline(active)
         self.settle()
 
-    def body_spent(self, active):
+    def body_sent(self, active):
         """Record that part of a large body has been sent, so that the request cannot be retried."""
         active.tx.spent = True
 
-    def body_came(self, active, when):
+    def body_received(self, active, when):
         """Start the time limit of a large request, whose last byte arrived at `when`."""
         limit = when + active.wait
-        self.router.body_came(self.clock(), active.tx, limit)
+        self.router.body_received(self.clock(), active.tx, limit)
         self.deadlines.at(limit, self.limit_due, active.number)
         self.cap_deadline(active)
         for attempt in active.attempts:
             if not self.place.terms.may_cancel:
-                self.deadlines.at(limit, self.patience_due, attempt.number)
+                self.deadlines.at(limit, self.attempt_limit_due, attempt.number)
         self.settle()
 
     def client_gone(self, active):
@@ -552,7 +556,7 @@
         active = self.active_requests.get(number)
         if active is None or self.defer_for_unread(active.attempts, self.limit_due, number):
             return
-        if self.pass_on_part(active):
+        if self.stream_partial_answer(active):
             return
         for attempt in active.attempts[:]:
             attempt.exchange.cut('expired')
@@ -575,7 +579,7 @@
             self.deadlines.at(self.clock(), due, number)
         return bool(unread)
 
-    def time_up(self, active):
+    def body_timed_out(self, active):
         """End a large request whose body was not read to its end, so that no attempt was sent whole."""
         active.tx.limit = self.clock()
         for attempt in active.attempts[:]:
@@ -584,13 +588,13 @@
 
     # --- attempts ---------------------------------------------------------------------------------------
 
-    def patience_due(self, number):
+    def attempt_limit_due(self, number):
         """End an attempt at its own limit, unless its answer makes progress and the request has time left.
 
         Where attempts may not be cancelled, this also ends those of finished requests at silent servers.
         """
         attempt = self.attempts.get(number)
-        if attempt is None or self.defer_for_unread([attempt], self.patience_due, number):
+        if attempt is None or self.defer_for_unread([attempt], self.attempt_limit_due, number):
             return
         limit = attempt.active.tx.limit
         if (
@@ -598,7 +602,7 @@
             and self.clock() < limit
             and attempt.exchange.link in self.progressing_links(attempt.active)
         ):
-            self.deadlines.at(limit, self.patience_due, number)
+            self.deadlines.at(limit, self.attempt_limit_due, number)
             return
         attempt.exchange.cut('expired')
         self.settle()
@@ -613,7 +617,7 @@
         now = self.clock()
         open_ = self.active_requests.get(active.number) is active
         if open_ and how == 'unsent' and active.client.left():
-            active.client.see_off()
+            active.client.drop_disconnected()
             open_ = False
         final = how in ('committed', 'rejected')  # rejected: the request is at fault, not the server
         if final and open_:
@@ -628,7 +632,7 @@
                 client.stream(answer, minor, active.tx.limit)
             else:
                 client.reply(http.relayed(answer, keep_alive))
-        note = NOTES.get(answer.field(b'srv-cache'), 0) if answer else 0
+        note = CACHE_STATUSES.get(answer.field(b'srv-cache'), 0) if answer else 0
         self.count('hops_' + how)
         if self.fleet:
             self.fleet.ended(now, hop, how, now - hop.sent)
@@ -643,7 +647,7 @@
 
     def call_failed(self, call, number):
         """Count and log a failed system call, which is a fault of this machine and not of a server."""
-        name = name_of(number)
+        name = errno_name(number)
         self.count('failed_%s_%s' % (call, name))
         warn('call failed: %s %s' % (call, name))
 
@@ -671,7 +675,7 @@
         now = self.clock()
         if attempt.relay_at is None:
             limit = attempt.active.tx.limit or attempt.exchange.until
-            late = unread_for(attempt.exchange.link.transport)
+            late = time_unread(attempt.exchange.link.transport)
             attempt.relay_at = limit - attempt.active.wait // RELAY_FRACTION - late
             self.deadlines.at(max(now, attempt.relay_at), self.relay_due, attempt.number)
         elif now >= attempt.relay_at:
@@ -681,7 +685,7 @@
         """Relay a partial answer that has been buffered for long enough."""
         attempt = self.attempts.get(number)
         if attempt is not None and self.active_requests.get(attempt.active.number) is attempt.active:
-            self.pass_on_part(attempt.active)
+            self.stream_partial_answer(attempt.active)
 
     def progressing_links(self, active):
         """Return the connections on which an answer to this request is making progress.
@@ -691,16 +695,16 @@
         """
         now, spread = self.clock(), active.wait // PROGRESS_FRACTION
         links = [attempt.exchange.link for attempt in active.attempts if attempt.exchange.link]
-        return [link for link in links if link.still_gives(now, spread)]
+        return [link for link in links if link.still_receiving(now, spread)]
 
-    def pass_on_part(self, active):
+    def stream_partial_answer(self, active):
         """Start to relay a partial answer that is making progress, the longest if there are several.
 
         Return whether there was one; a request with such an answer is not refused.
         """
         links = self.progressing_links(active)
         if links:
-            max(links, key=lambda link: len(link.reader.message.body)).pass_on_part()
+            max(links, key=lambda link: len(link.reader.message.body)).stream_partial_answer()
         return bool(links)
 
     # --- the server list --------------------------------------------------------------------------------
@@ -734,7 +738,7 @@
         self.caches.listed(server, entry.address)
         self.entries[entry.name] = entry
         zone = self.place.zones.get(entry.zone, entry.zone)  # one missing in the settings matches no other
-        start = self.starts.of(entry, self.clock(), self.discovery.last_word)
+        start = self.starts.of(entry, self.clock(), self.discovery.last_line_at)
         return (server, entry.state, entry.weight, start, zone, entry.cell)
 
     def list_lost(self):
@@ -787,7 +791,7 @@
             why=self.send_reason(hop),
         )
         if self.fleet:
-            self.router.shares.sent(now, hop.server, self.router.presence(now, hop.server) < 1)
+            self.router.shares.sent(now, hop.server, self.router.capacity_factor(now, hop.server) < 1)
         attempt.exchange = self.caches.send(
             hop.server,
             active.message,
@@ -796,11 +800,11 @@
             hop.index > 0,
             lambda: self.guard.check_send(active, hop),
         )
-        attempt.exchange.in_part = lambda: self.partial_answer(attempt)
+        attempt.exchange.on_partial = lambda: self.partial_answer(attempt)
         attempt.exchange.done.addCallback(self.attempt_ended, attempt.number).addErrback(self.fault)
         # In all other cases the attempt ends with its request.
         if hop.tx.limit is not None and (until < limit or not self.place.terms.may_cancel):
-            self.deadlines.at(until, self.patience_due, attempt.number)
+            self.deadlines.at(until, self.attempt_limit_due, attempt.number)
 
     @staticmethod
     def send_reason(hop):
@@ -818,7 +822,7 @@
 
     def do_roll_back(self, tx, after):
         """Refuse a request that had no effect, so that its client can safely retry it."""
-        if self.pass_on_part(tx.ref):
+        if self.stream_partial_answer(tx.ref):
             return
         self.count('rolled_back')
         self.events.say('request refused', tx.ref.name, why=tx.why, attempts=len(tx.hops))
@@ -833,7 +837,7 @@
 
     def do_abandon(self, tx):
         """Answer a request that may have taken effect or not."""
-        if self.pass_on_part(tx.ref):
+        if self.stream_partial_answer(tx.ref):
             return
         self.count('abandoned')
         self.events.say('request abandoned', tx.ref.name, why=tx.why, attempts=len(tx.hops))
@@ -909,9 +913,9 @@
         node.changes.begin()
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda n, _: reactor.callFromThread(node.drain, n))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reread, path))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reload, path))
     if early:
-        reactor.callFromThread(node.reread, path)
+        reactor.callFromThread(node.reload, path)
     try:
         node.start(os.environ.get('TMPDIR'))
     except CannotListenError as err:
--- a/lilacdyke/net/phases.py
+++ b/lilacdyke/net/phases.py
@@ -18,7 +18,7 @@
 )
 # Time limits in ticks for each phase: normally, while over half of the slots are taken, and while no
 # connection is accepted. Phases are searched for connections to close in this order.
-STAYS = {
+PHASE_LIMITS = {
     FRESH: (15_000, 500, 500),
     CLOSING: (10_000, 1_000, 1_000),
     RECEIVING: (24_000, 24_000, 5_000),
@@ -30,8 +30,8 @@
 TRAFFIC_TIMED = (RECEIVING, STREAMING)
 LOOK = 1_000  # ticks between checks for overdue connections
 CHECK_INTERVAL_FULL = LOOK // 10  # the same while no connection is accepted
-MAX_BODY_PAUSE = STAYS[RECEIVING][NORMAL]  # ticks between two pieces of a request
-MAX_WRITE_STALL = STAYS[STREAMING][NORMAL]  # ticks until the peer has to accept more data
+MAX_BODY_PAUSE = PHASE_LIMITS[RECEIVING][NORMAL]  # ticks between two pieces of a request
+MAX_WRITE_STALL = PHASE_LIMITS[STREAMING][NORMAL]  # ticks until the peer has to accept more data
 
 
 class Phases:
@@ -39,7 +39,7 @@
 
     def __init__(self, clock):
         self.clock = clock
-        self.by_phase = {phase: {} for phase in (*STAYS, ASKED)}
+        self.by_phase = {phase: {} for phase in (*PHASE_LIMITS, ASKED)}
 
     def put(self, client, phase, since):
         """Move a connection to a phase, with the time since which it counts as there."""
@@ -70,7 +70,7 @@
         send anything, send partial requests, or never close.
         """
         now, freed = self.clock(), 0
-        for phase, stays in STAYS.items():
+        for phase, stays in PHASE_LIMITS.items():
             for client in self.listed(phase):
                 if now < client.since + stays[pressure] or phase == IDLE and freed >= places:
                     if phase in TRAFFIC_TIMED:
--- a/lilacdyke/net/sockets.py
+++ b/lilacdyke/net/sockets.py
@@ -17,15 +17,15 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.internet.tcp import Client
 
-from .local_errors import ACCEPT_GONE, MOVING, NO_DESCRIPTOR, NO_MEMORY, name_of
-from .transports import Connector, PatientEpoll, PatientReactor, Port
+from .local_errors import ACCEPT_GONE, NO_DESCRIPTOR, NO_MEMORY, RETRIED_IO_ERRNOS, errno_name
+from .transports import Connector, PatientEpoll, Port, RetryingReactor
 
 LAST_RECEIVED_OFFSET = 52  # byte offset of tcpi_last_data_recv in struct tcp_info
 LISTEN_TRIES, LISTEN_PAUSE_SECONDS = 20, 0.05  # retries while out of memory or descriptors
 CLOSED_STATES = (7, 8)  # TCP_CLOSE, TCP_CLOSE_WAIT
 
 
-class AnswersFirst:
+class PrioritizedEvents:
     """Reactor mixin that sets the order of events in one iteration: operator connections, then servers,
     then clients. Finishing requests in progress takes precedence over accepting new ones.
     """
@@ -59,7 +59,7 @@
     )
 
 
-class Reactor(AnswersFirst, PatientReactor, EPollReactor):
+class Reactor(PrioritizedEvents, RetryingReactor, EPollReactor):
     """Epoll reactor with prioritized events and timers on the monotonic clock.
 
     Twisted's own timers follow Unix time and would be late after the wall clock is stepped back. Events
@@ -154,7 +154,7 @@
     return False
 
 
-class Door:
+class AcceptFilter:
     """Listening socket that drops or refuses connections that are not worth serving.
 
     Guards against a backlog that feeds on itself: serving requests that have waited too long costs as
@@ -183,7 +183,7 @@
                 self.failed(err.errno)
                 if err.errno in ACCEPT_GONE:
                     continue
-                raise BlockingIOError(EAGAIN, name_of(err.errno)) from None
+                raise BlockingIOError(EAGAIN, errno_name(err.errno)) from None
             state, waited = tcp_info(came)
             if state in CLOSED_STATES:
                 came.close()  # the client is gone
@@ -214,7 +214,7 @@
         except BlockingIOError:
             return False  # nothing received yet
         except OSError as err:
-            if err.errno in MOVING:
+            if err.errno in RETRIED_IO_ERRNOS:
                 return False  # transient local failure
         with suppress(OSError):
             came.recv(self.PEEK_BYTES, socket.MSG_DONTWAIT)
@@ -232,7 +232,7 @@
             try:
                 left = left[came.send(left, socket.MSG_DONTWAIT) :]
             except OSError as err:
-                if err.errno not in MOVING and err.errno != EAGAIN:
+                if err.errno not in RETRIED_IO_ERRNOS and err.errno != EAGAIN:
                     raise
                 self.call_failed('send', err.errno)
                 if len(left) == len(answer):
@@ -254,8 +254,8 @@
 
 
 def guard(port, late, whole, answer, crowded, call_failed):
-    """Put a Door in front of a port, and defer accepting each connection until its first bytes or for a
-    second (TCP_DEFER_ACCEPT), so that silent connections take no slot. whole(data): whether it is
+    """Put an AcceptFilter in front of a port, and defer accepting each connection until its first bytes or
+    for a second (TCP_DEFER_ACCEPT), so that silent connections take no slot. whole(data): whether it is
     exactly one request; crowded(no_descriptor): called if the next connection cannot be accepted now;
     call_failed(call, errno): called for each failed call.
     """
@@ -263,7 +263,7 @@
         port.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_DEFER_ACCEPT, 1)
     except OSError as err:
         call_failed('setsockopt', err.errno)  # optional
-    port.socket = Door(port.socket, late, whole, answer, crowded, call_failed)
+    port.socket = AcceptFilter(port.socket, late, whole, answer, crowded, call_failed)
 
 
 def no_delay(transport):
@@ -300,7 +300,7 @@
         return 0
 
 
-def unread_for(transport):
+def time_unread(transport):
     """Return how long the last bytes received on a connection have been unread, in ticks.
 
     The client's limit includes this time, for instance while the process was stopped.
--- a/lilacdyke/net/starts.py
+++ b/lilacdyke/net/starts.py
@@ -22,11 +22,11 @@
         self.offset = offset
         self.known = {}  # by name: (start as in the list, start by the node's clock)
 
-    def of(self, entry, now, last_word):
+    def of(self, entry, now, last_line_at):
         """Return a server's start by the node's clock, or None if it started long ago.
 
-        The result stays the same while the list's value does. last_word: when discovery was last heard from
-        before this list; None: never.
+        The result stays the same while the list's value does. last_line_at: when discovery was last heard
+        from before this list; None: never.
         """
         if not entry.started:
             self.known.pop(entry.name, None)
@@ -35,8 +35,8 @@
         if cached is not None and cached[0] == entry.started:
             return cached[1]
         when = min(now, started(entry, self.offset))
-        if last_word is not None:
-            when = max(when, min(now, last_word - MAX_REPORT_DELAY))
+        if last_line_at is not None:
+            when = max(when, min(now, last_line_at - MAX_REPORT_DELAY))
         self.known[entry.name] = (entry.started, when)
         return when
 
--- a/lilacdyke/net/system.py
+++ b/lilacdyke/net/system.py
@@ -43,6 +43,6 @@
         return handle
 
     @staticmethod
-    def let_go(handle):
+    def release_name(handle):
         """Release a name that `hold` acquired."""
         handle.close()
--- a/lilacdyke/net/transports.py
+++ b/lilacdyke/net/transports.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import getConnectError
 from twisted.internet.main import CONNECTION_LOST
 
-from .local_errors import MOVING, RETRIED_EPOLL_ERRNOS
+from .local_errors import RETRIED_EPOLL_ERRNOS, RETRIED_IO_ERRNOS
 
 RETRY_SECONDS = 0.005  # delay before a failed call is retried
 
@@ -28,7 +28,7 @@
         except OSError as err:
             if err.errno == EWOULDBLOCK:
                 return None
-            if err.errno not in MOVING:
+            if err.errno not in RETRIED_IO_ERRNOS:
                 return CONNECTION_LOST
             self.reactor.call_failed('recv', err.errno)
             self.reactor.read_later(self)
@@ -44,7 +44,7 @@
         except OSError as err:
             if err.errno == EWOULDBLOCK:
                 return 0
-            if err.errno not in MOVING:
+            if err.errno not in RETRIED_IO_ERRNOS:
                 return CONNECTION_LOST
             self.reactor.call_failed('send', err.errno)
             self.reactor.write_later(self)
@@ -96,7 +96,7 @@
     transport = AcceptedConnection
 
 
-class PatientReactor:
+class RetryingReactor:
     """Reactor mixin, placed before Twisted's class, that lets a transport defer its next read or write."""
 
     held_reads = held_writes = frozenset()  # transports with a deferred read, write
--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -3,7 +3,7 @@
 
 A verdict has no effect beyond its span, against newer evidence of this forwarder's own, or on more servers
 than the limits below allow. It never selects a server for a request; it only sets bounds on the server's
-share of requests (known.NO_WORD has none), which the routing module applies within its own rules.
+share of requests (known.NO_FLEET_BOUNDS has none), which the routing module applies within its own rules.
 
 Times are integer ticks of the caller's own clock. A server is identified by (name, start time in discovery's
 list), so that evidence on a server that was restarted or replaced does not count for its successor.
@@ -13,14 +13,14 @@
 
 BINS, BIN_UNIT = 12, 10  # bins of answer times: the first ends at BIN_UNIT ticks, each further one doubles
 SERVERS = 1_024  # per report
-VERDICTS = 128  # per plan
+MAX_VERDICTS = 128  # per plan
 WELL, SLOW, FAILING, SILENT, FULL = 'well', 'slow', 'failing', 'silent', 'full'
 KINDS = (WELL, SLOW, FAILING, SILENT, FULL)
 FIELDS = ('sent', 'well', 'failed', 'silent', 'refused')
-HARM_SITE, HARM = 0.25, 0.2  # share of a site's servers, and of all, that verdicts may restrain at once
+MAX_RESTRAINED_SITE_SHARE, MAX_RESTRAINED_SHARE = 0.25, 0.2  # of a site's servers, and of all
 # Share of its usual requests that a server keeps under a verdict of full weight; a slow one keeps 1 / factor.
-LEFT = {SILENT: 1 / 32, FAILING: 1 / 32, FULL: 0.5}
-BACK = 0.5  # least share of its usual requests for a recovered server
+REMAINING_SHARE = {SILENT: 1 / 32, FAILING: 1 / 32, FULL: 0.5}
+RECOVERED_SHARE = 0.5  # least share of its usual requests for a recovered server
 
 
 class Row:
@@ -165,12 +165,12 @@
         """Return what the routing module reads: (expiry, least and greatest share of the server's usual
         requests, expected wait)."""
         if self.kind == WELL:
-            return until, BACK * weight, 1, 0
-        left = 1 / max(1.0, self.factor) if self.kind == SLOW else LEFT[self.kind]
+            return until, RECOVERED_SHARE * weight, 1, 0
+        left = 1 / max(1.0, self.factor) if self.kind == SLOW else REMAINING_SHARE[self.kind]
         return until, 0, left**weight, int(self.answer_time * weight) if self.kind == SLOW else 0
 
 
-class Belief:
+class ActiveVerdicts:
     """The verdicts that a forwarder may act on. Its own newer evidence takes precedence."""
 
     __slots__ = ('span', 'received', 'good_at', 'bad_at', 'late')
@@ -182,7 +182,7 @@
         # By server: the verdict received; when a hop from here last went well, and badly.
         self.received, self.good_at, self.bad_at = {}, {}, {}
 
-    def saw(self, now, server, well):
+    def observe(self, now, server, well):
         """Record this forwarder's own evidence: a hop to a server went well, or badly."""
         seen = self.good_at if well else self.bad_at
         seen.pop(server, None)
@@ -193,7 +193,9 @@
     def planned(self, asked, rows):
         """Store the verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one
         with the newer evidence counts."""
-        for name, started, kind, factor, answer_time, witnesses, sites, age, weight, way in rows[:VERDICTS]:
+        for name, started, kind, factor, answer_time, witnesses, sites, age, weight, way in rows[
+            :MAX_VERDICTS
+        ]:
             newest, server = asked - longer(age), (name, started)
             verdict = self.received.get(server)
             if verdict is None or newest > verdict.newest:
@@ -224,8 +226,8 @@
 
     def words(self, now, servers):
         """Return {server: (verdict, word)} of the verdicts in effect. servers: {server: site} of this
-        forwarder's whole list. Where the limits HARM_SITE and HARM are reached, the most certain verdicts
-        take precedence."""
+        forwarder's whole list. Where the limits MAX_RESTRAINED_SITE_SHARE and MAX_RESTRAINED_SHARE are
+        reached, the most certain verdicts take precedence."""
         active = [
             (server, verdict)
             for server in list(self.received)
@@ -237,9 +239,9 @@
         for server, verdict in sorted(active, key=lambda pair: (pair[1].certainty_key(), pair[0])):
             site = servers[server]
             if verdict.negative:
-                if sum(restrained.values()) + 1 > HARM * len(servers) or restrained.get(site, 0) + 1 > max(
-                    1, HARM_SITE * sizes[site]
-                ):
+                if sum(restrained.values()) + 1 > MAX_RESTRAINED_SHARE * len(servers) or restrained.get(
+                    site, 0
+                ) + 1 > max(1, MAX_RESTRAINED_SITE_SHARE * sizes[site]):
                     continue
                 restrained[site] = restrained.get(site, 0) + 1
             until = verdict.newest + self.span
--- a/lilacdyke/plan/book.py
+++ b/lilacdyke/plan/book.py
@@ -6,16 +6,16 @@
 import json
 import os
 
-from ..values import BadLine
+from ..values import InvalidValueError
 
 VERSION = 1
 
 
-class BookUnreadableError(BadLine):
+class VoterFileUnreadableError(InvalidValueError):
     """The file cannot be read now, because of an I/O error rather than its contents."""
 
 
-class Book:
+class VoterFile:
     """One voter's file: {version, bound, voters, lease}. lease: the longest it may have promised, in ticks.
 
     A new version is written to a temporary file, synced, and renamed into place.
@@ -26,8 +26,8 @@
         self.bound, self.voters, self.lease = None, None, 0
 
     def read(self):
-        """Load the file and return self. Raise BadLine if it is missing or invalid: then the voter must
-        not vote."""
+        """Load the file and return self. Raise InvalidValueError if it is missing or invalid: then the voter
+        must not vote."""
         try:
             with open(self.path, encoding='utf-8') as file:
                 content = json.load(file)
@@ -47,11 +47,15 @@
             ):
                 raise ValueError('not a voter file of version %d' % VERSION)
         except FileNotFoundError:
-            raise BadLine('%s: does not exist; create it with lilacdyke task voter' % self.path) from None
+            raise InvalidValueError(
+                '%s: does not exist; create it with lilacdyke task voter' % self.path
+            ) from None
         except OSError as err:
-            raise BookUnreadableError('%s: %s' % (self.path, err.strerror)) from None
+            raise VoterFileUnreadableError('%s: %s' % (self.path, err.strerror)) from None
         except (ValueError, KeyError, TypeError) as err:
-            raise BadLine('%s: %s' % (self.path, ' '.join(str(err).split()) or type(err).__name__)) from None
+            raise InvalidValueError(
+                '%s: %s' % (self.path, ' '.join(str(err).split()) or type(err).__name__)
+            ) from None
         self.bound, self.voters, self.lease = bound, list(voters), lease
         return self
 
--- a/lilacdyke/plan/check.py
+++ b/lilacdyke/plan/check.py
@@ -14,26 +14,41 @@
 
 import click
 
-from .ledger import DRIFT, Bank, Parts, Purse, longer
+from .ledger import DRIFT, Budgets, ForwarderLedger, PlannerLedger, longer
 
 OWN, LEASE, GIFT_SPAN, TAIL = 12, 4, 12, 4
 POOLS = (6, 2)  # the two sizes that a planner's own share may have
 KEYS = ('a', 'b')  # a budget of arrivals and one of open requests
-TAILS = Parts(b=TAIL)
+TAILS = Budgets(b=TAIL)
 LONGEST_GIFT = GIFT_SPAN + 2 * longer(TAIL)
 MAX_MESSAGES = 4  # in flight in a searched world
 
 
-class Overspent(Exception):
+class OverspentError(Exception):
     """More may be spent than the total budget."""
 
 
 class World:
-    """Purses and banks with the messages in flight between them. Each has its own clock."""
-
-    def __init__(self, forwarders, planners, rates=None, purse=Purse, bank=Bank, pools=POOLS, keep=0):
-        self.purse, self.bank, self.lives, self.pool_sizes, self.keep = purse, bank, 0, pools, keep
-        self.seats = Parts(dict.fromkeys(KEYS, OWN))
+    """Ledgers of forwarders and planners with the messages in flight between them. Each has its own clock."""
+
+    def __init__(
+        self,
+        forwarders,
+        planners,
+        rates=None,
+        forwarder_ledger=ForwarderLedger,
+        planner_ledger=PlannerLedger,
+        pools=POOLS,
+        keep=0,
+    ):
+        self.forwarder_ledger, self.planner_ledger, self.lives, self.pool_sizes, self.keep = (
+            forwarder_ledger,
+            planner_ledger,
+            0,
+            pools,
+            keep,
+        )
+        self.seats = Budgets(dict.fromkeys(KEYS, OWN))
         # By forwarder and key: when each open request ends, by the forwarder's clock.
         self.open = [{KEYS[1]: []} for _ in range(forwarders)]
         # By planner: the history of its own share as (since, share).
@@ -43,14 +58,16 @@
         self.now, self.forwarders, self.planners = 0, forwarders, planners
         names = list(range(planners))
         # The first parts start long ago, so that no lease of a previous life is outstanding.
-        self.purses = [
-            purse(
+        self.forwarder_ledgers = [
+            forwarder_ledger(
                 self.clock(number) - LONGEST_GIFT - 1, self.life(), names, self.seats, LEASE, GIFT_SPAN, TAILS
             )
             for number in range(forwarders)
         ]
-        self.banks = [self.new_bank(number, self.bank_clock(number) - LONGEST_GIFT) for number in names]
-        self.messages = []  # (whether to a bank, purse, bank, message)
+        self.planner_ledgers = [
+            self.new_planner_ledger(number, self.planner_clock(number) - LONGEST_GIFT) for number in names
+        ]
+        self.messages = []  # (whether to a planner's ledger, forwarder's number, planner's number, message)
 
     def life(self):
         self.lives += 1
@@ -60,12 +77,12 @@
         """Return the time by one part's own clock."""
         return self.offsets[number] + self.now * self.rates[number] // DRIFT
 
-    def bank_clock(self, number):
+    def planner_clock(self, number):
         return self.clock(self.forwarders + number)
 
-    def new_bank(self, number, now):
-        result = self.bank(
-            self.life(), LEASE, GIFT_SPAN, now, Parts(dict.fromkeys(KEYS, self.pools[number][-1][1])), TAILS
+    def new_planner_ledger(self, number, now):
+        result = self.planner_ledger(
+            self.life(), LEASE, GIFT_SPAN, now, Budgets(dict.fromkeys(KEYS, self.pools[number][-1][1])), TAILS
         )
         result.keep = self.keep
         return result
@@ -80,20 +97,20 @@
                 open_[key] = [until for until in open_[key] if now < until]
 
     def begin(self, number, key=KEYS[1]):
-        """Open as many requests as the purse allows."""
-        while len(self.open[number][key]) < self.purses[number].may(self.clock(number), key):
+        """Open as many requests as the forwarder's ledger allows."""
+        while len(self.open[number][key]) < self.forwarder_ledgers[number].may(self.clock(number), key):
             self.open[number][key].append(self.clock(number) + TAIL)
 
     def change(self, number):
         """Switch a planner's own share to its other size."""
         pool = self.pool_sizes[self.pools[number][-1][1] == self.pool_sizes[0]]
         self.pools[number].append((self.now, pool))
-        self.banks[number].endow(Parts(dict.fromkeys(KEYS, pool)))
+        self.planner_ledgers[number].set_own_budget(Budgets(dict.fromkeys(KEYS, pool)))
 
     def seat(self, number):
         """Give a process without a seat its seat."""
-        if not self.purses[number].own:
-            self.purses[number].seated(self.clock(number), self.seats, self.seats, True)
+        if not self.forwarder_ledgers[number].own:
+            self.forwarder_ledgers[number].set_seat_budget(self.clock(number), self.seats, self.seats, True)
 
     def report(self, forwarder, planner, surplus):
         """Have a forwarder send a digest that offers one budget, by `surplus`, and asks for the other."""
@@ -106,38 +123,40 @@
                 True,
                 forwarder,
                 planner,
-                self.purses[forwarder].digest(self.clock(forwarder), planner, spare, wants, used),
+                self.forwarder_ledgers[forwarder].digest(self.clock(forwarder), planner, spare, wants, used),
             )
         )
 
     def deliver(self, index, duplicate):
         """Deliver a message; a duplicate stays in flight and arrives once more."""
-        to_bank, forwarder, planner, message = self.messages[index] if duplicate else self.messages.pop(index)
-        if not to_bank:
-            self.purses[forwarder].planned(self.clock(forwarder), planner, copy.deepcopy(message))
+        to_planner_ledger, forwarder, planner, message = (
+            self.messages[index] if duplicate else self.messages.pop(index)
+        )
+        if not to_planner_ledger:
+            self.forwarder_ledgers[forwarder].planned(self.clock(forwarder), planner, copy.deepcopy(message))
             return
-        plan = self.banks[planner].told(self.bank_clock(planner), copy.deepcopy(message))
+        plan = self.planner_ledgers[planner].told(self.planner_clock(planner), copy.deepcopy(message))
         if plan is not None:
             self.messages.append((False, forwarder, planner, plan))
 
     def lose(self, index):
         del self.messages[index]
 
-    def restart_purse(self, number, seated=True):
+    def restart_forwarder_ledger(self, number, seated=True):
         """Restart a forwarder without state; its seat is its own at once, or still another process's."""
         self.open[number] = {KEYS[1]: []}
-        self.purses[number] = self.purse(
+        self.forwarder_ledgers[number] = self.forwarder_ledger(
             self.clock(number),
             self.life(),
             list(range(self.planners)),
-            self.seats if seated else Parts(),
+            self.seats if seated else Budgets(),
             LEASE,
             GIFT_SPAN,
             TAILS,
         )
 
-    def restart_bank(self, number):
-        self.banks[number] = self.new_bank(number, self.bank_clock(number))
+    def restart_planner_ledger(self, number):
+        self.planner_ledgers[number] = self.new_planner_ledger(number, self.planner_clock(number))
 
     # --- invariants -------------------------------------------------------------------------------------
 
@@ -155,32 +174,35 @@
         )
 
     def judge(self):
-        """Raise Overspent if some budget is exceeded."""
+        """Raise OverspentError if some budget is exceeded."""
         total = self.total()
         for key in KEYS:
             each = [
-                max(purse.may(self.clock(number), key), len(self.open[number].get(key, ())))
-                for number, purse in enumerate(self.purses)
+                max(forwarder_ledger.may(self.clock(number), key), len(self.open[number].get(key, ())))
+                for number, forwarder_ledger in enumerate(self.forwarder_ledgers)
             ]
-            least = min(purse.may(self.clock(number), key) for number, purse in enumerate(self.purses))
+            least = min(
+                forwarder_ledger.may(self.clock(number), key)
+                for number, forwarder_ledger in enumerate(self.forwarder_ledgers)
+            )
             if sum(each) > total or least < 0:
-                raise Overspent('at %d: %s of %d may be spent of %s' % (self.now, each, total, key))
+                raise OverspentError('at %d: %s of %d may be spent of %s' % (self.now, each, total, key))
 
     def lent(self):
-        """Return how much is borrowed in all; a world in which this is always 0 proves nothing."""
+        """Return how much is leased in all; a world in which this is always 0 proves nothing."""
         return sum(
-            purse.borrowed(self.clock(number), key)
-            for number, purse in enumerate(self.purses)
+            forwarder_ledger.leased(self.clock(number), key)
+            for number, forwarder_ledger in enumerate(self.forwarder_ledgers)
             for key in KEYS
         )
 
 
-def walk(seed, steps, purse=Purse, bank=Bank):
+def walk(seed, steps, forwarder_ledger=ForwarderLedger, planner_ledger=PlannerLedger):
     """Run one long random history of 3 forwarders and 1 or 2 planners. Return how much was lent in it."""
     chance = Random(seed)
     rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(5)]
     pools, planners = chance.choice(((0, 0), POOLS)), chance.choice((1, 2))
-    world, lent = World(3, planners, rates, purse, bank, pools, chance.choice((0, 2))), 0
+    world, lent = World(3, planners, rates, forwarder_ledger, planner_ledger, pools, chance.choice((0, 2))), 0
     in_order_rate = chance.choice((0.2, 0.5, 0.9))
     open_above = chance.choice((0.85, 0.7))
     steady = chance.random() < 0.5  # the planners' own shares never change
@@ -192,9 +214,9 @@
             world.tick()
         elif draw > 0.985 and not quiet:
             if chance.random() < 0.5:
-                world.restart_purse(chance.randrange(3), chance.random() < 0.7)
+                world.restart_forwarder_ledger(chance.randrange(3), chance.random() < 0.7)
             else:
-                world.restart_bank(chance.randrange(planners))
+                world.restart_planner_ledger(chance.randrange(planners))
         elif draw > 0.975:
             world.seat(chance.randrange(3))
         elif draw > 0.97 and not steady:
@@ -221,9 +243,9 @@
     return lent
 
 
-def warmed_up(forwarders, planners, purse=Purse, bank=Bank):
+def warmed_up(forwarders, planners, forwarder_ledger=ForwarderLedger, planner_ledger=PlannerLedger):
     """Return a world in which all parts are in contact, gifts are binding and something is lent."""
-    world = World(forwarders, planners, None, purse, bank)
+    world = World(forwarders, planners, None, forwarder_ledger, planner_ledger)
     for _ in range(2):
         for forwarder in range(forwarders):
             for planner in range(planners):
@@ -246,19 +268,19 @@
             for forwarder in range(world.forwarders)
             for planner in range(world.planners)
         ]
-    steps += [('restart_purse', number) for number in range(world.forwarders)]
+    steps += [('restart_forwarder_ledger', number) for number in range(world.forwarders)]
     steps += [('begin', 1)] if world.forwarders > 1 else []
-    steps += [('restart_bank', number) for number in range(world.planners)]
+    steps += [('restart_planner_ledger', number) for number in range(world.planners)]
     for name, *given in steps:
         result = pickle.loads(pickle.dumps(world))
         getattr(result, name)(*given)
         yield result
 
 
-def search(forwarders, planners, states, purse=Purse, bank=Bank):
+def search(forwarders, planners, states, forwarder_ledger=ForwarderLedger, planner_ledger=PlannerLedger):
     """Explore all interleavings from a warmed-up small world, breadth first, up to this many states. Return
     (states seen, depth explored completely, most that was lent at once)."""
-    first = warmed_up(forwarders, planners, purse, bank)
+    first = warmed_up(forwarders, planners, forwarder_ledger, planner_ledger)
     frontier, seen, depth, lent = [first], {pickle.dumps(first)}, 0, 0
     while frontier:
         next_frontier = []
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -8,7 +8,7 @@
 from ..net.sockets import connect
 from .forwarder import Forwarder
 from .lease import Lease
-from .ledger import Parts, Purse
+from .ledger import Budgets, ForwarderLedger
 from .limits import address
 from .link import ToPlanner
 from .shares import Shares
@@ -29,19 +29,23 @@
         # Locks on the two halves of the seat: the first covers deposits, the second is passed to a successor.
         self.first_half, self.second_half, self.retry_scheduled = None, None, False
         self.life = '%s-%x' % (node.place.name, int(node.chance() * (1 << 48)))
-        self.purse = Purse(
+        self.forwarder_ledger = ForwarderLedger(
             now,
             self.life,
             planner_names,
-            Parts(),
+            Budgets(),
             fleet.lease,
-            fleet.gift,
-            fleet.tails(),
+            fleet.deposit_term,
+            fleet.lease_tails(),
             fleet.units(),
-            Parts(fleet.mosts()),
+            Budgets(fleet.mosts()),
+        )
+        self.shares = node.router.shares = Shares(
+            now, fleet, self.forwarder_ledger, node.place.terms.profiles
+        )
+        self.forwarder = Forwarder(
+            now, fleet, self.forwarder_ledger, self.needs, self.shares.used, node.chance
         )
-        self.shares = node.router.shares = Shares(now, fleet, self.purse, node.place.terms.profiles)
-        self.forwarder = Forwarder(now, fleet, self.purse, self.needs, self.shares.used, node.chance)
         self.view = None
         if fleet.span is not None:
             self.view = self.forwarder.view = View(node, fleet.span, planner_names)
@@ -52,13 +56,13 @@
         self.addresses = {row.name: address(row.address) for row in fleet.planner}
         self.links, self.isolated, self.deciding = {}, None, False
         node.caches.shares = self.shares
-        self.take_seat(0)
+        self.lock_seat(0)
         self.check_status(0)
         self.run_decisions()
 
     # --- the seat ---------------------------------------------------------------------------------------
 
-    def take_seat(self, _):
+    def lock_seat(self, _):
         """Lock both halves of the seat, or those that no other process on this machine holds, such as a
         predecessor that is still draining or is suspended. Without them only leases may be spent."""
         self.retry_scheduled = False
@@ -82,7 +86,7 @@
         if not self.retry_scheduled:
             self.retry_scheduled = True
             self.deadlines.at(
-                self.clock() + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.take_seat, 0
+                self.clock() + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.lock_seat, 0
             )
 
     def update_budget(self, anew=False):
@@ -93,11 +97,11 @@
             if self.first_half and self.second_half
             else heir_part
             if self.second_half
-            else Parts({key: amount - heir_part[key] for key, amount in self.seat_budget.items()})
+            else Budgets({key: amount - heir_part[key] for key, amount in self.seat_budget.items()})
             if self.first_half
-            else Parts()
+            else Budgets()
         )
-        self.purse.seated(self.clock(), own, self.seat_budget, anew)
+        self.forwarder_ledger.set_seat_budget(self.clock(), own, self.seat_budget, anew)
         say('seat', seat=self.rank, first=self.first_half is not None, second=self.second_half is not None)
 
     def hand_over(self, _=0):
@@ -106,18 +110,20 @@
         if self.rank is None:
             return
         if not self.node.handed:
-            self.take_seat(0)
-            if self.first_half and self.second_half and self.purse.own != self.seat_budget:
+            self.lock_seat(0)
+            if self.first_half and self.second_half and self.forwarder_ledger.own != self.seat_budget:
                 self.update_budget()  # the handover was pending, and the successor is gone
         elif self.second_half is not None:
             second, self.second_half = self.second_half, None
             self.update_budget()
             now = self.clock()
-            if any(amount > self.purse.may(now, key) for key, amount in self.shares.used().items()):
+            if any(
+                amount > self.forwarder_ledger.may(now, key) for key, amount in self.shares.used().items()
+            ):
                 self.second_half = second  # stays locked, but is not spent
                 self.deadlines.at(now + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.hand_over, 0)
             else:
-                self.node.system.let_go(second)
+                self.node.system.release_name(second)
 
     def acquire_canary_lease(self):
         """Request one of the two canary leases of this site. Only their holders probe servers that the fleet
@@ -144,7 +150,7 @@
         if self.shares.limits['links']:
             self.node.caches.trim(lambda server: self.shares.over(now, server))
         return self.shares.needs(
-            now, [server.name for server in router.caches if router.presence(now, server) < 1]
+            now, [server.name for server in router.caches if router.capacity_factor(now, server) < 1]
         )
 
     def ended(self, now, hop, how, lasted):
