--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -9,7 +9,7 @@
 from .ledger import longer
 
 UP, DOWN, DIALLING = 'up', 'down', 'dialling'
-SAYS = 4  # digests sent per lease
+DIGESTS_PER_LEASE = 4  # digests sent per lease
 SILENT_LEASES = 2  # leases without a plan after which a link is closed
 # Backoff between dials starts at lease / FIRST_BACKOFF_DIVISOR and ends at lease * MAX_BACKOFF_LEASES.
 FIRST_BACKOFF_DIVISOR, MAX_BACKOFF_LEASES = 4, 4
@@ -39,8 +39,8 @@
 class Forwarder:
     """The links of one forwarder."""
 
-    def __init__(self, now, fleet, purse, needs, used, chance):
-        self.purse, self.needs, self.used, self.chance = purse, needs, used, chance
+    def __init__(self, now, fleet, forwarder_ledger, needs, used, chance):
+        self.forwarder_ledger, self.needs, self.used, self.chance = forwarder_ledger, needs, used, chance
         self.lease = fleet.lease
         self.accepts_limits, self.edition, self.mosts = fleet.accepts_limits, fleet.edition, fleet.mosts()
         self.planners = {
@@ -57,7 +57,7 @@
         """Handle an established link."""
         planner = self.planners[name]
         planner.state, planner.state_since, planner.written = UP, now, True
-        planner.next_action = now + int(self.lease * self.chance() / SAYS)  # spreads first digests of a fleet
+        planner.next_action = now + int(self.lease * self.chance() / DIGESTS_PER_LEASE)  # spreads them
 
     def down(self, now, name):
         """Handle a closed link or a failed dial. Exponential backoff with jitter keeps a fleet from dialling
@@ -84,8 +84,8 @@
 
     def planned(self, now, name, plan):
         """Process a plan. Return whether it was used."""
-        planner, request = self.planners[name], self.purse.sent.get(plan['seq'])
-        if not self.purse.planned(now, name, plan):
+        planner, request = self.planners[name], self.forwarder_ledger.sent.get(plan['seq'])
+        if not self.forwarder_ledger.planned(now, name, plan):
             return False
         planner.last_plan_at = now
         # A planner whose limits are not adopted here is not reported as heard: others would count it as
@@ -138,7 +138,7 @@
             if planner.state == DIALLING:
                 self.down(now, planner.name)
                 return 'end', planner.name, 'no answer'
-            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.chance()) / SAYS)
+            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.chance()) / DIGESTS_PER_LEASE)
             if planner.written:
                 return 'say', planner.name, self.digest(now, planner.name)
         first = min(planner.next_action for planner in self.planners.values())
@@ -149,10 +149,10 @@
 
     def digest(self, now, name):
         """Return the next digest for a planner."""
-        if self.needs_at is None or now >= self.needs_at + self.lease // (2 * SAYS):
+        if self.needs_at is None or now >= self.needs_at + self.lease // (2 * DIGESTS_PER_LEASE):
             self.needs_at, self.cached_needs = now, self.needs(now)
         spare, wants = self.cached_needs
-        used, account = self.used(), self.purse.account(name)
+        used, account = self.used(), self.forwarder_ledger.account(name)
         lent = (
             {}
             if account is None
@@ -160,9 +160,10 @@
         )
         # Leases from other planners count against what is wanted from this one.
         shortfall = {
-            key: amount - self.purse.borrowed(now, key) + lent.get(key, 0) for key, amount in wants.items()
+            key: amount - self.forwarder_ledger.leased(now, key) + lent.get(key, 0)
+            for key, amount in wants.items()
         }
-        digest = self.purse.digest(
+        digest = self.forwarder_ledger.digest(
             now, name, spare, {key: amount for key, amount in shortfall.items() if amount > 0}, used
         )
         if self.view:
--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -16,12 +16,12 @@
 from . import limits
 from .frames import FREE, SEEK, VOTE
 from .leases import Seeker
-from .link import Speaker
+from .link import FrameProtocol
 
 BACKOFF_PARTS = 32  # reconnection backoff doubles from 2 / BACKOFF_PARTS of a lease up to one lease
 
 
-class ToVoter(Speaker, Outgoing):
+class ToVoter(FrameProtocol, Outgoing):
     """The connection to one voter."""
 
     heard = {VOTE: 'voted', FREE: 'free'}
@@ -36,7 +36,7 @@
     def free(self, fields):
         self.lease.free(fields['task'])
 
-    def count_bad(self):
+    def count_bad_frame(self):
         """Count nothing; the caller logs the frame and closes the connection."""
 
     def connectionLost(self, reason=None):
--- a/lilacdyke/plan/ledger.py
+++ b/lilacdyke/plan/ledger.py
@@ -28,7 +28,7 @@
 SNAPSHOTS_PER_LEASE = 40  # how often per lease a planner recomputes a budget over all forwarders
 
 
-class Parts(dict):
+class Budgets(dict):
     """Grains by key. A key `family:member` without an entry of its own has the amount of its family."""
 
     def __missing__(self, key):
@@ -74,12 +74,12 @@
         self.confirmed_version = 0  # the newest plan whose leases cover all that is open
 
 
-class Purse:
+class ForwarderLedger:
     """A forwarder's side of the ledger: what it may spend.
 
     own: grains of each budget that belong to its seat.
-    lease, gift: durations of leases and deposits.
-    tails: how long what began under a lease may stay open beyond it, by key.
+    lease, deposit_term: durations of leases and deposits.
+    lease_tails: how long what began under a lease may stay open beyond it, by key.
     units: the granularity of amounts, by key.
     whole: the total of each budget, where that is known.
     """
@@ -89,8 +89,8 @@
         'own',
         'full',
         'lease',
-        'gift',
-        'tails',
+        'deposit_term',
+        'lease_tails',
         'units',
         'seq',
         'sent',
@@ -101,12 +101,22 @@
     )
 
     def __init__(
-        self, now, life, planners, own, lease, gift, tails=None, units=None, whole=None, deposit_divisor=2
+        self,
+        now,
+        life,
+        planners,
+        own,
+        lease,
+        deposit_term,
+        lease_tails=None,
+        units=None,
+        whole=None,
+        deposit_divisor=2,
     ):
-        if gift < 2 * longer(lease):
+        if deposit_term < 2 * longer(lease):
             raise ValueError('deposits must last at least twice as long as leases')
-        self.life, self.own, self.full, self.lease, self.gift = life, own, own, lease, gift
-        self.tails, self.units, self.whole = tails or Parts(), units or Parts(), whole
+        self.life, self.own, self.full, self.lease, self.deposit_term = life, own, own, lease, deposit_term
+        self.lease_tails, self.units, self.whole = lease_tails or Budgets(), units or Budgets(), whole
         self.seq, self.sent = 0, {}  # recent digests: by sequence number, (planner, time)
         self.accounts = {
             planner: [] for planner in planners
@@ -120,7 +130,7 @@
             now if own else None
         )  # when this process took over the seat, or the half that covers deposits
 
-    def seated(self, now, own, full, anew):
+    def set_seat_budget(self, now, own, full, anew):
         """Set how much of the seat's budget, `full`, this process holds from now on. anew: it has taken over
         the half that covers deposits, whose previous owner may have made the largest possible ones."""
         self.own, self.full = own, full
@@ -129,7 +139,7 @@
 
     def deposit_duration(self, key):
         """Return how long a deposit lasts."""
-        return self.gift + 2 * longer(self.tails[key])
+        return self.deposit_term + 2 * longer(self.lease_tails[key])
 
     def in_recovery(self, now, key):
         """Return whether deposits of an earlier life may still be in force."""
@@ -155,7 +165,7 @@
             for account in lives
         )
 
-    def borrowed(self, now, key):
+    def leased(self, now, key):
         """Return how much of a budget is leased from planners now."""
         total = 0
         for lives in self.accounts.values():
@@ -167,7 +177,7 @@
     def may(self, now, key):
         """Return the grains of a budget that may be spent now. The total of the budget, where known, is an
         upper bound, whatever a plan says."""
-        found = self.own[key] - self.given(now, key) + self.borrowed(now, key)
+        found = self.own[key] - self.given(now, key) + self.leased(now, key)
         return found if self.whole is None else min(found, self.whole[key])
 
     # --- messages ---------------------------------------------------------------------------------------
@@ -310,7 +320,7 @@
             self.lent += amount - had
 
 
-class Bank:
+class PlannerLedger:
     """A planner's side of the ledger: deposits, its own budget, and the leases made from both.
 
     It keeps no state over a restart. Leases that an earlier life made from deposits are covered by those
@@ -318,17 +328,17 @@
     earlier life must have expired.
 
     own_budget: grains of each budget that belong to this planner.
-    tails, units: as for a forwarder.
+    lease_tails, units: as for a forwarder.
     """
 
     __slots__ = (
         'life',
         'lease',
-        'gift',
+        'deposit_term',
         'version',
         'holders',
         'own_budget',
-        'tails',
+        'lease_tails',
         'units',
         'since',
         'keep',
@@ -336,16 +346,20 @@
         'last_expiry',
     )
 
-    def __init__(self, life, lease, gift, now=0, own_budget=None, tails=None, units=None):
-        self.life, self.lease, self.gift, self.since = life, lease, gift, now
+    def __init__(self, life, lease, deposit_term, now=0, own_budget=None, lease_tails=None, units=None):
+        self.life, self.lease, self.deposit_term, self.since = life, lease, deposit_term, now
         self.version, self.holders = 0, {}
-        self.own_budget, self.tails, self.units = own_budget or Parts(), tails or Parts(), units or Parts()
+        self.own_budget, self.lease_tails, self.units = (
+            own_budget or Budgets(),
+            lease_tails or Budgets(),
+            units or Budgets(),
+        )
         self.keep = (
             lease // SNAPSHOTS_PER_LEASE
         )  # how long a snapshot is reused, so that not every digest scans all forwarders
         self.snapshots, self.last_expiry = {}, now
 
-    def endow(self, parts):
+    def set_own_budget(self, parts):
         """Set this planner's own budget."""
         if parts != self.own_budget:
             self.own_budget = parts
@@ -353,7 +367,7 @@
 
     def charge_duration(self, key):
         """Return how long a lease is charged for."""
-        return longer(self.lease) + longer(self.tails[key])
+        return longer(self.lease) + longer(self.lease_tails[key])
 
     def told(self, now, digest):
         """Process a digest. Return the plan that answers it, or None if it is outdated."""
@@ -381,7 +395,7 @@
             return
         sent_at = min(now, digest['stamp'] + shorter(digest['held']))
         for key, amount in digest['gifts'].items():
-            until = sent_at + shorter(self.gift + 2 * longer(self.tails[key]))
+            until = sent_at + shorter(self.deposit_term + 2 * longer(self.lease_tails[key]))
             kept = [
                 deposit
                 for deposit in holder.deposits.get(key, ())
@@ -399,7 +413,7 @@
         """Return a snapshot of a budget that is valid for leases made until it is replaced."""
         found = self.snapshots.get(key)
         if found is None or not found.when <= now < found.when + self.keep:
-            tail, until = longer(self.tails[key]), now + self.charge_duration(key) + self.keep
+            tail, until = longer(self.lease_tails[key]), now + self.charge_duration(key) + self.keep
             charges = {
                 holder: charge
                 for holder in self.holders.values()
@@ -448,7 +462,7 @@
     def expire(self, now):
         """Drop expired leases and deposits, and forwarders that have neither and have long been silent."""
         self.last_expiry = now
-        tail = longer(max(self.tails.values(), default=0))
+        tail = longer(max(self.lease_tails.values(), default=0))
         for name, holder in list(self.holders.items()):
             holder.grants = [record_grant for record_grant in holder.grants if now <= record_grant[1] + tail]
             holder.deposits = {
@@ -456,5 +470,5 @@
                 for key, deposits in holder.deposits.items()
                 if (kept := [deposit for deposit in deposits if deposit.until >= now])
             }
-            if not holder.grants and not holder.deposits and now > holder.seen + 4 * self.gift:
+            if not holder.grants and not holder.deposits and now > holder.seen + 4 * self.deposit_term:
                 del self.holders[name]
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -4,7 +4,7 @@
 seats, and the rest evenly among the planners. The parts never add up to more than the limit. Must never do
 I/O beyond reading that file.
 
-Amounts are in grains: GRAIN grains are one request per second, one open request or one connection.
+Amounts are in grains: GRAINS_PER_UNIT grains are one request per second, one open request or one connection.
 """
 
 from typing import Annotated, Literal
@@ -13,12 +13,12 @@
 from msgspec import Meta
 
 from ..decode import address as decode_address
-from ..values import BadLine, down
-from .ledger import Parts, longer
+from ..values import InvalidValueError, down
+from .ledger import Budgets, longer
 from .sites import Loss, Name, Part
 from .sites import check as check_loss
 
-GRAIN = 1_000
+GRAINS_PER_UNIT = 1_000
 Amount = Annotated[float, Meta(gt=0, le=1e7)]
 CONCURRENT = ('open', 'links')  # limits on a number at a time, not on a rate
 PER_SERVER = ('cold', 'links', 'tries')  # limits that apply to each server separately
@@ -56,9 +56,13 @@
 
     def in_grains(self):
         """Return (the limit, the part of it that the seats own)."""
-        most = down(self.most) * GRAIN // down(1)
-        floor = most // 2 if self.floor is None else down(self.floor) * GRAIN // down(1)
-        return (most // GRAIN * GRAIN, floor // GRAIN * GRAIN) if self.concurrent else (most, floor)
+        most = down(self.most) * GRAINS_PER_UNIT // down(1)
+        floor = most // 2 if self.floor is None else down(self.floor) * GRAINS_PER_UNIT // down(1)
+        return (
+            (most // GRAINS_PER_UNIT * GRAINS_PER_UNIT, floor // GRAINS_PER_UNIT * GRAINS_PER_UNIT)
+            if self.concurrent
+            else (most, floor)
+        )
 
 
 class Verdicts(Part):
@@ -97,7 +101,7 @@
         return down(self.lease_s)
 
     @property
-    def gift(self):
+    def deposit_term(self):
         """Return the duration of a deposit, which has to outlast leases made from it by any clock."""
         return 2 * longer(self.lease)
 
@@ -121,10 +125,10 @@
         """Return the names of the planners that vote."""
         return self.tasks.voters or [row.name for row in self.planner]
 
-    def tails(self):
+    def lease_tails(self):
         """Return how long what began under a lease may stay open beyond it: the longest duration of a
         request, plus half a lease until surplus connections are closed."""
-        return Parts(
+        return Budgets(
             {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.concurrent}
         )
 
@@ -134,13 +138,13 @@
 
     def units(self):
         """Return the granularity of amounts, by name of limit."""
-        return Parts({limit.name: GRAIN for limit in self.limit if limit.concurrent})
+        return Budgets({limit.name: GRAINS_PER_UNIT for limit in self.limit if limit.concurrent})
 
     def seat_parts(self, seat):
         """Return the part of each limit that a seat owns; none for a seat that is None or out of range."""
         if seat is None or not 0 <= seat < self.seats:
-            return Parts()
-        return Parts(
+            return Budgets()
+        return Budgets(
             {
                 limit.name: even_share(limit.in_grains()[1], self.seats, seat, limit.concurrent)
                 for limit in self.limit
@@ -150,13 +154,13 @@
     def heir_part(self, parts):
         """Return the part of a seat's budget that a process passes to its successor while both run. The rest
         covers all deposits."""
-        return Parts(
+        return Budgets(
             {key: amount // 2 - amount // 2 % (self.units()[key] or 1) for key, amount in parts.items()}
         )
 
     def planner_budget(self, index, mosts):
         """Return the part of each limit that a planner owns, for the given limits."""
-        return Parts(
+        return Budgets(
             {
                 limit.name: even_share(
                     max(0, mosts[limit.name] - limit.in_grains()[1]),
@@ -172,7 +176,8 @@
         """Return whether these limits may be adopted: the same names, none of them below the part that the
         seats own."""
         return mosts.keys() == self.mosts().keys() and all(
-            mosts[limit.name] >= limit.in_grains()[1] and not (limit.concurrent and mosts[limit.name] % GRAIN)
+            mosts[limit.name] >= limit.in_grains()[1]
+            and not (limit.concurrent and mosts[limit.name] % GRAINS_PER_UNIT)
             for limit in self.limit
         )
 
@@ -181,36 +186,36 @@
     """Return one of `holders` equal parts. In whole units, the first parts get the remainder."""
     if not whole_units:
         return amount // holders
-    units = amount // GRAIN
-    return (units // holders + (index < units % holders)) * GRAIN
+    units = amount // GRAINS_PER_UNIT
+    return (units // holders + (index < units % holders)) * GRAINS_PER_UNIT
 
 
 def address(text):
     """Parse a literal address and a port. Return them as a pair."""
     try:
         return decode_address(text)
-    except BadLine as err:
-        raise BadLine('planner: %s' % err) from None
+    except InvalidValueError as err:
+        raise InvalidValueError('planner: %s' % err) from None
 
 
 def check(fleet):
-    """Check what the types do not express. Return the fleet, or raise BadLine."""
+    """Check what the types do not express. Return the fleet, or raise InvalidValueError."""
     for what, names in (
         ('limit', [limit.name for limit in fleet.limit]),
         ('planner', [row.name for row in fleet.planner]),
     ):
         if len(set(names)) < len(names):
-            raise BadLine('%s: duplicate name' % what)
+            raise InvalidValueError('%s: duplicate name' % what)
     for limit in fleet.limit:
         most, floor = limit.in_grains()
         if not 0 <= floor <= most:
-            raise BadLine('limit %s: floor: greater than most' % limit.name)
+            raise InvalidValueError('limit %s: floor: greater than most' % limit.name)
         if limit.profile is not None and limit.what not in ('requests', 'open'):
-            raise BadLine('limit %s: class: not allowed with what = %s' % (limit.name, limit.what))
-        if limit.concurrent and most < GRAIN:
-            raise BadLine('limit %s: most: less than one' % limit.name)
+            raise InvalidValueError('limit %s: class: not allowed with what = %s' % (limit.name, limit.what))
+        if limit.concurrent and most < GRAINS_PER_UNIT:
+            raise InvalidValueError('limit %s: most: less than one' % limit.name)
         if limit.what == 'tries' and fleet.verdicts is None:
-            raise BadLine('limit %s: tries: requires the table verdicts' % limit.name)
+            raise InvalidValueError('limit %s: tries: requires the table verdicts' % limit.name)
     for row in fleet.planner:
         address(row.address)
     if fleet.loss is not None:
@@ -218,25 +223,27 @@
     if fleet.tasks is not None:
         names = [row.name for row in fleet.planner]
         if len(set(fleet.voters)) < len(fleet.voters) or set(fleet.voters) - set(names):
-            raise BadLine('tasks: voters: must be distinct names of planners')
+            raise InvalidValueError('tasks: voters: must be distinct names of planners')
     if fleet.span is not None and fleet.span < 2 * fleet.lease:
-        raise BadLine('verdicts: span_s: less than two leases')
+        raise InvalidValueError('verdicts: span_s: less than two leases')
     return fleet
 
 
 def read(path):
-    """Read the fleet file at this path. Raise BadLine, which names the key, if it is invalid."""
+    """Read the fleet file at this path. Raise InvalidValueError, which names the key, if it is invalid."""
     try:
         with open(path, 'rb') as file:
             return check(msgspec.toml.decode(file.read(), type=Fleet))
     except (msgspec.MsgspecError, OSError, ValueError, RecursionError) as err:
-        raise BadLine(' '.join(str(err).split())) from None
+        raise InvalidValueError(' '.join(str(err).split())) from None
 
 
 def enabled(fleet, installation):
-    """Return the fleet. Raise BadLine unless it is enabled and names this installation."""
+    """Return the fleet. Raise InvalidValueError unless it is enabled and names this installation."""
     if not fleet.enabled:
-        raise BadLine('enabled: is false')
+        raise InvalidValueError('enabled: is false')
     if installation != fleet.installation:
-        raise BadLine('installation: %s here, %s in the page' % (fleet.installation, installation or 'none'))
+        raise InvalidValueError(
+            'installation: %s here, %s in the page' % (fleet.installation, installation or 'none')
+        )
     return fleet
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -24,7 +24,7 @@
 )
 
 
-class Speaker(Protocol):
+class FrameProtocol(Protocol):
     """One end of a link. heard: maps each kind of frame accepted here to the name of the method that handles
     its fields."""
 
@@ -53,7 +53,7 @@
 
     def protocol_error(self, event, err):
         """Log and count a malformed frame, and close this link."""
-        self.count_bad()
+        self.count_bad_frame()
         warn(event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err)
         self.end()
 
@@ -72,7 +72,7 @@
                 self.transport.abortConnection()
 
 
-class ToPlanner(Speaker, Outgoing):
+class ToPlanner(FrameProtocol, Outgoing):
     """A forwarder's end of a link."""
 
     heard = {PLAN: 'plan_received'}
@@ -84,7 +84,7 @@
     def plan_received(self, plan):
         self.share.on_plan(self.name, plan)
 
-    def count_bad(self):
+    def count_bad_frame(self):
         self.share.node.count('bad_frames')
 
     def send_digest(self, fields):
@@ -98,7 +98,7 @@
         self.share.link_lost(self)
 
 
-class ToForwarder(Speaker):
+class ToForwarder(FrameProtocol):
     """A planner's end of a link."""
 
     heard = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
@@ -130,7 +130,7 @@
         """Answer an operator's status request."""
         self.say(STATUS, self.factory.status())
 
-    def count_bad(self):
+    def count_bad_frame(self):
         self.factory.counts['bad_frames'] += 1
 
     def connectionLost(self, reason=None):
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -12,8 +12,8 @@
 """
 
 from .frames import MAX_ROWS
-from .ledger import Bank, longer, shorter
-from .verdicts import Sight
+from .ledger import PlannerLedger, longer, shorter
+from .verdicts import VerdictTracker
 
 QUORUM_WINDOW_LEASES = 2  # leases for which another planner counts as reachable after its last answer
 
@@ -25,13 +25,15 @@
         self.fleet, self.index = fleet, index
         self.edition, self.mosts = fleet.edition, fleet.mosts()
         self.window = QUORUM_WINDOW_LEASES * fleet.lease
-        self.bank = Bank(life, fleet.lease, fleet.gift, now, None, fleet.tails(), fleet.units())
-        self.sight = None if fleet.span is None else Sight(fleet.span)
+        self.planner_ledger = PlannerLedger(
+            life, fleet.lease, fleet.deposit_term, now, None, fleet.lease_tails(), fleet.units()
+        )
+        self.verdict_tracker = None if fleet.span is None else VerdictTracker(fleet.span)
         self.last_heard = {}  # by planner name: a lower bound on when it last answered a forwarder
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def reread(self, fleet):
+    def reload(self, fleet):
         """Adopt the limits of a changed fleet file. Return why it is rejected, or None. Changes to seats,
         planners and times take effect only after a restart."""
         fixed = [(limit.name, limit.what, limit.profile, limit.in_grains()[1]) for limit in fleet.limit]
@@ -48,23 +50,23 @@
         """Process a digest. Return the plan that answers it, or None."""
         self.hear(digest['edition'], digest['mosts'])
         self.record_heard_planners(now, digest)
-        self.bank.endow(
+        self.planner_ledger.set_own_budget(
             self.fleet.planner_budget(
                 self.index, self.mosts if self.has_quorum(now) else self.seat_owned_limits()
             )
         )
-        plan = self.bank.told(now, digest)
+        plan = self.planner_ledger.told(now, digest)
         if plan is None:
             return None
         return dict(plan, edition=self.edition, mosts=self.mosts, verdicts=self.verdicts_for(now, digest))
 
     def verdicts_for(self, now, digest):
         """Record the evidence in a digest. Return the verdicts to send to its forwarder."""
-        if self.sight is None or digest['site'] is None:
+        if self.verdict_tracker is None or digest['site'] is None:
             return []
         left = self.left(now, digest)
         if left is not None and digest['seat'] is not None:
-            self.sight.told(
+            self.verdict_tracker.told(
                 left,
                 digest['seat'],
                 digest['site'],
@@ -72,19 +74,22 @@
                 digest['seq'],
                 {(name, started): row for name, started, *row in digest['seen']},
             )
-        return self.sight.rows_for(now, digest['site'], {tuple(server) for server in digest['doubts']})
+        return self.verdict_tracker.verdict_rows_for(
+            now, digest['site'], {tuple(server) for server in digest['doubts']}
+        )
 
     def status(self, now):
         """Return the current verdicts and the seats that reported evidence lately, for operators."""
-        if self.sight is None:
+        if self.verdict_tracker is None:
             return {'verdicts': [], 'witnesses': []}
         return {
             'verdicts': [
-                [*verdict.plain(now)[:-1], verdict.site] for verdict in self.sight.now_held(now).values()
+                [*verdict.plain(now)[:-1], verdict.site]
+                for verdict in self.verdict_tracker.current_verdicts(now).values()
             ][:MAX_ROWS],
             'witnesses': [
                 [seat, witness.site, witness.life, len(witness.rows)]
-                for seat, witness in self.sight.witnesses.items()
+                for seat, witness in self.verdict_tracker.witnesses.items()
                 if witness.life
             ][:MAX_ROWS],
         }
@@ -93,7 +98,7 @@
         """Return the earliest time, by this clock, at which a digest was sent, or None if unknown. That is
         when the plan that it echoes was sent, plus how long the forwarder had held that plan. Keeps digests
         that were delayed on the way from counting as fresh."""
-        if digest['life'] != self.bank.life or digest['stamp'] is None or digest['stamp'] > now:
+        if digest['life'] != self.planner_ledger.life or digest['stamp'] is None or digest['stamp'] > now:
             return None
         return min(now, digest['stamp'] + shorter(digest['held']))
 
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -16,9 +16,9 @@
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from . import book
-from .book import BookUnreadableError
+from .book import VoterFileUnreadableError
 from .lease import Lease
 from .leases import Voter
 from .limits import FORWARDERS_PER_SEAT, address, read
@@ -31,7 +31,7 @@
 SEEKERS = 1_024  # links of processes that request task leases, in addition to the forwarders' links
 
 
-class Office:
+class PlannerProcess:
     """The process of a planner, without starting and stopping its reactor."""
 
     def __init__(self, fleet, index, reactor, system=System, life=None):
@@ -110,13 +110,17 @@
         if not self.reporter_lease.held() or self.reporter_lease.number != number:
             return
         now = self.clock()
-        verdicts = self.planner.sight.now_held(now).values() if self.planner.sight else ()
+        verdicts = (
+            self.planner.verdict_tracker.current_verdicts(now).values()
+            if self.planner.verdict_tracker
+            else ()
+        )
         kinds = Counter(verdict.kind for verdict in verdicts)
         say(
             'fleet',
             number=number,
             edition=self.planner.edition,
-            forwarders=len(self.planner.bank.holders),
+            forwarders=len(self.planner.planner_ledger.holders),
             backed=self.planner.has_quorum(now),
             **{'servers_' + kind: count for kind, count in sorted(kinds.items())},
         )
@@ -127,19 +131,21 @@
     def start_voter(self, _=0):
         """Start voting from the stored state of an earlier process. Do not vote, and log a warning, if that
         is missing or if more than one voter has changed since. Retry after a transient disk error."""
-        self.book = book.Book(self.fleet.tasks.folder, self.name)
+        self.book = book.VoterFile(self.fleet.tasks.folder, self.name)
         try:
             self.book.read()
             if not book.step(self.book.voters, self.fleet.voters):
-                raise BadLine('voters: more than one has changed; they were %s' % ', '.join(self.book.voters))
+                raise InvalidValueError(
+                    'voters: more than one has changed; they were %s' % ', '.join(self.book.voters)
+                )
             previous_lease, lease = self.book.lease, self.fleet.task_lease
             if (self.book.voters, previous_lease) != (self.fleet.voters, lease):
                 self.book.write(self.book.bound, self.fleet.voters, max(lease, previous_lease))
-        except (BookUnreadableError, OSError) as err:
+        except (VoterFileUnreadableError, OSError) as err:
             warn('does not vote yet', reason=err)
             self.deadlines.at(self.clock() + STORE_RETRY, self.start_voter, 0)
             return
-        except BadLine as err:
+        except InvalidValueError as err:
             warn('does not vote', reason=err)
             return
         self.voter = Voter(
@@ -159,12 +165,12 @@
         """Return (the voter's answer or None, lives of those to notify that the task is free)."""
         return (None, []) if self.voter is None else self.voter.told(self.clock(), message)
 
-    def reread(self, path):
+    def reload(self, path):
         """Reload the fleet file on SIGHUP, for a new edition of the limits. A file that is unreadable or
         rejected changes nothing."""
         try:
-            why = self.planner.reread(read(path))
-        except BadLine as err:
+            why = self.planner.reload(read(path))
+        except InvalidValueError as err:
             why = err
         if why:
             warn('fleet file not taken', reason=why)
@@ -177,7 +183,7 @@
         say(
             'figures',
             links=len(self.factory.links),
-            forwarders=len(self.planner.bank.holders),
+            forwarders=len(self.planner.planner_ledger.holders),
             edition=self.planner.edition,
             backed=self.planner.has_quorum(now),
             memory_kb=self.system.memory_kb(),
@@ -194,10 +200,10 @@
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
-    planner_process = Office(fleet, index, reactor)
+    planner_process = PlannerProcess(fleet, index, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(planner_process.reread, path))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(planner_process.reload, path))
     try:
         planner_process.begin(*address(fleet.planner[index].address))
     except CannotListenError as err:
--- a/lilacdyke/plan/shares.py
+++ b/lilacdyke/plan/shares.py
@@ -1,20 +1,20 @@
 """Enforcement of the fleet's limits at one forwarder.
 
 Owns the counts of what is open and the token buckets of rates. It only refuses: it must never let anything
-pass that the router would not. The router asks it (`admits`, `allows`); the node reports results (`done`,
+pass that the router would not. The router asks it (`admit`, `allows`); the node reports results (`done`,
 `sent`, `linked`).
 """
 
 from ..values import SECOND
 from .ledger import DRIFT
-from .limits import GRAIN, PER_SERVER
+from .limits import GRAINS_PER_UNIT, PER_SERVER
 
 BURSTS_PER_SECOND = 10  # a bucket holds 1/BURSTS_PER_SECOND seconds of its rate
 TOKENS_PER_GRAIN = SECOND * (DRIFT + 1)  # resolution of buckets: frequent refills lose nothing by rounding
 MAX_KEYS = 4_096  # counters at most; those of servers without open connections are evicted first
 
 
-class Spent:
+class Usage:
     """Usage of one limit, or of one limit at one server."""
 
     __slots__ = (
@@ -41,7 +41,8 @@
         elapsed = max(0, now - self.dated)
         self.dated = now
         self.tokens = min(
-            max(GRAIN, budget // BURSTS_PER_SECOND) * TOKENS_PER_GRAIN, self.tokens + budget * elapsed * DRIFT
+            max(GRAINS_PER_UNIT, budget // BURSTS_PER_SECOND) * TOKENS_PER_GRAIN,
+            self.tokens + budget * elapsed * DRIFT,
         )
 
     def demand(self, now, concurrent):
@@ -50,7 +51,7 @@
         elapsed = max(1, now - self.window_start)
         current_demand = (
             self.peak + self.refused if concurrent else (self.admitted + self.refused) * SECOND / elapsed
-        ) * GRAIN
+        ) * GRAINS_PER_UNIT
         demand, self.previous_demand = max(int(current_demand), self.previous_demand), int(current_demand)
         self.admitted = self.refused = 0
         self.peak, self.window_start = self.open, now
@@ -60,8 +61,8 @@
 class Shares:
     """The limits that apply at one forwarder, and their usage."""
 
-    def __init__(self, now, fleet, purse, profiles):
-        self.purse, self.spent = purse, {}
+    def __init__(self, now, fleet, forwarder_ledger, profiles):
+        self.forwarder_ledger, self.spent = forwarder_ledger, {}
         self.limits = {
             what: [limit for limit in fleet.limit if limit.what == what]
             for what in ('requests', 'fetches', 'cold', 'tries', 'open', 'links')
@@ -88,7 +89,7 @@
         if entry is None:
             if len(self.spent) >= MAX_KEYS:
                 self.evict()
-            entry = self.spent[key] = Spent(key, now)
+            entry = self.spent[key] = Usage(key, now)
         return entry
 
     def evict(self):
@@ -100,18 +101,18 @@
 
     def has_room(self, now, limit, spent):
         """Return whether one more fits into the budget, and count a refusal."""
-        budget = self.purse.may(now, spent.key)
+        budget = self.forwarder_ledger.may(now, spent.key)
         if limit.concurrent:
-            allowed = (spent.open + 1) * GRAIN <= budget
+            allowed = (spent.open + 1) * GRAINS_PER_UNIT <= budget
         else:
             spent.fill(now, budget)
-            allowed = spent.tokens >= GRAIN * TOKENS_PER_GRAIN
+            allowed = spent.tokens >= GRAINS_PER_UNIT * TOKENS_PER_GRAIN
         spent.refused += not allowed
         return allowed
 
     # --- called by the router ----------------------------------------------------------------------------
 
-    def admits(self, now, profile):
+    def admit(self, now, profile):
         """Admit a request of this class and count it. Return None, or the status with which it is refused."""
         rows = [(limit, self.usage(now, limit.name)) for limit in self.limits_of[profile]]
         for limit, spent in rows:
@@ -137,7 +138,7 @@
             spent.peak = max(spent.peak, spent.open)
         else:
             spent.admitted += 1
-            spent.tokens -= GRAIN * TOKENS_PER_GRAIN
+            spent.tokens -= GRAINS_PER_UNIT * TOKENS_PER_GRAIN
 
     def keys(self, now, server, cold):
         """Return the limits that apply to a hop to a server, with their keys."""
@@ -179,7 +180,7 @@
         """Return how many connections to a server exceed the current budget."""
         return max(
             (
-                -(self.purse.may(now, spent.key) // GRAIN) + spent.open
+                -(self.forwarder_ledger.may(now, spent.key) // GRAINS_PER_UNIT) + spent.open
                 for limit in self.limits['links']
                 if (spent := self.spent.get('%s:%s' % (limit.name, server.name)))
             ),
@@ -191,7 +192,7 @@
     def used(self):
         """Return what is open, in grains by key."""
         return {
-            key: spent.open * GRAIN
+            key: spent.open * GRAINS_PER_UNIT
             for key, spent in self.spent.items()
             if spent.open and key.partition(':')[0] in self.concurrent
         }
@@ -208,9 +209,9 @@
         keys.update(dict.fromkeys(self.spent))
         for key in list(keys)[:MAX_KEYS]:
             concurrent = key.partition(':')[0] in self.concurrent
-            own, demand = self.purse.own[key], self.usage(now, key).demand(now, concurrent)
+            own, demand = self.forwarder_ledger.own[key], self.usage(now, key).demand(now, concurrent)
             spare[key] = max(0, own - demand * 3 // 2)
-            shortfall = demand * 5 // 4 - (own - self.purse.given(now, key))
+            shortfall = demand * 5 // 4 - (own - self.forwarder_ledger.given(now, key))
             if shortfall > 0:
-                wants[key] = -(-shortfall // GRAIN) * GRAIN if concurrent else shortfall
+                wants[key] = -(-shortfall // GRAINS_PER_UNIT) * GRAINS_PER_UNIT if concurrent else shortfall
         return {key: amount for key, amount in spare.items() if amount}, wants
--- a/lilacdyke/plan/sites.py
+++ b/lilacdyke/plan/sites.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..values import BadLine
+from ..values import InvalidValueError
 
 Name = Annotated[str, Meta(min_length=1, max_length=60, pattern=r'^[A-Za-z0-9._-]+$')]
 Rate = Annotated[float, Meta(ge=0, le=1e7)]
@@ -105,20 +105,21 @@
 
 
 def check(loss):
-    """Return the input if it passes the checks that types cannot express; otherwise raise BadLine."""
+    """Return the input if it passes the checks that types cannot express; otherwise raise
+    InvalidValueError."""
     names = [site.name for site in loss.site]
     if len(set(names)) < len(names):
-        raise BadLine('loss: site: duplicate name')
+        raise InvalidValueError('loss: site: duplicate name')
     if len({row.name for row in loss.classes}) < len(loss.classes):
-        raise BadLine('loss: class: duplicate name')
+        raise InvalidValueError('loss: class: duplicate name')
     if loss.origin.site is not None and loss.origin.site not in names:
-        raise BadLine('loss: origin: no site %s' % loss.origin.site)
+        raise InvalidValueError('loss: origin: no site %s' % loss.origin.site)
     for row in loss.expect:
         unknown = [name for name in row.lost if name not in names] + [
             name for name in row.refused if name not in {class_row.name for class_row in loss.classes}
         ]
         if unknown:
-            raise BadLine('loss: expect: no %s' % unknown[0])
+            raise InvalidValueError('loss: expect: no %s' % unknown[0])
     return loss
 
 
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -10,9 +10,9 @@
 
 import click
 
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from . import limits
-from .belief import BACK, LEFT, SLOW, WELL
+from .belief import RECOVERED_SHARE, REMAINING_SHARE, SLOW, WELL
 from .frames import ASK, STATUS, BadFrameError, Frames, pack
 
 TIMEOUT = 2.0  # seconds to wait for the answer of a planner
@@ -25,9 +25,9 @@
         settings = limits.read(path)
         for name in tables:
             if getattr(settings, name) is None:
-                raise BadLine('%s: no such table' % name)
+                raise InvalidValueError('%s: no such table' % name)
         return settings
-    except BadLine as err:
+    except InvalidValueError as err:
         wrong(path, err)
 
 
@@ -53,7 +53,7 @@
     raise OSError('no answer in %g s' % timeout)
 
 
-def asked_of(row):
+def query_planner(row):
     """Query a planner of the fleet file. Return its answer, or print one line and return None."""
     try:
         return ask(limits.address(row.address))
@@ -65,8 +65,8 @@
 def effect_text(kind, factor, weight):
     """Describe the effect of a verdict at a forwarder that applies it."""
     if kind == WELL:
-        return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * BACK * weight)
-    share = 1 / factor if kind == SLOW else LEFT[kind]
+        return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * RECOVERED_SHARE * weight)
+    share = 1 / factor if kind == SLOW else REMAINING_SHARE[kind]
     return 'keeps %.0f%% of its turns%s' % (
         100 * share**weight,
         ', its wait is expected' if kind == SLOW else '',
@@ -126,7 +126,7 @@
 def query_once(rows, as_json, clear):
     """Query planners until one answers, print its status, and return the exit code."""
     for row in rows:
-        status = asked_of(row)
+        status = query_planner(row)
         if status is None:
             continue
         if as_json:
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -23,10 +23,10 @@
 from ..net.system import System
 from ..net.tables import Deadlines
 from ..values import SECOND, down
-from .book import Book
+from .book import VoterFile
 from .lease import Lease
 from .sites import Name
-from .staff import asked_of, fleet_file, wrong
+from .staff import fleet_file, query_planner, wrong
 
 LEASE_LOST_TERM, LEASE_LOST_KILL, NOT_ACQUIRED = 70, 71, 75
 TERM_PARTS, KILL_PARTS = 4, 12  # SIGTERM and SIGKILL are sent with 1 / PARTS of the lease left
@@ -163,7 +163,7 @@
     """List voters, lease holders, lease numbers and the time left."""
     fleet, seen, voting = read(path), {}, []
     for row in fleet.planner:
-        found = asked_of(row)
+        found = query_planner(row)
         if found is None or row.name not in fleet.voters:
             continue
         voting.append('%s %s' % (row.name, 'votes' if found['votes'] else 'does not vote'))
@@ -198,7 +198,7 @@
 def voter(path, name, above):
     """Create the voter's number file, once, on the planner's host."""
     fleet = read(path)
-    book = Book(fleet.tasks.folder, name)
+    book = VoterFile(fleet.tasks.folder, name)
     if name not in fleet.voters or os.path.exists(book.path):
         click.echo(
             'lilacdyke: %s'
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -10,12 +10,12 @@
 so a verdict ends no later than `span` after its newest evidence was seen.
 """
 
-from .belief import BIN_UNIT, BINS, FAILING, FIELDS, FULL, SERVERS, SILENT, SLOW, VERDICTS, WELL, Row
+from .belief import BIN_UNIT, BINS, FAILING, FIELDS, FULL, MAX_VERDICTS, SERVERS, SILENT, SLOW, WELL, Row
 from .ledger import longer
 
 MIN_HOPS = 4  # least number of hops for a verdict
 MAX_HOPS = 8  # hops of one forwarder that count, so that a busy or lying one cannot outweigh others
-BOTH = 2  # least number of forwarders, and of sites if there are several, for a verdict
+MIN_WITNESSES = 2  # least number of forwarders, and of sites if there are several, for a verdict
 BAD_SHARE = 0.5  # share of hops that are silent, failed or refused from which a server is bad
 SLOW_FACTOR = 2.0  # a server is slow from this multiple of the median server's answer time
 FLAP_CHANGES = 3  # changes within four spans from which a verdict has half the weight
@@ -69,7 +69,7 @@
         ]
 
 
-class Sight:
+class VerdictTracker:
     """The newest evidence of each seat and the verdicts that follow. span: how long evidence counts."""
 
     __slots__ = ('span', 'witnesses', 'changes', 'last_kind', 'evaluated_at', 'current')
@@ -126,7 +126,7 @@
 
     # --- verdicts ---------------------------------------------------------------------------------------
 
-    def now_held(self, now):
+    def current_verdicts(self, now):
         """Return all verdicts by (server, the only site concerned or None); evaluated anew a few times per
         span."""
         if (
@@ -136,18 +136,18 @@
             self.evaluated_at, self.current = now, self.verdicts(now)
         return self.current
 
-    def rows_for(self, now, site, doubts):
+    def verdict_rows_for(self, now, site, doubts):
         """Return the verdicts for a forwarder of a site: all negative ones, and that a server is well where
         the forwarder doubts it."""
         rows = [
             verdict
-            for verdict in self.now_held(now).values()
+            for verdict in self.current_verdicts(now).values()
             if verdict.site in (None, site) and (verdict.kind != WELL or verdict.server in doubts)
         ]
         rows.sort(
             key=lambda verdict: (verdict.kind == WELL, -verdict.sites, -verdict.witnesses, verdict.server)
         )
-        return [verdict.plain(now) for verdict in rows[:VERDICTS]]
+        return [verdict.plain(now) for verdict in rows[:MAX_VERDICTS]]
 
     def fresh(self, now):
         """Return the rows that are recent enough by server as [(seat, site, row)], and drop all others."""
@@ -190,7 +190,7 @@
             if row.bad_run and row.last_bad is not None and (newest is None or row.last_bad > newest)
         ]
         if (
-            len({seat for seat, _, _ in failing}) < BOTH
+            len({seat for seat, _, _ in failing}) < MIN_WITNESSES
             or sum(row.bad_run for _, _, row in failing) < MIN_HOPS
         ):
             return rows
@@ -247,30 +247,36 @@
     def judge_server(server, rows, total, baseline, all_sites):
         """Return the verdicts on one server: on itself if enough agree, else on single sites' paths to it."""
         sites = {site for _, site, _ in rows}
-        all_rows, rows = rows, Sight.recent_failures(rows)
+        all_rows, rows = rows, VerdictTracker.recent_failures(rows)
         total = total if rows is all_rows else merged(rows)
         kind, factor = baseline.classify(total)
         agreeing = [row for row in rows if baseline.agrees(row[2], kind, total)]
         seats, agreeing_sites = {seat for seat, _, _ in agreeing}, {site for _, site, _ in agreeing}
         agreed = 2 * len(agreeing) >= len(rows)
         if kind == WELL:
-            found = [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= BOTH and agreed else []
+            found = (
+                [Verdict(server, WELL, 1.0, agreeing, None)] if len(seats) >= MIN_WITNESSES and agreed else []
+            )
         elif (
             kind is not None
             and agreed
-            and len(seats) >= BOTH
-            and len(agreeing_sites) >= min(BOTH, all_sites)
+            and len(seats) >= MIN_WITNESSES
+            and len(agreeing_sites) >= min(MIN_WITNESSES, all_sites)
             and not {site for _, site, _ in rows} - agreeing_sites
         ):
             return [Verdict(server, kind, factor, agreeing, None)]
         else:
             found = []
         for site in sites:
-            site_rows = Sight.recent_failures([row for row in all_rows if row[1] == site])
+            site_rows = VerdictTracker.recent_failures([row for row in all_rows if row[1] == site])
             total = merged(site_rows)
             kind, factor = baseline.classify(total)
             agreeing = [row for row in site_rows if baseline.agrees(row[2], kind, total)]
-            if kind not in (None, WELL) and len(agreeing) >= BOTH and 2 * len(agreeing) >= len(site_rows):
+            if (
+                kind not in (None, WELL)
+                and len(agreeing) >= MIN_WITNESSES
+                and 2 * len(agreeing) >= len(site_rows)
+            ):
                 found.append(Verdict(server, kind, factor, agreeing, site))
         return found
 
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -4,10 +4,10 @@
 Must never send, choose a server, change anything of a server but its word, or delay a transaction.
 """
 
-from ..known import NO_WORD
+from ..known import NO_FLEET_BOUNDS
 from ..net.logs import say
 from ..values import SECOND
-from .belief import FAILING, SILENT, Belief, Seen
+from .belief import FAILING, SILENT, ActiveVerdicts, Seen
 
 MAX_UNANSWERED_REPORTS = 8  # reports to one planner that wait for a plan
 SLOW_GOAL_DIVISOR = 4  # answers are slow from 1/SLOW_GOAL_DIVISOR of the shortest goal on
@@ -33,7 +33,7 @@
         self.site = 'z%s' % node.place.terms.zone
         self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
         self.seen = Seen(self.clock(), span, self.slow_after)
-        self.belief = Belief(span, node.chance, self.slow_after)
+        self.belief = ActiveVerdicts(span, node.chance, self.slow_after)
         self.pending_reports = {name: {} for name in planners}  # by planner: reports by digest number
         self.acknowledged = {
             name: (None, {}) for name in planners
@@ -44,7 +44,7 @@
 
     # --- evidence ---------------------------------------------------------------------------------------
 
-    def ident(self, server):
+    def server_id(self, server):
         """Return (name, start time) as in discovery's list, or None if this node knows that the server is
         another process by now."""
         entry = self.node.entries.get(server.name)
@@ -62,21 +62,21 @@
     def ended(self, now, hop, how, lasted):
         """Record the end of a hop as evidence on its server."""
         server = hop.server
-        outcome, ident = (
+        outcome, server_id = (
             self.classify(hop, how, lasted, self.node.router.over(now, hop.tx)),
-            self.ident(server),
+            self.server_id(server),
         )
-        if outcome is None or ident is None or server.origin:
+        if outcome is None or server_id is None or server.origin:
             return
         quick = outcome == WELL and lasted < self.slow_after
-        self.saw(now, ident, outcome, lasted, quick)
-        if server.word is not NO_WORD and quick is (server.word[1] == 0):
+        self.observe(now, server_id, outcome, lasted, quick)
+        if server.word is not NO_FLEET_BOUNDS and quick is (server.word[1] == 0):
             self.look(now)
 
-    def saw(self, now, ident, outcome, lasted, quick):
+    def observe(self, now, server_id, outcome, lasted, quick):
         """Record one observation. quick: whether it was a fast success."""
-        self.seen.ended(now, ident, outcome, lasted)
-        self.belief.saw(now, ident, quick)
+        self.seen.ended(now, server_id, outcome, lasted)
+        self.belief.observe(now, server_id, quick)
 
     def report(self, now, planner, seq, life):
         """Return the evidence that has changed since the last report that this planner answered. life: the
@@ -96,9 +96,9 @@
         """Return servers to which this node sends less than their share, because of its own observations."""
         router = self.node.router
         return [
-            list(ident)
+            list(server_id)
             for server in router.caches
-            if router.turns(now, server) < 1 and (ident := self.ident(server))
+            if router.turns(now, server) < 1 and (server_id := self.server_id(server))
         ]
 
     # --- verdicts ---------------------------------------------------------------------------------------
@@ -114,10 +114,14 @@
 
     def look(self, now):
         """Set the words that follow from the current verdicts."""
-        idents = {server: ident for server in self.node.router.caches if (ident := self.ident(server))}
-        active_words = self.belief.words(now, {ident: server.zone for server, ident in idents.items()})
+        idents = {
+            server: server_id for server in self.node.router.caches if (server_id := self.server_id(server))
+        }
+        active_words = self.belief.words(
+            now, {server_id: server.zone for server, server_id in idents.items()}
+        )
         for server in self.node.router.known.values():
-            held, server.word = active_words.get(idents.get(server), (None, NO_WORD))
+            held, server.word = active_words.get(idents.get(server), (None, NO_FLEET_BOUNDS))
             self.update_word(
                 now, server.name, held.kind if held else None, bool(held and held.way), server.word[0]
             )
--- a/lilacdyke/scale/budgets.py
+++ b/lilacdyke/scale/budgets.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from ..plan.forwarder import SAYS
+from ..plan.forwarder import DIGESTS_PER_LEASE
 from ..plan.limits import FORWARDERS_PER_SEAT
 
 # The reference size.
@@ -49,7 +49,7 @@
 
 def digests_per_second(forwarders):
     """Return the digests per second that a planner receives."""
-    return forwarders * SAYS / LEASE_S
+    return forwarders * DIGESTS_PER_LEASE / LEASE_S
 
 
 def list_transfer_s(servers):
@@ -92,12 +92,12 @@
 
 def planner_links_core(lines):
     """Return the cost of a node's links to all planners, as a fraction of a core."""
-    return PLANNERS * SAYS / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
+    return PLANNERS * DIGESTS_PER_LEASE / LEASE_S * lines['forwarder-digest'].at(LIMITS) / 1e6
 
 
 def planner_links_bytes(lines):
     """Return the bytes per second on a node's links to all planners, in both directions."""
-    return PLANNERS * SAYS / LEASE_S * lines['link-bytes'].at(LIMITS)
+    return PLANNERS * DIGESTS_PER_LEASE / LEASE_S * lines['link-bytes'].at(LIMITS)
 
 
 def voter_core(lines):
@@ -226,7 +226,7 @@
     Claim(
         'node',
         'links to %d planners, processor time' % PLANNERS,
-        'planners x %d / lease x forwarder-digest(%d limits)' % (SAYS, LIMITS),
+        'planners x %d / lease x forwarder-digest(%d limits)' % (DIGESTS_PER_LEASE, LIMITS),
         planner_links_core,
         NODE_CONTROL_CORE,
         '% of a core',
@@ -239,7 +239,7 @@
     Claim(
         'node',
         'links to %d planners, bytes' % PLANNERS,
-        'planners x %d / lease x link-bytes(%d limits)' % (SAYS, LIMITS),
+        'planners x %d / lease x link-bytes(%d limits)' % (DIGESTS_PER_LEASE, LIMITS),
         planner_links_bytes,
         NODE_CONTROL_BYTES,
         'B/s',
@@ -252,7 +252,8 @@
     Claim(
         'planner',
         'digests of all nodes',
-        'nodes x %d / lease x planner-digest(%d forwarders) x %d limits over 2' % (SAYS, NODES, LIMITS),
+        'nodes x %d / lease x planner-digest(%d forwarders) x %d limits over 2'
+        % (DIGESTS_PER_LEASE, NODES, LIMITS),
         planner_core(NODES),
         FULL_CORE,
         '% of a core',
@@ -266,7 +267,7 @@
         'planner',
         'digests of one region',
         'nodes / regions x %d / lease x planner-digest(%d forwarders) x %d limits over 2'
-        % (SAYS, NODES // REGIONS, LIMITS),
+        % (DIGESTS_PER_LEASE, NODES // REGIONS, LIMITS),
         planner_core(NODES // REGIONS),
         FULL_CORE,
         '% of a core',
--- a/lilacdyke/scale/cli.py
+++ b/lilacdyke/scale/cli.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..values import BadLine
+from ..values import InvalidValueError
 from . import page as pages
 from . import rows as records
 from . import slopes as measures
@@ -82,13 +82,13 @@
     for path in paths:
         try:
             rows += records.read(path)
-        except BadLine as err:
+        except InvalidValueError as err:
             exit_with_error(path, err)
     try:
         with open(page_path, encoding='utf-8') as file:
             text = file.read()
         new_text = pages.fill(text, rows)
-    except (OSError, BadLine, ValueError) as err:
+    except (OSError, InvalidValueError, ValueError) as err:
         exit_with_error(page_path, err)
     if check:
         if new_text != text:
--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -8,11 +8,11 @@
 import time
 from random import Random
 
-from ..plan.forwarder import SAYS, Forwarder
+from ..plan.forwarder import DIGESTS_PER_LEASE, Forwarder
 from ..plan.frames import DIGEST, PLAN, Frames, pack
 from ..plan.leases import Voter
-from ..plan.ledger import Parts, Purse
-from ..plan.limits import GRAIN, Fleet, Limit, PlannerRow
+from ..plan.ledger import Budgets, ForwarderLedger
+from ..plan.limits import GRAINS_PER_UNIT, Fleet, Limit, PlannerRow
 from ..plan.planner import Planner
 from ..values import SECOND
 
@@ -20,7 +20,7 @@
 LEASE_S = 2.0
 LIMITS = 2  # unless limits are varied
 FORWARDERS = 50  # unless forwarders are varied
-WARM_UP_ROUNDS = 3  # until purses have lent and borrowed
+WARM_UP_ROUNDS = 3  # until forwarders have lent and leased
 RENEWALS_PER_VALUE = 200  # one value is their mean
 
 
@@ -53,27 +53,27 @@
         """Return a forwarder that wants more than its share, or less if its number is odd."""
         fleet = self.fleet
         seat_shares = fleet.seat_parts(number % fleet.seats)
-        purse = Purse(
-            self.now - 10 * fleet.gift,
+        forwarder_ledger = ForwarderLedger(
+            self.now - 10 * fleet.deposit_term,
             'f%d' % number,
             [row.name for row in fleet.planner],
             seat_shares,
             fleet.lease,
-            fleet.gift,
-            fleet.tails(),
+            fleet.deposit_term,
+            fleet.lease_tails(),
             fleet.units(),
-            Parts(fleet.mosts()),
+            Budgets(fleet.mosts()),
         )
         names = [limit.name for limit in fleet.limit]
-        spare = {name: GRAIN // 2 for name in names} if number % 2 else {}
-        wants = {} if number % 2 else {name: 8 * GRAIN for name in names}
-        return Forwarder(self.now, fleet, purse, lambda now: (spare, wants), dict, self.uniform)
+        spare = {name: GRAINS_PER_UNIT // 2 for name in names} if number % 2 else {}
+        wants = {} if number % 2 else {name: 8 * GRAINS_PER_UNIT for name in names}
+        return Forwarder(self.now, fleet, forwarder_ledger, lambda now: (spare, wants), dict, self.uniform)
 
     def run(self):
         """Run one round."""
         self.planner_s = self.forwarders_s = 0.0
         self.digest_bytes = self.plan_bytes = 0
-        self.now += self.fleet.lease // SAYS
+        self.now += self.fleet.lease // DIGESTS_PER_LEASE
         for forwarder in self.forwarders:
             started = time.process_time()
             digest = pack(DIGEST, forwarder.digest(self.now, 'p0'))
--- a/lilacdyke/scale/page.py
+++ b/lilacdyke/scale/page.py
@@ -5,7 +5,7 @@
 
 import re
 
-from ..values import BadLine
+from ..values import InvalidValueError
 from . import slopes
 from .budgets import CLAIMS, bounds
 
@@ -144,14 +144,14 @@
 
 
 def fill(text, rows):
-    """Return the page with new tables. Raise BadLine if a marker is missing or appears twice."""
+    """Return the page with new tables. Raise InvalidValueError if a marker is missing or appears twice."""
     for name, make in TABLES.items():
         marker = MARKER % name
         if text.count(marker) != 1:
-            raise BadLine('%s: found %d times, expected once' % (marker, text.count(marker)))
+            raise InvalidValueError('%s: found %d times, expected once' % (marker, text.count(marker)))
         pattern = re.compile(re.escape(marker) + r'.*?' + re.escape(END_MARKER), re.DOTALL)
         body = '%s\n\n%s\n\n%s' % (marker, make(rows), END_MARKER)
         text, count = pattern.subn(lambda _, body=body: body, text)
         if count != 1:
-            raise BadLine('%s: no %s after it' % (marker, END_MARKER))
+            raise InvalidValueError('%s: no %s after it' % (marker, END_MARKER))
     return text
--- a/lilacdyke/scale/rows.py
+++ b/lilacdyke/scale/rows.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..values import BadLine
+from ..values import InvalidValueError
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -51,7 +51,7 @@
 
 
 def read(path):
-    """Return the recorded rows. Raise BadLine naming a line that is invalid."""
+    """Return the recorded rows. Raise InvalidValueError naming a line that is invalid."""
     found = []
     try:
         with open(path, 'rb') as file:
@@ -59,10 +59,10 @@
                 try:
                     row = msgspec.json.decode(line, type=Row)
                 except msgspec.MsgspecError as err:
-                    raise BadLine('line %d: %s' % (number, err)) from None
+                    raise InvalidValueError('line %d: %s' % (number, err)) from None
                 if not row.values:
-                    raise BadLine('line %d: values: is empty' % number)
+                    raise InvalidValueError('line %d: values: is empty' % number)
                 found.append(row)
     except OSError as err:
-        raise BadLine(str(err)) from None
+        raise InvalidValueError(str(err)) from None
     return found
--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -36,7 +36,7 @@
 class SiteTerms:
     """Terms of a site for its nodes: profiles, tenants, permissions, limits and prices.
 
-    cross_price is charged per transaction with one hop across zones, waste_price per transaction whose work
+    cross_zone_fee is charged per transaction with one hop across zones, waste_fee per transaction whose work
     is wasted once.
     """
 
@@ -47,18 +47,18 @@
         'zone',
         'aside',
         'watched',
-        'may_copy',
+        'may_hedge',
         'may_cancel',
         'max_hops',
-        'max_return',
-        'ask_within',
+        'max_retry_after',
+        'list_request_within',
         'fall_multiple',
-        'fall_window',
+        'overload_window',
         'cold_from',
-        'warm_up',
+        'warm_up_time',
         'tick',
-        'cross_price',
-        'waste_price',
+        'cross_zone_fee',
+        'waste_fee',
     )
 
     def __init__(self, **given):
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -57,7 +57,11 @@
     'burst': (1.5, 3),
 }
 LEASE = 0.5
-STEPS = ('>plan.ledger:Bank.receive', '>plan.planner:Planner.told', '<plan.ledger:Bank.plan')
+STEPS = (
+    '>plan.ledger:PlannerLedger.receive',
+    '>plan.planner:Planner.told',
+    '<plan.ledger:PlannerLedger.plan',
+)
 
 
 def scenario(seed, kinds=None, most=5, length=6.0):
@@ -249,7 +253,7 @@
 
 def bends(seed, given):
     """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners
-    that die between two steps of their work: a gift taken and not lent yet, a plan made and not sent."""
+    that die between two steps of their work: a deposit taken and not lent yet, a plan made and not sent."""
     chance = Random('bends/%d' % seed)
     names = ['n%d' % number for number in range(given.nodes)] + [
         'p%d' % number for number in range(given.planning.planners)
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -31,12 +31,12 @@
 
     def links(self, event, what, chance):
         """The relays of a node to planners: of some of these."""
-        offices = self.stage.offices
-        some = chance.sample(offices, chance.randint(1, len(offices))) if offices else []
+        planner_slots = self.stage.planner_slots
+        some = chance.sample(planner_slots, chance.randint(1, len(planner_slots))) if planner_slots else []
         return [
-            self.stage.ground.relays[self.stage.places[number].name, office.name]
+            self.stage.ground.relays[self.stage.places[number].name, planner_slot.name]
             for number in what
-            for office in some
+            for planner_slot in some
         ]
 
     def for_a_while(self, relays, change, span):
@@ -119,9 +119,9 @@
 
         self.for_a_while(
             [
-                self.stage.ground.relays[place.name, office.name]
+                self.stage.ground.relays[place.name, planner_slot.name]
                 for place in places
-                for office in self.planners(what)
+                for planner_slot in self.planners(what)
             ],
             change,
             span,
@@ -134,9 +134,9 @@
 
         self.for_a_while(
             [
-                self.stage.ground.relays[place.name, office.name]
+                self.stage.ground.relays[place.name, planner_slot.name]
                 for place in self.stage.places
-                for office in self.planners(what)
+                for planner_slot in self.planners(what)
             ],
             change,
             span,
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -51,20 +51,20 @@
     """A planner process that may die by itself, at a step; it is started again a moment later, with nothing
     and no such step."""
 
-    def __init__(self, ground, office):
-        super().__init__(ground, office)
+    def __init__(self, ground, planner_slot):
+        super().__init__(ground, planner_slot)
         self.look()
 
     def look(self):
         """Whether it has died."""
         stage = self.ground.stage
-        if self.office.running not in (None, self) or stage.closing:
+        if self.planner_slot.running not in (None, self) or stage.closing:
             return
-        if self.popen.poll() is not None and self.office.running is self:
-            stage.see('planner', self.office.name, 'died')
-            self.ground.bends.get(self.office.name, {}).pop('dies', None)
-            self.office.running = None
-            self.ground.later(300_000, stage.start_planner, self.office)
+        if self.popen.poll() is not None and self.planner_slot.running is self:
+            stage.see('planner', self.planner_slot.name, 'died')
+            self.ground.bends.get(self.planner_slot.name, {}).pop('dies', None)
+            self.planner_slot.running = None
+            self.ground.later(300_000, stage.start_planner, self.planner_slot)
         else:
             self.ground.later(50_000, self.look)
 
@@ -80,8 +80,8 @@
     def faults(self, stage):
         return Troubles(stage)
 
-    def start_planner(self, office):
-        return Planning(self, office)
+    def start_planner(self, planner_slot):
+        return Planning(self, planner_slot)
 
     def program(self, name):
         told = dict(self.bends.get(name, {}), history=os.path.join(self.folder, name + '.history'))
@@ -128,9 +128,12 @@
             made.open()
         return made
 
-    def planner_for(self, place, office):
-        here = ('127.%d.%d.1' % (64 + place.number, office.number + 1), self.port(office.address[1]))
-        self.relay(place.name, office.name, here, (office.address[0], here[1]))
+    def planner_for(self, place, planner_slot):
+        here = (
+            '127.%d.%d.1' % (64 + place.number, planner_slot.number + 1),
+            self.port(planner_slot.address[1]),
+        )
+        self.relay(place.name, planner_slot.name, here, (planner_slot.address[0], here[1]))
         return '%s:%d' % here
 
     def histories(self):
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -24,7 +24,7 @@
 from ..lab.loopback import write_fleet
 from ..net.sockets import Reactor
 from ..net.system import System
-from ..plan.book import Book
+from ..plan.book import VoterFile
 from ..plan.leases import Seeker, Voter
 from .ground import STILL, Stillness
 from .relay import DOWN, UP, Relay
@@ -76,14 +76,14 @@
 
 
 def bookless(put):
-    usual = Book.read
+    usual = VoterFile.read
 
     def read(self):
         usual(self)
         self.bound = 0
         return self
 
-    put(Book, 'read', read)
+    put(VoterFile, 'read', read)
 
 
 def looks_once(put):
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -1,6 +1,6 @@
 """What the links cost: one real planner process and many forwarders' links to it, on loopback.
 
-Owns the stand-ins for nodes that those links belong to; the links, purses and decisions are the program's
+Owns the stand-ins for nodes that those links belong to; the links, ledgers and decisions are the program's
 own. Must never run for longer than it was told.
 
 python -m lilacdyke.trial.load --forwarders 300 --seconds 20
@@ -21,7 +21,7 @@
 from ..net.tables import Deadlines
 from ..plan import limits
 from ..plan.fleet import Share
-from ..plan.link import Speaker
+from ..plan.link import FrameProtocol
 from ..terms import IDEMPOTENT, Profile
 from ..values import SECOND
 
@@ -61,7 +61,7 @@
     def ask(self, _):
         """Clients ask, at some forwarders more than its part."""
         for _ in range(1 + self.number % 3):
-            if self.shares.admits(self.clock(), self.profiles[0]) is None:
+            if self.shares.admit(self.clock(), self.profiles[0]) is None:
                 self.count('admitted')
         self.deadlines.at(self.clock() + SECOND // 2, self.ask, 0)
 
@@ -103,14 +103,14 @@
             [sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p0'],
             stderr=subprocess.DEVNULL,
         )
-        heard, usual = Counter(), Speaker.dataReceived
+        heard, usual = Counter(), FrameProtocol.dataReceived
 
         def counting(self, data):
             heard['bytes'] += len(data)
             heard['frames'] += 1
             usual(self, data)
 
-        Speaker.dataReceived = counting
+        FrameProtocol.dataReceived = counting
         try:
             time.sleep(1.0)
             fleet, profile = limits.read(path), Profile('read', IDEMPOTENT, 'all', 0, 5000, 0, 10_000)
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -48,7 +48,7 @@
         real(given), rules=msgspec.structs.replace(given.rules, slack_ms=SLACK_MS)
     )
     stage, still = play(given, seed, draw.bends(seed, given), mutant)
-    rows = stage.witness.rows
+    rows = stage.recorder.rows
     found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(given, rows)]
     return Verdict(
         seed=seed,
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -291,7 +291,7 @@
         return watching
 
     stage = loopback.play(given, seed, build=build, around=around)
-    rows = stage.witness.rows
+    rows = stage.recorder.rows
     broken = judge(given, rows)
     kept, wrong = ended[0]
     told = [(found.rule, found.when / 1e6, found.text) for found in broken]
--- a/lilacdyke/values.py
+++ b/lilacdyke/values.py
@@ -11,31 +11,31 @@
 DIGITS = re.compile(r'\d+\Z')
 
 
-class BadLine(Exception):
+class InvalidValueError(Exception):
     """Raised for a malformed line or value; the message says what is wrong."""
 
 
 def whole(text):
     """Parse a non-negative integer."""
     if not DIGITS.match(text):
-        raise BadLine('not a whole number: %r' % text)
+        raise InvalidValueError('not a whole number: %r' % text)
     return int(text)
 
 
 def number(text):
     """Parse a finite number."""
     if not NUMBER.match(text):
-        raise BadLine('not a number: %r' % text)
+        raise InvalidValueError('not a number: %r' % text)
     value = float(text)
     if value - value != 0:
-        raise BadLine('out of range: %r' % text)
+        raise InvalidValueError('out of range: %r' % text)
     return value
 
 
 def boolean(text):
     """Parse a boolean, 1 or 0."""
     if text not in ('0', '1'):
-        raise BadLine('neither 1 nor 0: %r' % text)
+        raise InvalidValueError('neither 1 nor 0: %r' % text)
     return text == '1'
 
 
@@ -68,10 +68,10 @@
     for part in text.split(','):
         name, colon, value = part.partition(':')
         if not colon or not name:
-            raise BadLine('not a load report: %r' % text)
+            raise InvalidValueError('not a load report: %r' % text)
         loads[name] = number(value)
         if loads[name] < 0:
-            raise BadLine('a load below nothing: %r' % text)
+            raise InvalidValueError('a load below nothing: %r' % text)
     return loads
 
 
@@ -80,4 +80,4 @@
     try:
         return bytes.fromhex(text)
     except ValueError:
-        raise BadLine('not hex digits: %r' % text) from None
+        raise InvalidValueError('not hex digits: %r' % text) from None
--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -20,8 +20,8 @@
     frame_reader,
 )
 from lilacdyke.changes.replica import Replica
-from lilacdyke.changes.writer import Begun, Compacted, Put, RefusedError, Writer
-from lilacdyke.values import BadLine
+from lilacdyke.changes.writer import Compacted, EpochBegun, Put, RefusedError, Writer
+from lilacdyke.values import InvalidValueError
 
 KEYS = {'limit': 'number', 'banner': 'text', 'open': 'flag'}
 
@@ -168,7 +168,7 @@
     def test_epoch_not_above_stored_epochs_is_refused(self):
         self.writer()
         with self.assertRaisesRegex(RefusedError, 'epoch'):
-            self.writer([Begun(4)], 4)
+            self.writer([EpochBegun(4)], 4)
 
 
 class Stores(unittest.TestCase):
@@ -184,28 +184,31 @@
         opened.close()
 
     def test_stored_lines_are_read_and_truncated_last_line_is_dropped(self):
-        self.kept(Begun(1), Put(change(1)))
+        self.kept(EpochBegun(1), Put(change(1)))
         with open(self.path, 'ab') as file:
             file.write(b'{"type":"put","chan')
         opened = store.Store(self.folder.name)
         opened.close()
-        self.assertEqual(opened.lines, [Begun(1), Put(change(1))])
+        self.assertEqual(opened.lines, [EpochBegun(1), Put(change(1))])
         self.kept(Put(change(2)))
         self.assertEqual(len(store.read(self.folder.name)), 3)
 
     def test_malformed_line_is_reported_with_its_number(self):
-        self.kept(Begun(1))
+        self.kept(EpochBegun(1))
         with open(self.path, 'ab') as file:
             file.write(b'noise\n')
-        with self.assertRaisesRegex(BadLine, 'line 2'):
+        with self.assertRaisesRegex(InvalidValueError, 'line 2'):
             store.Store(self.folder.name)
 
     def test_missing_folder_is_reported_in_one_line(self):
-        with self.assertRaisesRegex(BadLine, 'nowhere'):
+        with self.assertRaisesRegex(InvalidValueError, 'nowhere'):
             store.Store('/nowhere/at/all')
 
     def test_long_file_is_compacted_to_the_same_state(self):
-        lines = [Begun(1), *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000))]
+        lines = [
+            EpochBegun(1),
+            *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000)),
+        ]
         compacted_lines = store.compacted(lines)
         self.assertEqual(compacted_lines, [Compacted(1, {'limit': '5999'}, 5_999)])
         replica = Replica('w', 'w')
@@ -286,7 +289,7 @@
             '[[': 'nvalid',
         }
         for text, message in cases.items():
-            with self.subTest(message=message), self.assertRaisesRegex(BadLine, message) as caught:
+            with self.subTest(message=message), self.assertRaisesRegex(InvalidValueError, message) as caught:
                 self.read(text)
             self.assertNotIn('\n', str(caught.exception))
 
@@ -298,5 +301,5 @@
             (self.TEXT, None),
             (self.TEXT.replace('true', 'false'), 'here'),
         ):
-            with self.assertRaises(BadLine):
+            with self.assertRaises(InvalidValueError):
                 settings.enabled(self.read(text), name)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -28,18 +28,18 @@
         zone=0,
         aside=False,
         watched=False,
-        may_copy=True,
+        may_hedge=True,
         may_cancel=True,
         max_hops=5,
-        max_return=0,
-        ask_within=100_000,
+        max_retry_after=0,
+        list_request_within=100_000,
         fall_multiple=3,
-        fall_window=10_000,
+        overload_window=10_000,
         cold_from=0.2,
-        warm_up=100_000,
+        warm_up_time=100_000,
         tick=10,
-        cross_price=0,
-        waste_price=0,
+        cross_zone_fee=0,
+        waste_fee=0,
     )
     given.update(other)
     return SiteTerms(**given)
@@ -49,18 +49,18 @@
     """Return a router with this many warm caches, and an origin if asked for."""
     made = Router(terms(aside=origin, **other), seed, 0)
     for number in range(caches):
-        enlist(made, 'c%d' % number)
+        add_server(made, 'c%d' % number)
     if origin:
-        enlist(made, 'o', origin=True)
-    made.relist()
+        add_server(made, 'o', origin=True)
+    made.rebuild_ready()
     return made
 
 
-def enlist(made, name, origin=False, started=None, state='ready', zone=0):
+def add_server(made, name, origin=False, started=None, state='ready', zone=0):
     """Add a server to the router's list."""
     server = Server(name, origin)
     made.list_entry(0, server, state, 1, started, zone, 0)
-    made.relist()
+    made.rebuild_ready()
     return server
 
 
@@ -153,7 +153,7 @@
 }
 
 
-def grown(**other):
+def changed_settings(**other):
     """Return the settings with some values, or entries of tables, replaced."""
     return {
         **SETTINGS,
@@ -268,7 +268,7 @@
         self.wall = lambda: 1_700_000_000.0 + reactor.seconds()
 
 
-def unbegun(**other):
+def unstarted_node(**other):
     """Return a node on a reactor of its own, which is also its clock; not started."""
     reactor = MemoryReactorClock()
     reactor.listenTCP = Port
@@ -277,7 +277,7 @@
 
 def starting(**other):
     """Return a started node that has not received a list yet."""
-    made = unbegun(**other)
+    made = unstarted_node(**other)
     made.start()
     return made
 
@@ -296,7 +296,7 @@
     return protocol, wire
 
 
-def dialled(made, which=-1, stuck=False):
+def connection_up(made, which=-1, stuck=False):
     """Establish a connection that the node opens, and return its wire."""
     wire = Wire()
     wire.stuck = stuck
@@ -321,7 +321,7 @@
 
 def sent(made, *given):
     """Return (client's wire, cache's wire) of a request that has been sent to a cache."""
-    return asked(made, *given), dialled(made)
+    return asked(made, *given), connection_up(made)
 
 
 def lost(wire):
--- a/tests/lab/test_callsweep.py
+++ b/tests/lab/test_callsweep.py
@@ -23,7 +23,7 @@
         )
 
     def test_a_node_that_ends_connections_for_want_of_memory_is_found(self):
-        with mock.patch.object(transports, 'MOVING', frozenset()):
+        with mock.patch.object(transports, 'RETRIED_IO_ERRNOS', frozenset()):
             found = [callsweep.play(Point('recv', number, errno.ENOMEM, ONCE)) for number in range(20, 30)]
         self.assertTrue(any(found))
 
--- a/tests/lab/test_filesweep.py
+++ b/tests/lab/test_filesweep.py
@@ -8,7 +8,7 @@
 
 from lilacdyke.changes import store
 from lilacdyke.lab import filesweep
-from lilacdyke.plan.book import VERSION, Book
+from lilacdyke.plan.book import VERSION, VoterFile
 
 EVERY = 13  # only each so-manieth prefix of a write
 
@@ -43,11 +43,11 @@
             self.assertTrue(filesweep.sweep('writer', EVERY)[1])
 
     def test_a_store_that_leaves_refused_lines_is_found(self):
-        with mock.patch.object(store.Store, 'cut_back', lambda self: None):
+        with mock.patch.object(store.Store, 'truncate_to_stored', lambda self: None):
             self.assertTrue(filesweep.sweep('writer', EVERY)[1])
 
     def test_a_book_that_is_written_over_the_old_one_is_found(self):
-        with mock.patch.object(Book, 'write', in_place):
+        with mock.patch.object(VoterFile, 'write', in_place):
             self.assertTrue(filesweep.sweep('voter', EVERY)[1])
 
     def test_a_point_alone_plays_the_run_again(self):
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -143,7 +143,7 @@
         near.send(b'ab')
         self.advance(5 * DELAY)
         before = far.events() & EPOLLIN
-        self.net.mend(1)
+        self.net.end_cut(1)
         self.assertEqual((before, far.recv(10)), (0, b'ab'))
 
     def test_process_exit_resets_connections_with_unread_data(self):
--- a/tests/lab/test_parts.py
+++ b/tests/lab/test_parts.py
@@ -134,7 +134,7 @@
         server.offer(self.job(1))
         self.world.run(10**6)
         before = list(self.finished)
-        server.thaw()
+        server.end_hang()
         self.assertEqual((before, self.finished[0][:2]), ([], (1, 'served')))
 
     def test_least_recently_used_value_is_evicted(self):
--- a/tests/plan/test_book.py
+++ b/tests/plan/test_book.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from lilacdyke.plan import limits, process
-from lilacdyke.plan.book import Book
+from lilacdyke.plan.book import VoterFile
 
 from ..helpers import Machine
 
@@ -29,10 +29,10 @@
         with tempfile.TemporaryDirectory() as folder:
             settings = {**FLEET, 'tasks': {'folder': folder, 'lease_s': 1.0, 'voters': ['p0']}}
             fleet = limits.check(limits.msgspec.convert(settings, limits.Fleet))
-            Book(folder, 'p0').write(5, ['p0'], fleet.task_lease)
+            VoterFile(folder, 'p0').write(5, ['p0'], fleet.task_lease)
             reactor = MemoryReactorClock()
             with mock.patch('builtins.open', side_effect=OSError(errno.EIO, 'injected')):
-                planner = process.Office(fleet, 0, reactor, Machine(reactor))
+                planner = process.PlannerProcess(fleet, 0, reactor, Machine(reactor))
                 reactor.advance(0.2)
             self.assertIsNone(planner.voter)
             reactor.advance(0.5)
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -11,12 +11,12 @@
 from lilacdyke.plan import limits
 from lilacdyke.plan.forwarder import Forwarder
 from lilacdyke.plan.frames import PLAN, pack
-from lilacdyke.plan.ledger import Parts, Purse, longer
-from lilacdyke.plan.limits import GRAIN
+from lilacdyke.plan.ledger import Budgets, ForwarderLedger, longer
+from lilacdyke.plan.limits import GRAINS_PER_UNIT
 from lilacdyke.plan.link import PlannerFactory, ToPlanner
 from lilacdyke.plan.planner import Planner
 from lilacdyke.plan.shares import TOKENS_PER_GRAIN, Shares
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 from ..helpers import terms
 
@@ -59,7 +59,7 @@
 def with_limits(fleet, **most):
     rows = [
         msgspec.structs.replace(
-            limit, most=most.get(limit.name, limit.most), floor=limit.in_grains()[1] / GRAIN
+            limit, most=most.get(limit.name, limit.most), floor=limit.in_grains()[1] / GRAINS_PER_UNIT
         )
         for limit in fleet.limit
     ]
@@ -80,14 +80,14 @@
             ('name = "open"', 'name = "reads"', 'limit'),
             ('enabled = true', 'enabled = ', ''),
         ):
-            with self.subTest(new=new), self.assertRaisesRegex(BadLine, key) as found:
+            with self.subTest(new=new), self.assertRaisesRegex(InvalidValueError, key) as found:
                 read(TEXT.replace(old, new))
             self.assertNotIn('\n', str(found.exception))
 
     def test_fleet_must_be_enabled_for_this_installation(self):
         limits.enabled(read(), 'here')
         for text, place in ((TEXT, None), (TEXT, 'there'), (TEXT.replace('true', 'false'), 'here')):
-            with self.subTest(place=place), self.assertRaises(BadLine):
+            with self.subTest(place=place), self.assertRaises(InvalidValueError):
                 limits.enabled(read(text), place)
 
     def test_parts_add_up_to_at_most_the_limit(self):
@@ -98,7 +98,7 @@
                 parts += [fleet.planner_budget(index, fleet.mosts())[limit.name] for index in range(3)]
                 most, _ = limit.in_grains()
                 self.assertTrue(most - seats - 3 <= sum(parts) <= most)
-                self.assertTrue(not limit.concurrent or all(part % GRAIN == 0 for part in parts))
+                self.assertTrue(not limit.concurrent or all(part % GRAINS_PER_UNIT == 0 for part in parts))
 
     def test_invalid_seat_owns_nothing(self):
         self.assertEqual([dict(read().seat_parts(seat)) for seat in (None, 3, -1)], [{}, {}, {}])
@@ -109,24 +109,24 @@
 
     def setUp(self):
         self.fleet, self.terms = read(), terms()
-        self.purse = Purse(
+        self.forwarder_ledger = ForwarderLedger(
             -1_000_000,
             'f',
             ['p0'],
             self.fleet.seat_parts(0),
             LEASE,
-            self.fleet.gift,
-            self.fleet.tails(),
+            self.fleet.deposit_term,
+            self.fleet.lease_tails(),
             self.fleet.units(),
         )
-        self.shares = Shares(0, self.fleet, self.purse, self.terms.profiles)
+        self.shares = Shares(0, self.fleet, self.forwarder_ledger, self.terms.profiles)
         self.read, _, self.once = self.terms.profiles
 
     def test_rate_limit_admits_its_part_and_a_burst(self):
-        own = self.purse.own['reads'] / GRAIN  # 16.7 per second
+        own = self.forwarder_ledger.own['reads'] / GRAINS_PER_UNIT  # 16.7 per second
         admitted = 0
         for now in range(0, 100_000, 10):
-            if self.shares.admits(now, self.read) is None:
+            if self.shares.admit(now, self.read) is None:
                 admitted += 1
                 self.shares.spent['open'].open = 0
         self.assertTrue(0.93 * 10 * own <= admitted <= 10 * own + 2, admitted)
@@ -148,11 +148,18 @@
                 limit=[limits.Limit(name='tries', what='tries', most=3.0, floor=3.0)],
             )
         )
-        purse = Purse(
-            -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units()
+        forwarder_ledger = ForwarderLedger(
+            -1_000_000,
+            'f',
+            ['p0'],
+            fleet.seat_parts(0),
+            LEASE,
+            fleet.deposit_term,
+            fleet.lease_tails(),
+            fleet.units(),
         )
         shares, server, other = (
-            Shares(0, fleet, purse, self.terms.profiles),
+            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
             Server('c1', False),
             Server('c2', False),
         )
@@ -166,30 +173,33 @@
         self.assertIn(sent, (4, 5))  # one per second, from an empty bucket
 
     def test_idle_time_does_not_accumulate_tokens(self):
-        self.shares.admits(0, self.read)
-        admitted = sum(self.shares.admits(50_000, self.read) is None for _ in range(20))
+        self.shares.admit(0, self.read)
+        admitted = sum(self.shares.admit(50_000, self.read) is None for _ in range(20))
         self.assertLessEqual(admitted, 2)
 
     def test_concurrency_limit_refuses_until_a_request_ends(self):
         statuses = [
-            self.shares.admits(0, self.once) for _ in range(3)
+            self.shares.admit(0, self.once) for _ in range(3)
         ]  # 5 of 10 are divided among 3 seats: two here
         self.shares.done(self.once)
-        self.assertEqual((statuses, self.shares.admits(0, self.once)), ([None, None, 429], None))
+        self.assertEqual((statuses, self.shares.admit(0, self.once)), ([None, None, 429], None))
 
     def test_refused_request_uses_none_of_its_limits(self):
         for _ in range(2):
-            self.shares.admits(0, self.once)
-        self.shares.admits(50_000, self.read)
+            self.shares.admit(0, self.once)
+        self.shares.admit(50_000, self.read)
         self.assertEqual(
-            (self.shares.spent['open'].open, self.shares.spent['reads'].tokens > GRAIN * TOKENS_PER_GRAIN),
+            (
+                self.shares.spent['open'].open,
+                self.shares.spent['reads'].tokens > GRAINS_PER_UNIT * TOKENS_PER_GRAIN,
+            ),
             (2, True),
         )
 
     def test_limit_of_another_class_does_not_apply(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[self.fleet.limit[0]])
-        shares = Shares(0, fleet, self.purse, self.terms.profiles)
-        self.assertEqual([shares.admits(0, self.once) for _ in range(50)], [None] * 50)
+        shares = Shares(0, fleet, self.forwarder_ledger, self.terms.profiles)
+        self.assertEqual([shares.admit(0, self.once) for _ in range(50)], [None] * 50)
 
     def test_usage_is_tracked_for_1024_servers(self):
         fleet = msgspec.structs.replace(
@@ -199,11 +209,18 @@
                 limits.Limit(name='links', what='links', most=2.0, floor=2.0),
             ],
         )
-        purse = Purse(
-            -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift, fleet.tails(), fleet.units()
+        forwarder_ledger = ForwarderLedger(
+            -1_000_000,
+            'f',
+            ['p0'],
+            fleet.seat_parts(0),
+            LEASE,
+            fleet.deposit_term,
+            fleet.lease_tails(),
+            fleet.units(),
         )
         shares, servers = (
-            Shares(0, fleet, purse, self.terms.profiles),
+            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
             [Server('s%d' % number, False) for number in range(1_024)],
         )
         for now in (0, 5_000):
@@ -217,9 +234,11 @@
 
     def test_cold_limit_applies_to_each_server_separately(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[limits.Limit(name='cold', what='cold', most=30.0)])
-        purse = Purse(-1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.gift)
+        forwarder_ledger = ForwarderLedger(
+            -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.deposit_term
+        )
         shares, one, other = (
-            Shares(0, fleet, purse, self.terms.profiles),
+            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
             Server('a', False),
             Server('b', False),
         )
@@ -238,10 +257,10 @@
     def test_unused_budget_is_spared_and_refused_demand_is_wanted(self):
         spare, wants = self.shares.needs(10_000, [])
         for _ in range(400):
-            self.shares.admits(15_000, self.read)
+            self.shares.admit(15_000, self.read)
         _, after = self.shares.needs(20_000, [])
-        self.assertEqual((spare['reads'], wants), (self.purse.own['reads'], {}))
-        self.assertGreater(after['reads'], 2 * self.purse.own['reads'])
+        self.assertEqual((spare['reads'], wants), (self.forwarder_ledger.own['reads'], {}))
+        self.assertGreater(after['reads'], 2 * self.forwarder_ledger.own['reads'])
 
 
 class ForwarderLinks(unittest.TestCase):
@@ -249,10 +268,12 @@
 
     def setUp(self):
         self.fleet = read()
-        self.purse = Purse(
-            -1_000_000, 'f', ['p0', 'p1', 'p2'], self.fleet.seat_parts(0), LEASE, self.fleet.gift
+        self.forwarder_ledger = ForwarderLedger(
+            -1_000_000, 'f', ['p0', 'p1', 'p2'], self.fleet.seat_parts(0), LEASE, self.fleet.deposit_term
+        )
+        self.forwarder = Forwarder(
+            0, self.fleet, self.forwarder_ledger, lambda now: ({}, {}), dict, Random(1).random
         )
-        self.forwarder = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(1).random)
 
     def until(self, end, begin=0):
         """Return all decisions up to then, polled every millisecond."""
@@ -273,7 +294,9 @@
     def test_redials_of_a_fleet_are_spread(self):
         seconds = []
         for seed in range(300):
-            forwarder = Forwarder(0, self.fleet, self.purse, lambda now: ({}, {}), dict, Random(seed).random)
+            forwarder = Forwarder(
+                0, self.fleet, self.forwarder_ledger, lambda now: ({}, {}), dict, Random(seed).random
+            )
             forwarder.planners['p0'].failures = 8
             forwarder.down(0, 'p0')
             seconds.append(forwarder.planners['p0'].next_action // 10_000)
@@ -299,7 +322,7 @@
         self.assertEqual(sent, [])
 
     def test_newer_edition_is_adopted_only_if_it_fits(self):
-        lower = {'reads': 60 * GRAIN, 'open': 10 * GRAIN}
+        lower = {'reads': 60 * GRAINS_PER_UNIT, 'open': 10 * GRAINS_PER_UNIT}
         heard = [
             self.forwarder.hear(2, lower),
             self.forwarder.hear(3, {'reads': 1}),
@@ -313,7 +336,7 @@
         self.forwarder.needs = lambda now: ({}, {'reads': 9_000})
         for planner, lent in (('p0', 5_000), ('p1', 1_000)):
             digest = self.forwarder.digest(0, planner)
-            self.purse.planned(
+            self.forwarder_ledger.planned(
                 0,
                 planner,
                 {
@@ -337,14 +360,14 @@
         self.fleet = read()
         self.planner = Planner(0, 'b', self.fleet, 0)
         self.now = 100_000
-        self.purse = Purse(
+        self.forwarder_ledger = ForwarderLedger(
             -1_000_000,
             'f',
             ['p0', 'p1', 'p2'],
-            Parts(),
+            Budgets(),
             LEASE,
-            self.fleet.gift,
-            self.fleet.tails(),
+            self.fleet.deposit_term,
+            self.fleet.lease_tails(),
             self.fleet.units(),
         )
 
@@ -352,28 +375,28 @@
         """Exchange a digest and its plan without delay. Return the plan."""
         now = self.now if now is None else now
         digest = dict(
-            self.purse.digest(now, 'p0', {}, dict(wants)),
+            self.forwarder_ledger.digest(now, 'p0', {}, dict(wants)),
             edition=1,
             mosts=self.fleet.mosts(),
             heard=dict(heard),
         )
         plan = self.planner.told(now, dict(digest, **more))
-        self.purse.planned(now, 'p0', plan)
+        self.forwarder_ledger.planned(now, 'p0', plan)
         return plan
 
     def test_planner_without_quorum_lends_nothing_of_its_own(self):
         self.exchange()
-        alone = self.exchange({'reads': 9 * GRAIN})['leases']
-        backed = self.exchange({'reads': 9 * GRAIN}, {'p1': 50})['leases']
-        self.assertEqual((alone, backed), ({}, {'reads': 9 * GRAIN}))
+        alone = self.exchange({'reads': 9 * GRAINS_PER_UNIT})['leases']
+        backed = self.exchange({'reads': 9 * GRAINS_PER_UNIT}, {'p1': 50})['leases']
+        self.assertEqual((alone, backed), ({}, {'reads': 9 * GRAINS_PER_UNIT}))
 
     def test_stale_or_unknown_answers_do_not_count_for_quorum(self):
         first = self.exchange(
-            {'reads': 9 * GRAIN}, {'p1': 50}
+            {'reads': 9 * GRAINS_PER_UNIT}, {'p1': 50}
         )  # the first digest echoes no plan of this life
         self.exchange()
-        old = self.exchange({'reads': 9 * GRAIN}, {'p1': 3 * LEASE})
-        stranger = self.exchange({'reads': 9 * GRAIN}, {'p9': 1})
+        old = self.exchange({'reads': 9 * GRAINS_PER_UNIT}, {'p1': 3 * LEASE})
+        stranger = self.exchange({'reads': 9 * GRAINS_PER_UNIT}, {'p9': 1})
         self.assertEqual((first['leases'], old['leases'], stranger['leases']), ({}, {}, {}))
 
     def test_quorum_expires_without_answers(self):
@@ -384,26 +407,26 @@
 
     def test_lowered_limit_spreads_through_forwarders_and_applies_at_once(self):
         self.exchange(), self.exchange({}, {'p1': 0})
-        before = self.exchange({'reads': 90 * GRAIN}, {'p1': 0})['leases']['reads']
-        lower = dict(self.fleet.mosts(), reads=62 * GRAIN)
-        plan = self.exchange({'reads': 90 * GRAIN}, {'p1': 0}, edition=2, mosts=lower)
+        before = self.exchange({'reads': 90 * GRAINS_PER_UNIT}, {'p1': 0})['leases']['reads']
+        lower = dict(self.fleet.mosts(), reads=62 * GRAINS_PER_UNIT)
+        plan = self.exchange({'reads': 90 * GRAINS_PER_UNIT}, {'p1': 0}, edition=2, mosts=lower)
         self.assertEqual(
             (before, plan['leases']['reads'], plan['edition'], plan['mosts']),
-            (50_000 // 3, 4 * GRAIN, 2, lower),
+            (50_000 // 3, 4 * GRAINS_PER_UNIT, 2, lower),
         )
 
     def test_lower_values_apply_for_two_contents_of_one_edition(self):
-        self.planner.hear(1, dict(self.fleet.mosts(), reads=70 * GRAIN))
-        self.planner.hear(1, dict(self.fleet.mosts(), open=8 * GRAIN))
-        self.assertEqual(self.planner.mosts, {'reads': 70 * GRAIN, 'open': 8 * GRAIN})
+        self.planner.hear(1, dict(self.fleet.mosts(), reads=70 * GRAINS_PER_UNIT))
+        self.planner.hear(1, dict(self.fleet.mosts(), open=8 * GRAINS_PER_UNIT))
+        self.assertEqual(self.planner.mosts, {'reads': 70 * GRAINS_PER_UNIT, 'open': 8 * GRAINS_PER_UNIT})
 
     def test_reload_requires_higher_edition_and_same_floors(self):
         good = with_limits(self.fleet, reads=80.0)
         floors = msgspec.structs.replace(
             good, limit=[msgspec.structs.replace(limit, floor=1.0) for limit in good.limit]
         )
-        reasons = [self.planner.reread(fleet) for fleet in (floors, good, good)]
-        self.assertEqual((reasons[1], self.planner.mosts['reads']), (None, 80 * GRAIN))
+        reasons = [self.planner.reload(fleet) for fleet in (floors, good, good)]
+        self.assertEqual((reasons[1], self.planner.mosts['reads']), (None, 80 * GRAINS_PER_UNIT))
         self.assertTrue('floor' in reasons[0] and 'edition' in reasons[2])
 
 
@@ -443,8 +466,10 @@
         self.assertEqual((link.say(PLAN, {}), wire.value()), (False, b''))
 
     def test_absurd_plan_is_capped_at_the_total(self):
-        purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE, whole=Parts(k=20))
-        digest = purse.digest(0, 'p0', {}, {'k': 3})
+        forwarder_ledger = ForwarderLedger(
+            -1_000_000, 'f', ['p0'], Budgets(k=5), LEASE, 3 * LEASE, whole=Budgets(k=20)
+        )
+        digest = forwarder_ledger.digest(0, 'p0', {}, {'k': 3})
         plan = {
             'forwarder': 'f',
             'seq': digest['seq'],
@@ -455,11 +480,16 @@
             'forwarders': 1,
         }
         self.assertEqual(
-            (purse.planned(0, 'p0', plan), purse.may(0, 'k'), purse.may(LEASE, 'k')), (True, 20, 5)
+            (
+                forwarder_ledger.planned(0, 'p0', plan),
+                forwarder_ledger.may(0, 'k'),
+                forwarder_ledger.may(LEASE, 'k'),
+            ),
+            (True, 20, 5),
         )
 
     def test_plan_with_unknown_forwarder_or_seq_is_ignored(self):
-        purse = Purse(-1_000_000, 'f', ['p0'], Parts(k=5), LEASE, 3 * LEASE)
+        forwarder_ledger = ForwarderLedger(-1_000_000, 'f', ['p0'], Budgets(k=5), LEASE, 3 * LEASE)
         plan = {
             'forwarder': 'g',
             'seq': 1,
@@ -470,7 +500,7 @@
             'forwarders': 1,
         }
         pack(PLAN, plan)  # the largest amount that a frame may carry
-        self.assertEqual((purse.planned(0, 'p0', plan), purse.may(0, 'k')), (False, 5))
+        self.assertEqual((forwarder_ledger.planned(0, 'p0', plan), forwarder_ledger.may(0, 'k')), (False, 5))
 
 
 class RecordingTransport(StringTransport):
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -15,7 +15,7 @@
     UnsupportedVersionError,
     pack,
 )
-from lilacdyke.plan.ledger import MAX_KEYS, Bank, Parts, Purse
+from lilacdyke.plan.ledger import MAX_KEYS, Budgets, ForwarderLedger, PlannerLedger
 
 PLAN = {
     'forwarder': 'f',
@@ -44,9 +44,12 @@
         self.assertEqual((found, len(reader.buffer)), ([('plan', PLAN)] * 3, 0))
 
     def test_ledger_messages_survive_round_trip(self):
-        purse, bank = Purse(0, 'f', ['p'], Parts(k=100), 20, 60), Bank('b', 20, 60)
+        forwarder_ledger, planner_ledger = (
+            ForwarderLedger(0, 'f', ['p'], Budgets(k=100), 20, 60),
+            PlannerLedger('b', 20, 60),
+        )
         digest = dict(
-            purse.digest(100, 'p', {'k': 3}, {'l': 4}),
+            forwarder_ledger.digest(100, 'p', {'k': 3}, {'l': 4}),
             edition=1,
             mosts={'k': 9},
             heard={'q': 3},
@@ -57,13 +60,13 @@
         )
         ((_, came),) = Frames().feed(pack('digest', digest))
         plan = dict(
-            bank.told(5, came),
+            planner_ledger.told(5, came),
             edition=1,
             mosts={},
             verdicts=[['c0', 7, 'slow', 2.0, 320, 3, 2, 40, 0.5, True]],
         )
         ((_, back),) = Frames().feed(pack('plan', plan))
-        self.assertEqual((came, back, purse.planned(101, 'p', back)), (digest, plan, True))
+        self.assertEqual((came, back, forwarder_ledger.planned(101, 'p', back)), (digest, plan, True))
 
     def test_unknown_fields_and_kinds_are_skipped(self):
         reader = Frames()
@@ -134,9 +137,9 @@
             ['%0200d' % server, 7, 3, 1, 1, 1, 0, [MAX_AMOUNT - 1] * BINS, 40, None, 9, 2]
             for server in range(SERVERS)
         ]
-        purse = Purse(0, 'f', ['p'], Parts(k=100), 20, 60)
+        forwarder_ledger = ForwarderLedger(0, 'f', ['p'], Budgets(k=100), 20, 60)
         digest = dict(
-            purse.digest(100, 'p', keys, {}),
+            forwarder_ledger.digest(100, 'p', keys, {}),
             edition=1,
             mosts={},
             heard={},
--- a/tests/plan/test_ledger.py
+++ b/tests/plan/test_ledger.py
@@ -3,36 +3,40 @@
 import unittest
 
 from lilacdyke.plan import check
-from lilacdyke.plan.ledger import Bank, Deposit, Parts, Purse, longer, shorter
+from lilacdyke.plan.ledger import Budgets, Deposit, ForwarderLedger, PlannerLedger, longer, shorter
 
 LEASE, GIFT, OWN = 20, 60, 100
 
 
-def purse(now=0, life='f', planners=('p',), own=OWN):
+def forwarder_ledger(now=0, life='f', planners=('p',), own=OWN):
     """Return a ledger that has run for longer than any deposit lasts."""
-    return Purse(now - GIFT - 1, life, list(planners), all_of(own), LEASE, GIFT)
+    return ForwarderLedger(now - GIFT - 1, life, list(planners), all_of(own), LEASE, GIFT)
 
 
 def all_of(own):
-    return Parts(dict.fromkeys(('k', 'other'), own))
+    return Budgets(dict.fromkeys(('k', 'other'), own))
 
 
-def meet(made, bank, now=0, planner='p', spare=(), wants=(), wait=0):
+def meet(made, planner_ledger, now=0, planner='p', spare=(), wants=(), wait=0):
     """Exchange a digest and its plan, which arrives `wait` later. Return the plan."""
-    plan = bank.told(now, made.digest(now, planner, dict(spare), dict(wants)))
+    plan = planner_ledger.told(now, made.digest(now, planner, dict(spare), dict(wants)))
     made.planned(now + wait, planner, plan)
     return plan
 
 
 class Ledger(unittest.TestCase):
     def setUp(self):
-        self.bank, self.rich, self.poor = Bank('b', LEASE, GIFT), purse(life='rich'), purse(life='poor')
+        self.planner_ledger, self.rich, self.poor = (
+            PlannerLedger('b', LEASE, GIFT),
+            forwarder_ledger(life='rich'),
+            forwarder_ledger(life='poor'),
+        )
 
     def lend(self, now=0, amount=30):
         """The rich one deposits, the poor one borrows."""
-        meet(self.rich, self.bank, now)
-        meet(self.rich, self.bank, now, spare={'k': amount})
-        meet(self.poor, self.bank, now, wants={'k': 80})
+        meet(self.rich, self.planner_ledger, now)
+        meet(self.rich, self.planner_ledger, now, spare={'k': amount})
+        meet(self.poor, self.planner_ledger, now, wants={'k': 80})
 
     def test_forwarder_without_planner_may_spend_its_own_part(self):
         self.assertEqual(self.rich.may(5, 'k'), OWN)
@@ -56,84 +60,87 @@
 
     def test_lease_runs_from_sending_of_its_digest(self):
         self.lend()
-        plan = self.bank.told(10, self.poor.digest(0, 'p', {}, {'k': 80}))
+        plan = self.planner_ledger.told(10, self.poor.digest(0, 'p', {}, {'k': 80}))
         self.assertEqual(
             (self.poor.planned(15, 'p', plan), self.poor.may(19, 'k'), self.poor.may(20, 'k')),
             (True, 130, 100),
         )
 
     def test_plan_that_arrives_after_a_lease_is_ignored(self):
-        plan = self.bank.told(0, self.poor.digest(0, 'p', {}, {'k': 80}))
+        plan = self.planner_ledger.told(0, self.poor.digest(0, 'p', {}, {'k': 80}))
         self.assertFalse(self.poor.planned(LEASE, 'p', plan))
 
     def test_older_plan_does_not_replace_newer_one(self):
         self.lend()
-        plans = [self.bank.told(1, self.poor.digest(1, 'p', {}, {'k': wanted})) for wanted in (80, 10)]
+        plans = [
+            self.planner_ledger.told(1, self.poor.digest(1, 'p', {}, {'k': wanted})) for wanted in (80, 10)
+        ]
         taken = [self.poor.planned(2, 'p', plan) for plan in reversed(plans)]
         self.assertEqual((taken, self.poor.may(3, 'k')), ([True, False], 110))
 
     def test_outdated_digest_is_not_answered(self):
         first, second = [self.poor.digest(0, 'p', {}, {}) for _ in range(2)]
-        self.assertIsNotNone(self.bank.told(0, second))
-        self.assertIsNone(self.bank.told(1, first))
+        self.assertIsNotNone(self.planner_ledger.told(0, second))
+        self.assertIsNone(self.planner_ledger.told(1, first))
 
     def test_leased_budget_is_not_leased_again_before_it_is_released(self):
         self.lend()
-        third = purse(life='third')
-        meet(third, self.bank, 1, wants={'k': 80})
+        third = forwarder_ledger(life='third')
+        meet(third, self.planner_ledger, 1, wants={'k': 80})
         self.assertEqual(third.may(2, 'k'), OWN)
 
     def test_budget_is_leased_again_after_borrower_confirms_smaller_lease(self):
         self.lend()
-        third = purse(life='third')
-        meet(self.poor, self.bank, 1, wants={})
-        meet(self.poor, self.bank, 2, wants={})
-        meet(third, self.bank, 3, wants={'k': 80})
+        third = forwarder_ledger(life='third')
+        meet(self.poor, self.planner_ledger, 1, wants={})
+        meet(self.poor, self.planner_ledger, 2, wants={})
+        meet(third, self.planner_ledger, 3, wants={'k': 80})
         self.assertEqual((self.poor.may(4, 'k'), third.may(4, 'k')), (100, 130))
 
     def test_borrowers_get_equal_shares(self):
         self.lend(amount=40)
-        third = purse(life='third')
+        third = forwarder_ledger(life='third')
         for now in (1, 2, 3, 4):
-            meet(third, self.bank, now, wants={'k': 80})
-            meet(self.poor, self.bank, now, wants={'k': 80})
+            meet(third, self.planner_ledger, now, wants={'k': 80})
+            meet(self.poor, self.planner_ledger, now, wants={'k': 80})
         self.assertEqual((third.may(5, 'k'), self.poor.may(5, 'k')), (120, 120))
 
     def test_deposit_that_expires_before_the_lease_is_not_leased(self):
         self.lend()
         end = shorter(GIFT) - longer(LEASE)
         plans = [
-            self.bank.told(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases'] for at in (end, end + 1)
+            self.planner_ledger.told(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases']
+            for at in (end, end + 1)
         ]
         self.assertEqual(plans, [{'k': 30}, {}])
 
     def test_restarted_planner_leases_only_new_deposits(self):
         self.lend()
-        fresh = Bank('b2', LEASE, GIFT)
+        fresh = PlannerLedger('b2', LEASE, GIFT)
         meet(self.poor, fresh, 1, wants={'k': 80})
         self.assertEqual(self.poor.may(2, 'k'), OWN)
 
     def test_deposits_with_earlier_life_of_planner_stay_in_force(self):
         self.lend(amount=30)
-        fresh = Bank('b2', LEASE, GIFT)
+        fresh = PlannerLedger('b2', LEASE, GIFT)
         meet(self.rich, fresh, 1)
         meet(self.rich, fresh, 2, spare={'k': 80})
         self.assertEqual(self.rich.may(3, 'k'), 50)  # at most half of its own is deposited with one planner
 
     def test_restarted_forwarder_assumes_largest_deposits(self):
-        fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
+        fresh = ForwarderLedger(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
         self.assertEqual((fresh.may(GIFT, 'k'), fresh.may(GIFT + 1, 'k')), (50, 100))
 
     def test_restarted_forwarder_deposits_nothing_until_old_deposits_expire(self):
-        fresh = Purse(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
-        meet(fresh, self.bank, 1)
+        fresh = ForwarderLedger(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
+        meet(fresh, self.planner_ledger, 1)
         self.assertEqual(
             [fresh.digest(at, 'p', {'k': 30}, {})['gifts'] for at in (GIFT, GIFT + 1)], [{}, {'k': 30}]
         )
 
     def test_plan_with_wrong_seq_or_forwarder_is_ignored(self):
         digest = self.poor.digest(0, 'p', {}, {})
-        plan = self.bank.told(0, digest)
+        plan = self.planner_ledger.told(0, digest)
         for wrong in ({'seq': 99}, {'forwarder': 'rich'}):
             with self.subTest(wrong=wrong):
                 self.assertFalse(self.poor.planned(0, 'p', dict(plan, **wrong)))
@@ -143,27 +150,29 @@
 
     def test_deposits_shorter_than_two_leases_are_rejected(self):
         with self.assertRaises(ValueError):
-            Purse(0, 'f', ['p'], all_of(OWN), 20, 30)
+            ForwarderLedger(0, 'f', ['p'], all_of(OWN), 20, 30)
 
     def test_silent_forwarder_without_leases_is_dropped(self):
         self.lend()
-        self.bank.expire(1 + 5 * GIFT)
-        self.assertEqual(self.bank.holders, {})
+        self.planner_ledger.expire(1 + 5 * GIFT)
+        self.assertEqual(self.planner_ledger.holders, {})
 
 
 class OpenRequests(unittest.TestCase):
     """Budgets that count open requests, and budgets that planners own."""
 
     def setUp(self):
-        self.bank = Bank('b', LEASE, GIFT, -GIFT, Parts(k=30), Parts(k=5), Parts(k=10))
-        self.poor = Purse(-GIFT - 13, 'poor', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5))
+        self.planner_ledger = PlannerLedger(
+            'b', LEASE, GIFT, -GIFT, Budgets(k=30), Budgets(k=5), Budgets(k=10)
+        )
+        self.poor = ForwarderLedger(-GIFT - 13, 'poor', ['p'], all_of(OWN), LEASE, GIFT, Budgets(k=5))
 
     def test_planner_leases_its_own_budget_in_whole_units(self):
-        meet(self.poor, self.bank, wants={'k': 25})
+        meet(self.poor, self.planner_ledger, wants={'k': 25})
         self.assertEqual(self.poor.may(1, 'k'), OWN + 20)  # whole units only
 
     def test_planner_leases_no_budget_of_its_own_after_start(self):
-        fresh = Bank('b2', LEASE, GIFT, 0, Parts(k=30), Parts(k=5))
+        fresh = PlannerLedger('b2', LEASE, GIFT, 0, Budgets(k=30), Budgets(k=5))
         end = longer(LEASE) + longer(5)
         meet(self.poor, fresh, end, wants={'k': 30})
         before = self.poor.may(end, 'k')
@@ -171,46 +180,46 @@
         self.assertEqual((before, self.poor.may(end + 1, 'k')), (OWN, OWN + 30))
 
     def test_lease_is_charged_for_its_tail(self):
-        meet(self.poor, self.bank, wants={'k': 30})
-        third, lent = Purse(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5)), []
+        meet(self.poor, self.planner_ledger, wants={'k': 30})
+        third, lent = ForwarderLedger(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Budgets(k=5)), []
         for now in (longer(LEASE) + longer(5), longer(LEASE) + longer(5) + 1):
-            meet(third, self.bank, now, wants={'k': 30})
+            meet(third, self.planner_ledger, now, wants={'k': 30})
             lent.append(third.may(now, 'k') - OWN)
         self.assertEqual(lent, [0, 30])
 
     def test_cached_snapshot_leases_nothing_twice(self):
-        self.bank.keep = 10
-        third = Purse(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Parts(k=5))
-        meet(self.poor, self.bank, 0, wants={'k': 30})
-        meet(third, self.bank, 1, wants={'k': 30})
-        self.bank.endow(Parts(k=50))
-        meet(third, self.bank, 2, wants={'k': 30})
+        self.planner_ledger.keep = 10
+        third = ForwarderLedger(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Budgets(k=5))
+        meet(self.poor, self.planner_ledger, 0, wants={'k': 30})
+        meet(third, self.planner_ledger, 1, wants={'k': 30})
+        self.planner_ledger.set_own_budget(Budgets(k=50))
+        meet(third, self.planner_ledger, 2, wants={'k': 30})
         self.assertEqual((self.poor.may(3, 'k'), third.may(3, 'k')), (OWN + 30, OWN + 20))
 
     def test_smaller_lease_is_confirmed_only_when_it_covers_open_requests(self):
-        meet(self.poor, self.bank, wants={'k': 30})
-        meet(self.poor, self.bank, 1, wants={})
+        meet(self.poor, self.planner_ledger, wants={'k': 30})
+        meet(self.poor, self.planner_ledger, 1, wants={})
         told = [self.poor.digest(2, 'p', {}, {}, {'k': used})['holds'] for used in (OWN + 1, OWN)]
         self.assertEqual(told, [1, 2])
 
     def test_open_requests_are_not_deposited(self):
-        meet(self.poor, self.bank)
+        meet(self.poor, self.planner_ledger)
         self.assertEqual(self.poor.digest(1, 'p', {'k': 50}, {}, {'k': OWN - 20})['gifts'], {'k': 20})
 
     def test_family_amount_applies_to_each_member(self):
-        parts = Parts(cold=7)
+        parts = Budgets(cold=7)
         self.assertEqual((parts['cold:a'], parts['cold'], parts['other'], parts['x:cold']), (7, 7, 0, 0))
 
 
-class DepositFromArrival(Bank):
+class DepositFromArrival(PlannerLedger):
     """Counts a deposit from its arrival."""
 
     def receive(self, now, holder, digest):
         for key, amount in digest['gifts'].items():
-            holder.deposits[key] = [*holder.deposits.get(key, ()), Deposit(now + self.gift, amount)]
+            holder.deposits[key] = [*holder.deposits.get(key, ()), Deposit(now + self.deposit_term, amount)]
 
 
-class ForgetsEarlierPlan(Bank):
+class ForgetsEarlierPlan(PlannerLedger):
     """Drops the leases of earlier plans with each new plan."""
 
     def plan(self, now, holder):
@@ -218,14 +227,14 @@
         return super().plan(now, holder)
 
 
-class LendsExpiringDeposits(Bank):
+class LendsExpiringDeposits(PlannerLedger):
     """Lends deposits that expire before the lease does."""
 
     def pool(self, now, key, until):
         return super().pool(now, key, until - longer(self.lease))
 
 
-class IgnoresCharges(Bank):
+class IgnoresCharges(PlannerLedger):
     """Ignores leases of other forwarders."""
 
     def snapshot(self, now, key):
@@ -235,7 +244,7 @@
         return found
 
 
-class DoesNotChargeSnapshot(Bank):
+class DoesNotChargeSnapshot(PlannerLedger):
     """Does not charge new leases to the cached snapshot."""
 
     def plan(self, now, holder):
@@ -246,7 +255,7 @@
         return made
 
 
-class LeaseFromArrival(Purse):
+class LeaseFromArrival(ForwarderLedger):
     """Counts a lease from the arrival of its plan."""
 
     def planned(self, now, planner, plan):
@@ -259,7 +268,7 @@
         return good
 
 
-class ForgetsDepositsOnRestart(Purse):
+class ForgetsDepositsOnRestart(ForwarderLedger):
     """Assumes no earlier deposits after a restart."""
 
     def __init__(self, now, *given):
@@ -267,7 +276,7 @@
         self.since = now - 1_000
 
 
-class ForgetsDepositsWithEarlierLife(Purse):
+class ForgetsDepositsWithEarlierLife(ForwarderLedger):
     """Forgets deposits with earlier lives of a planner."""
 
     def planned(self, now, planner, plan):
@@ -276,7 +285,7 @@
         return good
 
 
-class LendsOwnBudgetAfterStart(Bank):
+class LendsOwnBudgetAfterStart(PlannerLedger):
     """Lends its own budget right after its start."""
 
     def __init__(self, *given):
@@ -284,18 +293,18 @@
         self.since -= 1_000
 
 
-class IgnoresOpenRequests(Purse):
+class IgnoresOpenRequests(ForwarderLedger):
     """Confirms a smaller lease while more is open."""
 
     def digest(self, now, planner, spare, wants, used=()):
         return super().digest(now, planner, spare, wants)
 
 
-class SpendsOwnedSeat(Purse):
+class SpendsOwnedSeat(ForwarderLedger):
     """Spends the seat's budget while another process owns the seat."""
 
     def __init__(self, now, life, planners, own, *given):
-        super().__init__(now, life, planners, own or Parts(dict.fromkeys(check.KEYS, check.OWN)), *given)
+        super().__init__(now, life, planners, own or Budgets(dict.fromkeys(check.KEYS, check.OWN)), *given)
         self.since = self.since if own else now - 1_000
 
 
@@ -305,7 +314,7 @@
         for seed in range(700):
             try:
                 check.walk(seed, 400, **kinds)
-            except check.Overspent:
+            except check.OverspentError:
                 return True
         return False
 
@@ -320,23 +329,23 @@
 
     def test_process_that_spends_an_owned_seat_is_detected(self):
         world = check.World(2, 1, None, SpendsOwnedSeat)
-        world.restart_purse(1, False)
+        world.restart_forwarder_ledger(1, False)
         world.forwarders = 1  # one seat, which another process still spends in full
-        with self.assertRaises(check.Overspent):
+        with self.assertRaises(check.OverspentError):
             world.judge()
 
     def test_broken_ledgers_are_detected(self):
         for kinds in (
-            {'bank': DepositFromArrival},
-            {'bank': ForgetsEarlierPlan},
-            {'bank': LendsExpiringDeposits},
-            {'bank': IgnoresCharges},
-            {'purse': LeaseFromArrival},
-            {'purse': ForgetsDepositsOnRestart},
-            {'purse': ForgetsDepositsWithEarlierLife},
-            {'bank': LendsOwnBudgetAfterStart},
-            {'purse': IgnoresOpenRequests},
-            {'bank': DoesNotChargeSnapshot},
+            {'planner_ledger': DepositFromArrival},
+            {'planner_ledger': ForgetsEarlierPlan},
+            {'planner_ledger': LendsExpiringDeposits},
+            {'planner_ledger': IgnoresCharges},
+            {'forwarder_ledger': LeaseFromArrival},
+            {'forwarder_ledger': ForgetsDepositsOnRestart},
+            {'forwarder_ledger': ForgetsDepositsWithEarlierLife},
+            {'planner_ledger': LendsOwnBudgetAfterStart},
+            {'forwarder_ledger': IgnoresOpenRequests},
+            {'planner_ledger': DoesNotChargeSnapshot},
         ):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.found(**kinds))
--- a/tests/plan/test_sites.py
+++ b/tests/plan/test_sites.py
@@ -12,7 +12,7 @@
 from lilacdyke.plan import sites
 from lilacdyke.plan.site_cli import site
 from lilacdyke.plan.sites import Class, Expect, Loss, outcome
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 
 def loss(origin=400.0, where=None, rate=300.0, **more):
@@ -106,7 +106,7 @@
             {'expect': [Expect(lost=['a'], refused={'free': 0.0})]},
             {'where': 'd'},
         ):
-            with self.subTest(more=more), self.assertRaises(BadLine):
+            with self.subTest(more=more), self.assertRaises(InvalidValueError):
                 loss(**more)
 
 
--- a/tests/plan/test_verdicts.py
+++ b/tests/plan/test_verdicts.py
@@ -5,9 +5,20 @@
 
 from lilacdyke.plan import belief as beliefs
 from lilacdyke.plan import verdicts
-from lilacdyke.plan.belief import FAILING, FULL, HARM, HARM_SITE, SILENT, SLOW, WELL, Belief, Row, Seen
+from lilacdyke.plan.belief import (
+    FAILING,
+    FULL,
+    MAX_RESTRAINED_SHARE,
+    MAX_RESTRAINED_SITE_SHARE,
+    SILENT,
+    SLOW,
+    WELL,
+    ActiveVerdicts,
+    Row,
+    Seen,
+)
 from lilacdyke.plan.ledger import longer, shorter
-from lilacdyke.plan.verdicts import Sight
+from lilacdyke.plan.verdicts import VerdictTracker
 
 SPAN = 1_000
 SERVERS = ['c%d' % number for number in range(8)]
@@ -30,9 +41,9 @@
     return made.report(now)
 
 
-def sight(reports, now=0):
+def verdict_tracker(reports, now=0):
     """Return a planner's view after these reports: [(seat, site, report)]."""
-    made = Sight(SPAN)
+    made = VerdictTracker(SPAN)
     for seat, site, told in reports:
         made.told(now, seat, site, 'life', 1, told)
     return made
@@ -56,49 +67,55 @@
     def test_each_kind_of_failure_yields_its_verdict(self):
         for result, kind in (('silent', SILENT), ('failed', FAILING), ('refused', FULL), (300, SLOW)):
             with self.subTest(result=result):
-                self.assertEqual(negatives(sight(fleet(c3=result))), {('c3', None): kind})
+                self.assertEqual(negatives(verdict_tracker(fleet(c3=result))), {('c3', None): kind})
 
     def test_one_forwarder_alone_yields_no_verdict(self):
-        self.assertEqual(negatives(sight([(0, 'a', report(c3='silent'))])), {})
-        self.assertEqual(negatives(sight(fleet() + [(9, 'a', report(c3='silent'))])), {})
+        self.assertEqual(negatives(verdict_tracker([(0, 'a', report(c3='silent'))])), {})
+        self.assertEqual(negatives(verdict_tracker(fleet() + [(9, 'a', report(c3='silent'))])), {})
 
     def test_failures_seen_by_one_site_yield_a_verdict_for_that_site_only(self):
         mixed = [(seat, 'ab'[seat % 2], report(c3='silent') if seat % 2 else report()) for seat in range(6)]
-        self.assertEqual(negatives(sight(mixed)), {('c3', 'b'): SILENT})
+        self.assertEqual(negatives(verdict_tracker(mixed)), {('c3', 'b'): SILENT})
 
     def test_contradicting_forwarders_are_ignored(self):
         for lie in ('failed', 'silent', 900):
             told = dict.fromkeys(SERVERS, lie)
             with self.subTest(lie=lie):
                 self.assertEqual(
-                    negatives(sight(fleet() + [(9, 'a', report(**told)), (10, 'b', report(c1='failed'))])), {}
+                    negatives(
+                        verdict_tracker(fleet() + [(9, 'a', report(**told)), (10, 'b', report(c1='failed'))])
+                    ),
+                    {},
                 )
                 self.assertEqual(
-                    negatives(sight(fleet(c3='silent') + [(9, 'a', report(**told))])), {('c3', None): SILENT}
+                    negatives(verdict_tracker(fleet(c3='silent') + [(9, 'a', report(**told))])),
+                    {('c3', None): SILENT},
                 )
 
     def test_all_servers_slow_at_once_yields_no_verdict(self):
-        self.assertEqual(negatives(sight(fleet(**dict.fromkeys(SERVERS, 900)))), {})
+        self.assertEqual(negatives(verdict_tracker(fleet(**dict.fromkeys(SERVERS, 900)))), {})
 
     def test_failures_of_most_servers_yield_no_verdict(self):
         for result in ('silent', 'failed', 'refused'):
             with self.subTest(result=result):
-                self.assertEqual(negatives(sight(fleet(**dict.fromkeys(SERVERS[:5], result)))), {})
-                self.assertEqual(len(negatives(sight(fleet(**dict.fromkeys(SERVERS[:3], result))))), 3)
+                self.assertEqual(negatives(verdict_tracker(fleet(**dict.fromkeys(SERVERS[:5], result)))), {})
+                self.assertEqual(
+                    len(negatives(verdict_tracker(fleet(**dict.fromkeys(SERVERS[:3], result))))), 3
+                )
 
     def test_report_of_a_million_hops_does_not_outweigh_others(self):
         made = report(c3='silent')
         made['c3', START][0] = made['c3', START][3] = made['c3', START][-1] = 1_000_000
-        self.assertEqual(negatives(sight(fleet(3) + [(9, 'a', made), (10, 'b', made)])), {})
+        self.assertEqual(negatives(verdict_tracker(fleet(3) + [(9, 'a', made), (10, 'b', made)])), {})
 
     def test_restarted_server_inherits_no_verdict(self):
         old = {(name, 8): row for (name, _), row in report(c3='silent').items() if name == 'c3'}
-        made = sight(fleet(c3='silent'))
+        made = verdict_tracker(fleet(c3='silent'))
         self.assertNotIn(('c3', 8), {server for server, _ in made.verdicts(0)})
         self.assertEqual(len(old), 1)
 
     def test_recovery_is_noticed_at_once(self):
-        made = sight(fleet(c3='silent'))
+        made = verdict_tracker(fleet(c3='silent'))
         before = negatives(made)
         for seat in range(6):
             made.told(10, seat, 'ab'[seat % 2], 'life', 2, report(now=10))
@@ -108,7 +125,7 @@
         )
 
     def test_verdict_on_flapping_server_has_half_the_weight(self):
-        made, weights = Sight(SPAN), []
+        made, weights = VerdictTracker(SPAN), []
         for turn in range(8):
             now = turn * SPAN // 2
             for seat in range(6):
@@ -124,7 +141,7 @@
         self.assertEqual((weights[1], weights[-1]), (1.0, 0.5))
 
     def test_late_report_of_ended_life_does_not_replace_newer_one(self):
-        made = sight(fleet())
+        made = verdict_tracker(fleet())
         made.told(500, 0, 'a', 'next', 1, report(now=500, c3='silent'))
         kept = dict(made.witnesses[0].rows)
         made.told(100, 0, 'a', 'life', 9, report(now=100))
@@ -147,13 +164,13 @@
             for seq in range(1, chance.randint(2, 4))
         ]
 
-    def found(self, rows, sight_=Sight):
-        made = sight_(SPAN)
+    def found(self, rows, tracker_class=VerdictTracker):
+        made = tracker_class(SPAN)
         for seat, site, seq, told in rows:
             made.told(0, seat, site, 'life', seq, told)
         return negatives(made)
 
-    def differs(self, sight_=Sight):
+    def differs(self, tracker_class=VerdictTracker):
         """Return whether order or duplication makes a difference in any of the random cases."""
         for seed in range(300):
             chance = Random(seed)
@@ -161,7 +178,9 @@
             other = rows + chance.choices(rows, k=len(rows))
             chance.shuffle(other)
             # Sorted, so that both end with the same newest report of each seat.
-            if self.found(sorted(rows, key=lambda row: row[2]), sight_) != self.found(other, sight_):
+            if self.found(sorted(rows, key=lambda row: row[2]), tracker_class) != self.found(
+                other, tracker_class
+            ):
                 return True
         return False
 
@@ -169,7 +188,7 @@
         self.assertFalse(self.differs())
 
     def test_planner_that_counts_duplicates_is_detected(self):
-        class CountsDuplicates(Sight):
+        class CountsDuplicates(VerdictTracker):
             def told(self, left, seat, site, life, seq, told):
                 super().told(left, (seat, len(self.witnesses)), site, life, seq, told)
 
@@ -208,7 +227,7 @@
 ALL = {(name, START): site for name, site in SITES.items()}
 
 
-class BeliefTests(unittest.TestCase):
+class ActiveVerdictsTests(unittest.TestCase):
     def word(self, made, now):
         """Return the word on c3, or None."""
         found = made.words(now, ALL).get(('c3', START))
@@ -218,15 +237,15 @@
         newest = 100 - longer(20)
         for kind, well in ((SILENT, True), (WELL, False)):
             for own, acts in ((newest - 1, True), (newest, False)):
-                made = Belief(SPAN, lambda: 1.0)
+                made = ActiveVerdicts(SPAN, lambda: 1.0)
                 made.planned(100, [told(kind, 20)])
-                made.saw(own, ('c3', START), not well)
-                made.saw(own, ('c3', START), well)
+                made.observe(own, ('c3', START), not well)
+                made.observe(own, ('c3', START), well)
                 with self.subTest(kind=kind, own=own):
                     self.assertEqual(self.word(made, 120) is not None, acts)
 
     def test_verdict_fades_and_ends(self):
-        made = Belief(SPAN, lambda: 1.0)
+        made = ActiveVerdicts(SPAN, lambda: 1.0)
         made.planned(0, [told()])
         most = [self.word(made, now)[2] for now in (0, 600, 850)]
         self.assertTrue(1 / 32 == most[0] < most[1] < most[2] < 1)
@@ -239,18 +258,18 @@
             (told(SLOW, factor=4.0, answer_time=320), (until, 0, 0.25, 320)),
             (told(WELL), (until, 0.5, 1, 0)),
         ):
-            made = Belief(SPAN, lambda: 1.0)
+            made = ActiveVerdicts(SPAN, lambda: 1.0)
             made.planned(0, [row])
             self.assertEqual(self.word(made, 0), word)
 
     def test_older_verdict_does_not_replace_newer_one(self):
-        made = Belief(SPAN, lambda: 1.0)
+        made = ActiveVerdicts(SPAN, lambda: 1.0)
         made.planned(100, [told(WELL)])
         made.planned(100, [told(SILENT, 50)])
         self.assertEqual(made.in_effect(101, ('c3', START)).kind, WELL)
 
     def test_verdict_on_unlisted_server_takes_effect_once_it_is_listed(self):
-        made = Belief(SPAN, lambda: 1.0)
+        made = ActiveVerdicts(SPAN, lambda: 1.0)
         made.planned(0, [told(server='c99')])
         self.assertEqual(
             (made.words(0, ALL), list(made.words(10, {**ALL, ('c99', START): 'a'}))), ({}, [('c99', START)])
@@ -260,7 +279,7 @@
     def test_restrained_servers_stay_within_the_limits_most_certain_first(self):
         for count in (3, 8, 20, 60):
             sites = {('c%d' % number, START): 'abc'[number % 3] for number in range(count)}
-            made = Belief(SPAN, lambda: 1.0)
+            made = ActiveVerdicts(SPAN, lambda: 1.0)
             for first, way in ((0, False), (1, True)):  # as if from two planners that contradict each other
                 made.planned(
                     0,
@@ -270,21 +289,21 @@
                     ],
                 )
             down = [server for server, (held, _) in made.words(0, sites).items() if held.negative]
-            self.assertLessEqual(len(down), HARM * count)
+            self.assertLessEqual(len(down), MAX_RESTRAINED_SHARE * count)
             for site in 'abc':
                 self.assertLessEqual(
                     sum(sites[server] == site for server in down),
-                    max(1, HARM_SITE * sum(s == site for s in sites.values())),
+                    max(1, MAX_RESTRAINED_SITE_SHARE * sum(s == site for s in sites.values())),
                 )
             if count >= 8:
                 self.assertEqual(down[0], ('c%d' % ((count - 1) // 2 * 2), START))
 
     def test_forwarders_return_to_their_own_view_at_different_times(self):
-        ends = {Belief(SPAN, Random(seed).random).span for seed in range(40)}
+        ends = {ActiveVerdicts(SPAN, Random(seed).random).span for seed in range(40)}
         self.assertTrue(len(ends) > 20 and max(ends) <= shorter(SPAN))
 
 
-def history(seed, sight_=Sight, belief=Belief):
+def history(seed, tracker_class=VerdictTracker, belief=ActiveVerdicts):
     """Run one random history of two reporting forwarders, a planner and an acting forwarder, whose clocks
     drift and whose messages are delayed and lost. Return the longest time, in ticks of the simulation, for
     which a verdict was in effect after its newest evidence."""
@@ -292,7 +311,7 @@
     rates = [chance.choice((0.976, 1.0, 1.024)) for _ in range(4)]
     offsets = [chance.randrange(5_000) for _ in range(4)]
     clock = [lambda now, n=n: int(now * rates[n]) + offsets[n] for n in range(4)]
-    planner, held = sight_(SPAN), belief(SPAN, chance.random)
+    planner, held = tracker_class(SPAN), belief(SPAN, chance.random)
     seen = {0: Seen(clock[0](0), SPAN), 1: Seen(clock[1](0), SPAN)}
     stamps, in_flight, newest, longest = {}, [], None, 0
     stop = chance.randrange(500, 2_500)  # from then on there is no evidence on c3
@@ -353,7 +372,7 @@
         return any(history(seed, **kinds) > SPAN for seed in range(150))
 
     def test_faulty_variants_are_detected(self):
-        class IgnoresEvidenceAge(Sight):
+        class IgnoresEvidenceAge(VerdictTracker):
             """Treats a report as if its evidence were as new as its arrival."""
 
             def told(self, left, seat, site, life, seq, told):
@@ -369,33 +388,37 @@
                     },
                 )
 
-        class IgnoresVerdictAge(Belief):
+        class IgnoresVerdictAge(ActiveVerdicts):
             """Ignores the age that a verdict has in the plan."""
 
             def planned(self, asked, rows):
                 super().planned(asked, [[*row[:7], 0, *row[8:]] for row in rows])
 
-        class IgnoresSpan(Belief):
+        class IgnoresSpan(ActiveVerdicts):
             """Ignores the span."""
 
             def in_effect(self, now, server):
                 return self.received.get(server)
 
-        for kinds in ({'sight_': IgnoresEvidenceAge}, {'belief': IgnoresVerdictAge}, {'belief': IgnoresSpan}):
+        for kinds in (
+            {'tracker_class': IgnoresEvidenceAge},
+            {'belief': IgnoresVerdictAge},
+            {'belief': IgnoresSpan},
+        ):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.broken(**kinds))
 
     def test_missing_limits_on_harm_and_witnesses_would_be_detected(self):
-        original, both = beliefs.HARM, verdicts.BOTH
+        original, both = beliefs.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES
         try:
-            beliefs.HARM = 2.0
-            made = Belief(SPAN, lambda: 1.0)
+            beliefs.MAX_RESTRAINED_SHARE = 2.0
+            made = ActiveVerdicts(SPAN, lambda: 1.0)
             made.planned(0, [told(server=name) for name in SERVERS])
-            self.assertGreater(len(made.words(0, ALL)), HARM * len(ALL))
-            verdicts.BOTH = 1
-            self.assertNotEqual(negatives(sight([(0, 'a', report(c3='silent'))])), {})
+            self.assertGreater(len(made.words(0, ALL)), MAX_RESTRAINED_SHARE * len(ALL))
+            verdicts.MIN_WITNESSES = 1
+            self.assertNotEqual(negatives(verdict_tracker([(0, 'a', report(c3='silent'))])), {})
         finally:
-            beliefs.HARM, verdicts.BOTH = original, both
+            beliefs.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES = original, both
 
 
 if __name__ == '__main__':
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -3,7 +3,7 @@
 import unittest
 from types import SimpleNamespace
 
-from lilacdyke.known import NO_WORD, Server
+from lilacdyke.known import NO_FLEET_BOUNDS, Server
 from lilacdyke.net.starts import StartTimes
 from lilacdyke.plan.view import View
 
@@ -94,27 +94,27 @@
         self.ended('committed', GOAL)
         self.assertEqual(self.server.word, word)  # a slow answer is no success
         self.ended()
-        self.assertIs(self.server.word, NO_WORD)
+        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
         self.next_report(verdicts=[self.silent_verdict(age=20)])
-        self.assertIs(self.server.word, NO_WORD)
+        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
 
     def test_word_expires_without_plans(self):
         self.next_report(verdicts=[self.silent_verdict()])
         self.now += SPAN
         self.view.refresh_words(0)
-        self.assertEqual((self.server.word, self.view.words), (NO_WORD, {}))
+        self.assertEqual((self.server.word, self.view.words), (NO_FLEET_BOUNDS, {}))
 
     def test_restarted_server_is_neither_reported_nor_constrained(self):
         self.server.started = self.now
         self.ended()
         self.assertEqual(self.next_report(verdicts=[self.silent_verdict()]), [])
-        self.assertIs(self.server.word, NO_WORD)
+        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
 
     def test_server_removed_from_the_list_has_no_word(self):
         self.next_report(verdicts=[self.silent_verdict()])
         self.node.router.caches.remove(self.server)
         self.view.look(self.now)
-        self.assertIs(self.server.word, NO_WORD)
+        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
 
     def test_outcomes_unrelated_to_the_server_are_no_evidence(self):
         for how in ('unsent', 'cancelled', 'rejected', 'expired'):
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -8,7 +8,7 @@
 
 from lilacdyke.__main__ import main
 from lilacdyke.scale import budgets, control, datapath, page, rows, slopes
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 TEXT = '# x\n%s\n# y\n' % '\n'.join(
@@ -49,9 +49,9 @@
             with self.subTest(text=text), tempfile.NamedTemporaryFile('w', suffix='.jsonl') as file:
                 file.write(good + text)
                 file.flush()
-                with self.assertRaisesRegex(BadLine, expected):
+                with self.assertRaisesRegex(InvalidValueError, expected):
                     rows.read(file.name)
-        with self.assertRaises(BadLine):
+        with self.assertRaises(InvalidValueError):
             rows.read('/nowhere/rows.jsonl')
 
     def test_median_and_spread(self):
@@ -99,7 +99,8 @@
         for _ in range(3):
             planner_round.run()
         lent = [
-            forwarder.purse.borrowed(planner_round.now, 'limit-0') for forwarder in planner_round.forwarders
+            forwarder.forwarder_ledger.leased(planner_round.now, 'limit-0')
+            for forwarder in planner_round.forwarders
         ]
         self.assertGreater(max(lent), 0)
         self.assertGreater(
@@ -148,7 +149,7 @@
 
     def test_missing_or_duplicate_marker_is_reported(self):
         for text in (TEXT.replace(page.MARKER % 'roles', ''), TEXT + page.MARKER % 'roles'):
-            with self.assertRaisesRegex(BadLine, 'roles'):
+            with self.assertRaisesRegex(InvalidValueError, 'roles'):
                 page.fill(text, all_rows())
 
     def test_runs_are_shown_in_columns(self):
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -6,7 +6,7 @@
 
 from lilacdyke.benchlink.serve import Adapter
 from lilacdyke.decode import decode
-from lilacdyke.values import BadLine, down, number, seconds, up
+from lilacdyke.values import InvalidValueError, down, number, seconds, up
 
 from .helpers import SETTINGS
 
@@ -90,7 +90,7 @@
 class Values(unittest.TestCase):
     def test_missing_setting_is_named(self):
         site = {key: value for key, value in SITE.items() if key != 'tickS'}
-        with self.assertRaisesRegex(BadLine, 'tickS'):
+        with self.assertRaisesRegex(InvalidValueError, 'tickS'):
             decode(json.dumps(site))
 
     def test_seconds_are_rounded_down_or_up(self):
@@ -100,5 +100,5 @@
         self.assertEqual((seconds(12_345), seconds(-1)), ('1.2345', '-0.0001'))
 
     def test_numbers_must_be_finite(self):
-        with self.assertRaises(BadLine):
+        with self.assertRaises(InvalidValueError):
             number('1e999')
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -16,7 +16,7 @@
         """Return (event, fields) of each line that a serving node logs during act(node)."""
         names = ('c0', 'c1', 'c2')
         made = node(known={'generation': 4, 'reset': True, 'instances': [entry(name) for name in names]})
-        made.events.rate = made.events.tokens = made.router.smooth = 1_000
+        made.events.rate = made.events.tokens = made.router.good_hops = 1_000
         with self.assertLogs('lilacdyke', 'INFO') as caught:
             act(made)
         return [(record.getMessage(), record.fields) for record in caught.records]
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -11,7 +11,7 @@
 
 from lilacdyke.net.phases import IDLE, RECEIVING
 
-from .helpers import SETTINGS, asked, dialled, entry, grown, lost, node, refused, said, sent
+from .helpers import SETTINGS, asked, changed_settings, connection_up, entry, lost, node, refused, said, sent
 from .test_net import Quiet, status
 from .test_upgrade import Processes
 
@@ -28,7 +28,7 @@
 
 def carried(made):
     """Return the connection that carries a large request, one iteration after it was established."""
-    wire = dialled(made)
+    wire = connection_up(made)
     made.reactor.advance(0)
     return wire
 
@@ -90,7 +90,9 @@
         self.assertTrue(wire.aborted)
 
     def test_second_answer_on_connection_has_its_own_limit(self):
-        made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
+        made = node(
+            settings=changed_settings(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']])
+        )
         wire, cache = sent(made)
         for piece in (LARGE, b'x' * 100_000):
             cache.protocol.dataReceived(piece)
@@ -171,7 +173,7 @@
         cache.protocol.dataReceived(CHUNKED + self.PIECE)
         dials = len(made.reactor.tcpClients)
         broken(cache)
-        again = dialled(made)
+        again = connection_up(made)
         again.protocol.dataReceived(CHUNKED + b'2\r\nef\r\n0\r\n\r\n')
         self.assertEqual(
             (len(made.reactor.tcpClients), status(wire), wire.value()[-2:]), (dials + 1, 200, b'ef')
@@ -213,7 +215,9 @@
                 )
 
     def test_stalled_server_is_answered_at_limit(self):
-        made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
+        made = node(
+            settings=changed_settings(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']])
+        )
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED)
         self.come(made, cache, 1.0)
@@ -223,7 +227,9 @@
         self.assertEqual((before, status(wire), cache.ended), (b'', 503, True))
 
     def test_streamed_if_more_arrives_before_limit(self):
-        made = node(settings=grown(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']]))
+        made = node(
+            settings=changed_settings(profiles=[dict(row, hardLimitS=6.0) for row in SETTINGS['profiles']])
+        )
         wire, cache = sent(made)
         cache.protocol.dataReceived(CHUNKED)
         self.come(made, cache, 1.0)
@@ -238,7 +244,7 @@
                 made = node()
                 wire, cache = sent(made)
                 attempt = next(iter(made.attempts))
-                made.deadlines.at(made.clock() + 5_000, made.patience_due, attempt.number)
+                made.deadlines.at(made.clock() + 5_000, made.attempt_limit_due, attempt.number)
                 cache.protocol.dataReceived(CHUNKED + self.PIECE)
                 if pause:
                     self.come(made, cache, 1.6)
@@ -250,7 +256,7 @@
         made = node(known=TWO_CACHES)
         wire, cache = sent(made)
         made.reactor.advance(0.6)  # its copy is due
-        copy = dialled(made)
+        copy = connection_up(made)
         self.assertIsNot(copy.protocol, cache.protocol)
         for each in (cache, copy):
             each.protocol.dataReceived(CHUNKED)
@@ -308,7 +314,7 @@
         self.assertEqual((status(wire), cache.ended), (503, True))
 
     def test_last_piece_of_request_unread_when_overdue(self):
-        made = node(settings=grown(limits={'connectTimeoutS': 10.0}))
+        made = node(settings=changed_settings(limits={'connectTimeoutS': 10.0}))
         wire = asked(made, 'GET /read/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n')
         made.reactor.pump([0.1] * 23)
         self.unread(made, wire, b'\r\n')
@@ -340,7 +346,7 @@
     LONG = [dict(row, hardLimitS=30.0) for row in SETTINGS['profiles']]
 
     def test_silent_server_within_limit_does_not_count_as_slow_client(self):
-        made = node(settings=grown(profiles=self.LONG))
+        made = node(settings=changed_settings(profiles=self.LONG))
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE + b'x' * 50_000)
         made.reactor.pump([0.1] * 150)
@@ -372,7 +378,7 @@
         self.assertEqual((before, wire.aborted), (False, True))
 
     def test_client_that_does_not_read_is_aborted_past_limit(self):
-        made = node(settings=grown(profiles=self.LONG))
+        made = node(settings=changed_settings(profiles=self.LONG))
         wire, cache = sent(made)
         cache.protocol.dataReceived(LARGE)
         wire.producer.pauseProducing()
@@ -380,11 +386,11 @@
         self.assertTrue(wire.aborted)
 
     def test_client_with_paused_body_is_not_timed_out(self):
-        made = node(settings=grown(profiles=self.LONG, limits={'connectTimeoutS': 10.0}))
+        made = node(settings=changed_settings(profiles=self.LONG, limits={'connectTimeoutS': 10.0}))
         wire, dial = asked(made, PUT + 'z' * 70_000), len(made.reactor.tcpClients) - 1
         made.reactor.pump([0.1] * 60)
         before = wire.value()
-        origin = dialled(made, dial)
+        origin = connection_up(made, dial)
         made.reactor.advance(0)
         self.assertEqual((before, origin.value().count(b'z')), (b'', 70_000))
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -8,7 +8,7 @@
 from lilacdyke.net.node import Node
 from lilacdyke.values import SECOND
 
-from .helpers import asked, client, dialled, node, said, sent
+from .helpers import asked, client, connection_up, node, said, sent
 
 ONCE = 'PUT /once/k HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\nContent-Length: 2\r\n\r\nhi'
 
@@ -52,7 +52,7 @@
         with mock.patch.object(Node, 'wanted', lambda *given: True), mock.patch.object(Node, 'do_cancel'):
             wire = asked(made)
             wire.protocol.connectionLost()
-            self.assert_violated(made, 'sent_after_end', lambda: dialled(made))
+            self.assert_violated(made, 'sent_after_end', lambda: connection_up(made))
 
     def test_second_effect_of_request(self):
         made = node()
@@ -94,19 +94,19 @@
         server.started = made.clock()
         made.router.usual = 1.0
         with (
-            mock.patch.object(Router, 'cold_room', lambda *given: True),
+            mock.patch.object(Router, 'cold_budget_allows', lambda *given: True),
             self.assertLogs('lilacdyke', 'ERROR'),
         ):
             for _ in range(12):
                 asked(made)
-                dialled(made)
+                connection_up(made)
         self.assertGreaterEqual(violations(made).get('violated_slow_start', 0), 1)
 
 
 class Limits(unittest.TestCase):
     def test_records_of_servers_are_bounded(self):
         made = node()
-        guard = Guard(made.clock, made.count, made.is_open, made.router, made.place.stop_within)
+        guard = Guard(made.clock, made.count, made.is_open, made.router, made.place.stop_sending_timeout)
         for number in range(9_000):
             server = mock.Mock(told='draining', state='draining')
             server.name = 's%d' % number
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -145,11 +145,11 @@
         )
 
     def test_connection_persistence(self):
-        for minor, header, lasting in (
+        for minor, header, keep_alive in (
             (b'1', b'', True),
             (b'0', b'', False),
             (b'1', b'Connection: Close\r\n', False),
             (b'0', b'Connection: keep-alive\r\n', True),
         ):
             message = one(b'GET / HTTP/1.%s\r\n%s\r\n' % (minor, header))
-            self.assertEqual(message.lasting, lasting)
+            self.assertEqual(message.keep_alive, keep_alive)
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -5,7 +5,7 @@
 from lilacdyke.known import LOOKUP_WINDOW, MIN_SHARE, RACE_WINDOW, SET_ASIDE_AFTER, HedgeTimer, Histogram
 from lilacdyke.logic import KeyFrequency, mix64
 
-from .helpers import KEPT, ONCE, READ, ended, enlist, out, router, taken
+from .helpers import KEPT, ONCE, READ, add_server, ended, out, router, taken
 
 
 class Ranking(unittest.TestCase):
@@ -17,23 +17,25 @@
     def test_added_cache_moves_only_its_own_keys(self):
         node = router(5)
         before = {key: node.ranked(0, taken(node, key=key))[0] for key in map(str, range(200))}
-        new = enlist(node, 'new')
+        new = add_server(node, 'new')
         after = {key: node.ranked(0, taken(node, key=key))[0] for key in before}
         moved = [key for key in before if after[key] is not before[key]]
         self.assertTrue(moved and all(after[key] is new for key in moved))
 
     def test_cold_cache_is_weighted_by_age(self):
         node = router(2)
-        fresh = enlist(node, 'f', started=0)
-        self.assertEqual([node.presence(at, fresh) for at in (0, 50_000, 100_000)], [0.2, 0.2 + 0.8 * 0.5, 1])
+        fresh = add_server(node, 'f', started=0)
+        self.assertEqual(
+            [node.capacity_factor(at, fresh) for at in (0, 50_000, 100_000)], [0.2, 0.2 + 0.8 * 0.5, 1]
+        )
 
     def home_zones(self, **other):
         """Return the zones of the home caches of 100 new keys, with three caches in each of two zones."""
-        node = router(0, True, cross_price=0.06, waste_price=0.04)
+        node = router(0, True, cross_zone_fee=0.06, waste_fee=0.04)
         for name, value in other.items():
             setattr(node, name, value)
         for number in range(6):
-            enlist(node, 'c%d' % number, zone=number % 2)
+            add_server(node, 'c%d' % number, zone=number % 2)
         return [node.ranked(0, taken(node, key=str(key)))[0].zone for key in range(100)]
 
     def test_homes_stay_in_own_zone_when_crossing_is_expensive(self):
@@ -45,7 +47,7 @@
         self.assertTrue(10 < far < 45 and sum(self.home_zones(lag=2500, latency_updated=1)) > 35, far)
 
     def test_homes_are_shared_across_zones_when_the_origin_is_slow(self):
-        node = router(3, True, cross_price=0.06, waste_price=0.04)
+        node = router(3, True, cross_zone_fee=0.06, waste_fee=0.04)
         node.origin.lag, new = node.goal // 3, taken(node, key='new')
         known = [taken(node, key='known') for _ in range(2)][1]
         self.assertEqual([node.prefers_local(0, tx) for tx in (new, known)], [False, True])
@@ -122,7 +124,7 @@
 
     def test_writes_respect_in_flight_limits_under_overload(self):
         node, *_ = self.state(0)
-        node.smooth, node.poor, write = 1, 9, taken(node, KEPT, write=True)
+        node.good_hops, node.poor, write = 1, 9, taken(node, KEPT, write=True)
         for cache in node.caches:
             cache.out, cache.in_flight_limit = 1, 1.0
         self.assertIsNone(node.pick(0, write))
@@ -175,7 +177,7 @@
 
     def test_overload_adds_nothing_to_the_retry_budget(self):
         node = router(4)
-        node.retry_budget, node.smooth, node.poor = 0, 10, 10
+        node.retry_budget, node.good_hops, node.poor = 0, 10, 10
         taken(node)
         self.assertEqual(node.retry_budget, 0)
 
@@ -223,7 +225,7 @@
         tx = taken(node, KEPT, write=True)
         tx.profile.group = 'zone'
         ended(node, tx, node.caches[0], 'expired')
-        self.assertFalse(node.permitted(0, tx, enlist(node, 'far', zone=1)))
+        self.assertFalse(node.permitted(0, tx, add_server(node, 'far', zone=1)))
 
     def test_no_hop_after_the_limit_or_the_end(self):
         node = router(2)
@@ -236,7 +238,7 @@
         self.assertFalse(self.permitted(READ, False, max_hops=1))
 
     def test_no_hedge_if_the_site_forbids_copies(self):
-        node = router(2, may_copy=False)
+        node = router(2, may_hedge=False)
         tx = taken(node)
         out(node, tx, node.caches[0])
         self.assertFalse(node.permitted(0, tx, node.caches[1]))
@@ -255,10 +257,10 @@
 
     def test_cold_cache_rate_is_bounded_by_the_warm_rate(self):
         node = router(2)
-        fresh = enlist(node, 'f', started=0)
+        fresh = add_server(node, 'f', started=0)
         node.usual = 40
         sent = 0
-        while node.cold_room(0, fresh):
+        while node.cold_budget_allows(0, fresh):
             fresh.cold_credit -= 1
             sent += 1
         self.assertLess(sent, 40 * 0.2 * 3)
@@ -268,24 +270,24 @@
         first = 0
         for seed in range(300):
             node = router(2, nodes=300, seed=seed)
-            fresh = enlist(node, 'f', started=0)
+            fresh = add_server(node, 'f', started=0)
             node.usual = 0.25
-            first += node.cold_room(10_000, fresh)
+            first += node.cold_budget_allows(10_000, fresh)
         self.assertTrue(0 < first < 300 * 0.25 * 0.28 * 3)
 
     def test_cold_budget_remains_without_warm_caches(self):
         node = router(2)
-        fresh = enlist(node, 'f', started=0)
+        fresh = add_server(node, 'f', started=0)
         node.usual, fresh.cold_credit = 40, 0
         for cache in node.caches:
             cache.started = 0
-        self.assertTrue(node.cold_room(5000, fresh))
+        self.assertTrue(node.cold_budget_allows(5000, fresh))
 
     def test_server_restarted_under_the_same_id_is_cold(self):
         node = router(2)
         server = node.caches[0]
         node.list_changed(50, [(server, 'ready', 1, 40, 0, 0)])
-        self.assertEqual(node.presence(40, server), 0.2)
+        self.assertEqual(node.capacity_factor(40, server), 0.2)
 
 
 class GivingUp(unittest.TestCase):
@@ -386,7 +388,7 @@
 
     def test_fewer_refused_reads_are_retried_under_overload(self):
         node, answers = router(3), []
-        for node.smooth, node.poor in ((8, 2), (4, 6)):
+        for node.good_hops, node.poor in ((8, 2), (4, 6)):
             node.chance, tx = lambda: 0.5, taken(node)
             ended(node, tx, node.caches[0], 'refused', ran=False)
             answers.append(node.pay_for_retry(0, tx))
@@ -445,22 +447,24 @@
             server, hop = node.caches[0], out(node, taken(node), node.caches[0])
             server.lag, hop.dropped = 100, True
             node.hop_ended(1000, hop, 'cancelled', lasted, True, 0)
-            doubts.append(server.doubt)
+            doubts.append(server.unanswered_hops)
         self.assertEqual(doubts, [0, 1])
 
     def test_lost_connection_does_not_count_as_load(self):
         node = router(2)
         server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.poor
         node.hop_ended(10, out(node, taken(node), server), 'lost', 10, False, 0)
-        self.assertEqual((server.doubt, server.in_flight_limit, node.poor), (1, limit, poor))
+        self.assertEqual((server.unanswered_hops, server.in_flight_limit, node.poor), (1, limit, poor))
 
     def test_spoilt_answer_only_shows_that_the_server_is_alive(self):
         node = router(2)
         server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.poor
-        server.doubt = SET_ASIDE_AFTER - 1
+        server.unanswered_hops = SET_ASIDE_AFTER - 1
         hop = out(node, taken(node), server)
         node.hop_ended(10, hop, 'spoilt', 10, False, 0)
-        self.assertEqual((server.doubt, server.in_flight_limit, node.poor, hop.ran), (0, limit, poor, True))
+        self.assertEqual(
+            (server.unanswered_hops, server.in_flight_limit, node.poor, hop.ran), (0, limit, poor, True)
+        )
 
     def test_in_flight_limit_falls_after_several_slow_answers(self):
         node = router(2)
@@ -473,7 +477,7 @@
 
     def test_in_flight_limit_falls_after_one_slow_answer_if_answers_are_rare(self):
         node = router(2)
-        hop, node.often = out(node, taken(node), node.caches[0]), False
+        hop, node.gets_hops_often = out(node, taken(node), node.caches[0]), False
         node.hop_ended(4000, hop, 'committed', 4000, True, 0)
         self.assertLess(node.caches[0].in_flight_limit, 2)
 
@@ -542,7 +546,7 @@
     def test_fewer_reads_are_accepted_as_the_expected_wait_grows(self):
         """Many nodes with few hops each can overload the caches together."""
         node = router(3)
-        tx, sent, node.often = taken(node), [], False
+        tx, sent, node.gets_hops_often = taken(node), [], False
         for node.lag in (node.goal // 4, node.goal // 2, node.goal):
             node.caches[0].lag = node.lag
             sent.append(sum(node.accepts_read(0, tx, node.caches[0], turn / 100) for turn in range(100)))
@@ -593,5 +597,5 @@
         node.chance, waits = lambda: 0.5, []
         for _ in range(12):
             node.list_failed(0)
-            waits.append(node.watch_at)
-        self.assertTrue(waits[0] < waits[1] <= waits[-1] < node.terms.ask_within)
+            waits.append(node.list_request_at)
+        self.assertTrue(waits[0] < waits[1] <= waits[-1] < node.terms.list_request_within)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,21 +14,21 @@
 from lilacdyke.logic import Server
 from lilacdyke.net import client as client_module
 from lilacdyke.net.discovery import Entry, started
-from lilacdyke.net.http import one_read
-from lilacdyke.net.logs import KeyValue, Sparse
+from lilacdyke.net.http import is_single_read
+from lilacdyke.net.logs import KeyValueFormatter, RateLimitFilter
 from lilacdyke.net.node import DRAINING, SERVING, STARTING, STOPPED
-from lilacdyke.net.sockets import Door
+from lilacdyke.net.sockets import AcceptFilter
 from lilacdyke.net.tables import Deadlines, Table
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 from .helpers import (
     SETTINGS,
     Wire,
     asked,
+    changed_settings,
     client,
-    dialled,
+    connection_up,
     entry,
-    grown,
     lost,
     node,
     page,
@@ -62,7 +62,7 @@
 
 def watched(made):
     """Return the wire of the node's watch, with its answer head received."""
-    wire = dialled(made, 0)
+    wire = connection_up(made, 0)
     wire.protocol.dataReceived(WATCH)
     return wire
 
@@ -139,15 +139,15 @@
         return record
 
     def test_record_is_one_line_for_any_value(self):
-        line = KeyValue().format(self.record(server='a b', reason='x\ny="1"', count=3))
+        line = KeyValueFormatter().format(self.record(server='a b', reason='x\ny="1"', count=3))
         self.assertTrue(
             line.endswith('level=info event="set aside" server="a b" reason="x\\ny=\\"1\\"" count=3')
         )
 
     def test_repeated_fault_is_logged_a_limited_number_of_times(self):
-        sparse = Sparse()
+        sparse = RateLimitFilter()
         written = [sparse.filter(self.record('fault', logging.ERROR)) for _ in range(9)]
-        self.assertEqual(written.count(True), Sparse.MOST)
+        self.assertEqual(written.count(True), RateLimitFilter.MOST)
 
 
 class Clients(Quiet):
@@ -185,9 +185,9 @@
             b'content-length:3\r\nA: b\r\n',
         ):
             with self.subTest(more=more):
-                self.assertFalse(one_read(start + more + b'\r\n'))
+                self.assertFalse(is_single_read(start + more + b'\r\n'))
         for more in (b'', b'X-Content-Length: 3\r\n', b'A: content-length: 3\r\n'):
-            self.assertTrue(one_read(start + more + b'\r\n'))
+            self.assertTrue(is_single_read(start + more + b'\r\n'))
 
     def test_request_split_at_any_byte(self):
         text = (
@@ -200,7 +200,7 @@
             made.reactor.pump([0.1] * 22)
             self.assertEqual(len(made.active_requests), 0)
             wire.protocol.dataReceived(text[at:])
-            origin = dialled(made)
+            origin = connection_up(made)
             self.assertTrue(origin.value().endswith(b'Content-Length: 5\r\n\r\nabcde'), at)
 
     def test_limit_starts_at_last_byte_and_is_capped_by_profile(self):
@@ -393,10 +393,10 @@
         )
 
     def door(self):
-        return Door(
+        return AcceptFilter(
             Wire(),
             self.made.router.late,
-            one_read,
+            is_single_read,
             self.listener.refusal,
             self.listener.crowded,
             self.made.call_failed,
@@ -432,7 +432,7 @@
     def test_unsent_attempt_is_cancelled_when_server_drains(self):
         made = node()
         wire = asked(made)
-        server = dialled(made, stuck=True)
+        server = connection_up(made, stuck=True)
         server.dataBuffer = b'x' * 10_000  # as buffered in the transport
         made.listed(False, [Entry(entry('c0', state='DRAINING'))])
         self.assertEqual((made.counts['hops_unsent'], status(wire)), (1, 503))
@@ -496,7 +496,7 @@
         for _ in range(100):
             fail_here(self.made)
             self.made.reactor.advance(0.1)
-        self.assertEqual((self.made.counts['hops_unsent'], self.made.servers['c0'].doubt), (1, 0))
+        self.assertEqual((self.made.counts['hops_unsent'], self.made.servers['c0'].unanswered_hops), (1, 0))
 
 
 class OwnMachine(Quiet):
@@ -527,10 +527,10 @@
             fail_here(self.made, which)
         self.made.reactor.advance(0.006)
         made = len(self.made.reactor.tcpClients)
-        dialled(self.made).protocol.dataReceived(said())
+        connection_up(self.made).protocol.dataReceived(said())
         self.assertEqual(len(self.made.reactor.tcpClients), made + 2)
         for which in (-2, -1):
-            dialled(self.made, which).protocol.dataReceived(said())
+            connection_up(self.made, which).protocol.dataReceived(said())
         self.assertEqual([status(wire) for wire in wires], [200] * 3)
 
     def test_unsent_hop_at_its_limit_does_not_count_against_server(self):
@@ -539,7 +539,7 @@
         )
         fail_here(self.made)
         self.made.reactor.advance(0.005)
-        self.assertEqual((status(wire), self.made.servers['c0'].doubt), (503, 0))
+        self.assertEqual((status(wire), self.made.servers['c0'].unanswered_hops), (503, 0))
         self.assertEqual(self.made.counts['failed_connect_ENOBUFS'], 1)
 
     def test_accept_skips_failed_connections_and_pauses_without_memory(self):
@@ -551,8 +551,13 @@
                 raise OSError(errors.pop(0), 'x')
             return wire, 'there'
 
-        door = Door(
-            Wire(), lambda waited: False, one_read, bytes, self.made.listener.crowded, self.made.call_failed
+        door = AcceptFilter(
+            Wire(),
+            lambda waited: False,
+            is_single_read,
+            bytes,
+            self.made.listener.crowded,
+            self.made.call_failed,
         )
         door.listening.accept = accept
         self.assertIs(door.accept()[0], wire)
@@ -574,7 +579,7 @@
         made.reactor.advance(1)
         before = server.started
         made.caches.send(server, asked(made).protocol.active.message, made.clock() + 100, lambda: True, False)
-        dialled(made)
+        connection_up(made)
         self.assertEqual((before, server.started), (None, made.clock()))
 
     def test_server_that_never_refused_is_not_restarted(self):
@@ -617,7 +622,7 @@
         for more, rests in (('Srv-Declined: 1\r\nConnection: close\r\n', 0.1), ('Srv-Declined: 1\r\n', 9)):
             made = node()
             sent(made, PUT % 'read')[1].protocol.dataReceived(said(503, more=more))
-            wire = dialled(made) if more.endswith('close\r\n') else None
+            wire = connection_up(made) if more.endswith('close\r\n') else None
             if wire is None:
                 _, wire = sent(made, PUT.replace('Id: 1', 'Id: 2') % 'read')
             wire.protocol.dataReceived(said())
@@ -635,7 +640,7 @@
         made = node()
         asked(made, PUT % 'once')
         dials = len(made.reactor.tcpClients)
-        lost(dialled(made, stuck=True))
+        lost(connection_up(made, stuck=True))
         self.assertEqual((self.ended(made), len(made.reactor.tcpClients)), (['unreachable'], dials + 1))
 
     def test_connection_lost_after_last_byte_sent_is_not_retried(self):
@@ -738,7 +743,7 @@
         made = node()
         asked(made)
         made.servers['c0'].state = 'draining'
-        cache = dialled(made)
+        cache = connection_up(made)
         self.assertEqual((cache.value(), cache.disconnecting), (b'', True))
 
     def test_retry_is_not_sent_after_connect_timeout(self):
@@ -758,7 +763,7 @@
             exchange.done.addCallback(lambda ending: ended.append(ending[0]))
         pool = made.caches.pools[server]
         repeat.leave_by = made.clock() - 1
-        wire = dialled(made)
+        wire = connection_up(made)
         self.assertEqual(
             (ended, first.link is wire.protocol, pool.waiting), (['unsent'], True, type(pool.waiting)())
         )
@@ -767,7 +772,7 @@
         made = node()
         made.place.terms.may_cancel = False
         wire = asked(made)
-        cache = dialled(made, stuck=True)
+        cache = connection_up(made, stuck=True)
         cache.protocol.left = False  # partly sent
         lost(wire)
         self.assertEqual((cache.aborted, len(made.attempts)), (True, 0))
@@ -776,7 +781,7 @@
         made = node()
         asked(made)
         made.reactor.advance(0.2)
-        self.assertIn(b'Req-Deadline: 1.8', dialled(made).value())
+        self.assertIn(b'Req-Deadline: 1.8', connection_up(made).value())
 
     def test_client_is_answered_at_limit_without_router_decision(self):
         made = node()
@@ -828,7 +833,7 @@
 
     def test_rejected_watch_keeps_the_list(self):
         made = node()
-        wire = dialled(made, 0)
+        wire = connection_up(made, 0)
         wire.protocol.dataReceived(b'HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n')
         self.assertEqual((wire.aborted, made.discovery.failures), (True, 1))
 
@@ -852,7 +857,7 @@
             times.append(made.clock())
         waits = [later - sooner for sooner, later in zip(times, times[1:])]
         self.assertTrue(waits[0] < waits[2] and max(waits) <= 2_600, waits)
-        self.assertIn(b'index=4 ', dialled(made).value())
+        self.assertIn(b'index=4 ', connection_up(made).value())
 
     def test_watch_is_reopened_soon_while_agent_is_silent(self):
         made = node()
@@ -868,9 +873,11 @@
         for within in (0.4, 0.3, 0.05):
             with self.subTest(within=within):
                 made = node(
-                    settings=grown(membershipMode='on_request', safety={'stopSendingWithinS': within})
+                    settings=changed_settings(
+                        membershipMode='on_request', safety={'stopSendingWithinS': within}
+                    )
                 )
-                dialled(made).protocol.dataReceived(WATCH)
+                connection_up(made).protocol.dataReceived(WATCH)
                 without, longest = 0, 0
                 for _ in range(1_200):
                     made.reactor.advance(0.01)
@@ -883,19 +890,19 @@
             (DECLINED, 8, 14),
             (b'HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n', 90, 240),
         ):
-            made, calls = node(settings=grown(membershipMode='on_request')), 0
+            made, calls = node(settings=changed_settings(membershipMode='on_request')), 0
             for _ in range(2_000):  # 20 s
                 if len(made.reactor.tcpClients) > calls:
                     calls = len(made.reactor.tcpClients)
-                    dialled(made).protocol.dataReceived(head)
+                    connection_up(made).protocol.dataReceived(head)
                 made.reactor.advance(0.01)
             with self.subTest(head=head[:13]):
                 self.assertTrue(least <= calls <= most, calls)
 
     def test_queued_call_is_not_abandoned(self):
         for mode, kept in (('pushed', False), ('on_request', True)):
-            made = node(settings=grown(membershipMode=mode))
-            wire = dialled(made)
+            made = node(settings=changed_settings(membershipMode=mode))
+            wire = connection_up(made)
             made.reactor.advance(2.6)
             self.assertEqual(not wire.aborted, kept)
 
@@ -912,7 +919,9 @@
         ):
             longest = 0
             for _ in range(60):
-                made = node(settings=grown(membershipMode=mode, safety={'stopSendingWithinS': within}))
+                made = node(
+                    settings=changed_settings(membershipMode=mode, safety={'stopSendingWithinS': within})
+                )
                 reached = made.clock() + chance.randrange(120_000)
                 longest = max(longest, self.play(made, chance, reached) - reached)
             with self.subTest(mode=mode, within=within):
@@ -936,13 +945,13 @@
                     None,
                 )
                 if made.clock() >= reached:
-                    dialled(made).protocol.dataReceived(WATCH + change)
+                    connection_up(made).protocol.dataReceived(WATCH + change)
                 elif how == 'refused':
                     refused(made)
                 elif how == 'declined':
-                    dialled(made).protocol.dataReceived(DECLINED)
+                    connection_up(made).protocol.dataReceived(DECLINED)
                 elif how != 'no connection':
-                    wire = dialled(made)
+                    wire = connection_up(made)
                     if how != 'silent':
                         wire.protocol.dataReceived(WATCH)
                     trickling = wire if how == 'trickle' else None
@@ -965,7 +974,7 @@
         self.assertEqual(
             (made.discovery.version, made.discovery.failures, len(made.router.caches)), (4, 0, 1)
         )
-        self.assertIn(b'index=4 ', dialled(made).value())
+        self.assertIn(b'index=4 ', connection_up(made).value())
 
     def test_move_resets_backoff(self):
         made = node()
@@ -992,9 +1001,9 @@
             with self.subTest(text=text[:80]), tempfile.NamedTemporaryFile('w') as file:
                 file.write(text)
                 file.flush()
-                made.reread(file.name)
+                made.reload(file.name)
                 self.assertEqual((made.discovery.target[1], made.discovery.watch is None), (port, False))
-        made.reread('/nowhere')
+        made.reload('/nowhere')
         self.assertEqual(len(made.reactor.tcpClients), 3)
 
     def test_unix_start_time_is_converted_to_router_clock(self):
@@ -1053,7 +1062,7 @@
             settings=settings,
             known={'generation': 1, 'reset': True, 'instances': rows + [entry('o', 'origin')]},
         )
-        made.router.often, before = False, len(made.reactor.tcpClients)
+        made.router.gets_hops_often, before = False, len(made.reactor.tcpClients)
         for key in range(40):
             asked(made, 'GET /read/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n\r\n' % (key, key))
         return {dial[1] for dial in made.reactor.tcpClients[before:]}
@@ -1084,8 +1093,8 @@
     def test_node_serves_soon_with_queued_call(self):
         for mode in ('pushed', 'on_request'):
             with self.subTest(mode=mode):
-                made = starting(settings=grown(membershipMode=mode))
-                dialled(made)
+                made = starting(settings=changed_settings(membershipMode=mode))
+                connection_up(made)
                 made.reactor.advance(0.95)
                 before = made.phase
                 made.reactor.advance(0.1)
@@ -1096,7 +1105,7 @@
         with tempfile.NamedTemporaryFile('w', suffix='.json') as file:
             file.write(page(discovery='127.0.0.1:8501'))
             file.flush()
-            made.reread(file.name)
+            made.reload(file.name)
         self.assertEqual((made.reactor.tcpClients[-1][:2], made.phase), (('127.0.0.1', 8501), STARTING))
 
     def test_sigterm_before_serving_accepts_queued_clients_after_first_list(self):
@@ -1116,7 +1125,7 @@
         made.drain()
         told = made.clock()
         refused(made)
-        self.assertEqual((made.phase, made.last), (DRAINING, told + made.listener.slowest + 5_000))
+        self.assertEqual((made.phase, made.last), (DRAINING, told + made.listener.longest_limit + 5_000))
 
     def test_ready_only_when_able_to_serve(self):
         empty = {'generation': 0, 'reset': True, 'instances': []}
@@ -1183,12 +1192,12 @@
     def test_router_requests_the_watch_in_on_request_mode(self):
         made = node()
         made.discovery.pushed = False
-        made.router.watch_at = made.clock() + 1
+        made.router.list_request_at = made.clock() + 1
         refused(made)
         self.assertGreater(made.router.failures, 0)
 
     def test_origin_is_identified_by_kind(self):
         made = node()
         self.assertIsInstance(made.router.origin, Server)
-        with self.assertRaises(BadLine):
+        with self.assertRaises(InvalidValueError):
             Entry(entry('c', hostPort='127.0.0.1:0'))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -2,18 +2,18 @@
 
 from lilacdyke.decode import place
 from lilacdyke.logic import Server
-from lilacdyke.net.node import AWAY, DRAINING, SERVING
+from lilacdyke.net.node import DRAINING, OUT_OF_ROTATION, SERVING
 from lilacdyke.net.operator import CALL_TIMEOUT, MAX_CALLERS, OperatorServer
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
-from .helpers import Wire, asked, dialled, node, page, router, said, sent, taken
+from .helpers import Wire, asked, connection_up, node, page, router, said, sent, taken
 from .test_net import READY, Quiet, status
 
 
 def operator_node(**other):
     """Return a node with an operators' server, and that server."""
     made = node(operator='127.0.0.1:9001', **other)
-    return made, made.desk
+    return made, made.operator_server
 
 
 def call(made, text):
@@ -58,7 +58,7 @@
             byte
         ) in b'\r\nPOST /v1/node/drain HTTP/1.1\r\ntransfer-ENCODING: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n':
             wire.protocol.dataReceived(bytes([byte]))
-        self.assertEqual((status(wire), made.phase), (200, AWAY))
+        self.assertEqual((status(wire), made.phase), (200, OUT_OF_ROTATION))
 
     def test_silent_callers_make_way_and_time_out(self):
         made, operators = operator_node()
@@ -69,9 +69,9 @@
         self.assertEqual({status(wire) for wire in silent}, {408})
 
     def test_no_server_without_address_in_page(self):
-        self.assertIsNone(node().desk)
-        self.assertIsInstance(operator_node()[0].desk, OperatorServer)
-        with self.assertRaises(BadLine):
+        self.assertIsNone(node().operator_server)
+        self.assertIsInstance(operator_node()[0].operator_server, OperatorServer)
+        with self.assertRaises(InvalidValueError):
             place(page(operator='door:1'))
 
 
@@ -98,7 +98,7 @@
     def test_one_resume_after_two_suspends(self):
         made = router(2)
         self.assertEqual(
-            [made.suspend(5, 'c0'), made.suspend(6, 'c0'), made.resume(7, 'c0'), made.banned('c0')],
+            [made.suspend(5, 'c0'), made.suspend(6, 'c0'), made.resume(7, 'c0'), made.is_suspended('c0')],
             [True, True, True, False],
         )
 
@@ -115,10 +115,13 @@
         made = router(2)
         server = made.known['c0']
         made.suspend(500, 'c0')
-        server.doubt = 3
+        server.unanswered_hops = 3
         made.resume(900, 'c0')
         made.list_changed(1_000, [(server, 'ready', 1, None, 0, 0)])
-        self.assertEqual((server.started, server.doubt, made.presence(1_000, server) < 0.3), (900, 0, True))
+        self.assertEqual(
+            (server.started, server.unanswered_hops, made.capacity_factor(1_000, server) < 0.3),
+            (900, 0, True),
+        )
         made.list_changed(1_000, [(server, 'ready', 1, 700, 0, 0)])  # the restart that the list heard of
         self.assertEqual(server.started, 700)
 
@@ -134,17 +137,21 @@
         made = router(1)
         for number in range(1_100):
             made.list_entry(0, Server('s%d' % number, False), 'ready', 1, None, 0, 0)
-        made.relist()
+        made.rebuild_ready()
         done = [made.suspend(5, 's%d' % number) for number in range(1_100)]
-        self.assertEqual((sum(done), made.banned('s0'), made.banned('s1099')), (1_024, True, False))
+        self.assertEqual(
+            (sum(done), made.is_suspended('s0'), made.is_suspended('s1099')), (1_024, True, False)
+        )
         made.resume(6, 's7')
-        self.assertEqual((made.suspend(7, 's1099'), made.banned('s0'), len(made.hand)), (True, True, 1_024))
+        self.assertEqual(
+            (made.suspend(7, 's1099'), made.is_suspended('s0'), len(made.hand)), (True, True, 1_024)
+        )
 
     def test_attempt_waiting_for_connection_is_not_sent(self):
         made, operators = operator_node()
         wire = asked(made)
         post(operators, 'cache-servers/c0/suspend')
-        server = dialled(made)
+        server = connection_up(made)
         self.assertEqual((server.value(), status(wire)), (b'', 503))
 
     def test_idle_connections_to_suspended_server_are_closed(self):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,7 @@
 
 from lilacdyke.__main__ import main
 from lilacdyke.decode import place
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 from .helpers import SETTINGS, page
 
@@ -46,7 +46,7 @@
             page_with(balancers=0): 'no node',
         }
         for text, expected in cases.items():
-            with self.subTest(expected=expected), self.assertRaisesRegex(BadLine, expected):
+            with self.subTest(expected=expected), self.assertRaisesRegex(InvalidValueError, expected):
                 place(text)
 
 
@@ -64,7 +64,7 @@
 
     def test_both_shapes_are_valid(self):
         pool = self.page_with_keys(balancers=3, dcs=['a', 'b', 'c'], fees={'crossZone': 0.014, 'probe': 0.01})
-        office = self.page_with_keys(
+        planner_slot = self.page_with_keys(
             balancers=400,
             rank=399,
             dcs=['room'],
@@ -80,7 +80,7 @@
             fees={'crossZone': 0.06},
             limits={'probing': False},
         )
-        for text, zones in ((pool, 3), (office, 1), (files, 4)):
+        for text, zones in ((pool, 3), (planner_slot, 1), (files, 4)):
             self.assertEqual(len(place(text).zones), zones)
 
     def test_mixed_shape_is_refused_with_key(self):
@@ -97,7 +97,10 @@
             'fees.waste': dict(fees={'waste': 'x'}),
         }
         for key, mix in cases.items():
-            with self.subTest(key=key), self.assertRaisesRegex(BadLine, '(shapes|form): %s: ' % key):
+            with (
+                self.subTest(key=key),
+                self.assertRaisesRegex(InvalidValueError, '(shapes|form): %s: ' % key),
+            ):
                 place(self.page_with_keys(**mix))
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 from lilacdyke.net.node import STOPPED
 from lilacdyke.net.succession import Succession
 
-from .helpers import SETTINGS, Wire, asked, entry, node, page, said, sent, starting, unbegun
+from .helpers import SETTINGS, Wire, asked, entry, node, page, said, sent, starting, unstarted_node
 from .test_net import READY, Quiet, status
 
 
@@ -106,7 +106,7 @@
 
     def test_successor_adopts_state(self):
         self.made.suspend('c0'), self.made.empty()
-        received = json.loads(json.dumps(self.made.legacy()))
+        received = json.loads(json.dumps(self.made.export_state()))
         successor = starting(operator='127.0.0.1:9002', known={})
         successor.discovery.version, successor.handover = None, self.handover_of(successor)
         successor.handover.announce_serving = lambda: None
@@ -115,7 +115,7 @@
             (
                 successor.phase,
                 successor.ready(),
-                successor.router.banned('c0'),
+                successor.router.is_suspended('c0'),
                 successor.servers['c0'].state,
                 successor.servers['o'].state,
                 successor.discovery.version,
@@ -127,7 +127,7 @@
         for received in (
             {},
             {'list': 3, 'away': True},
-            {'list': self.made.legacy()['list'], 'hand': {'c0': 7}, 'away': False},
+            {'list': self.made.export_state()['list'], 'hand': {'c0': 7}, 'away': False},
         ):
             with self.subTest(received=received):
                 successor = starting(operator='127.0.0.1:9002')
@@ -139,16 +139,16 @@
 
     def test_call_succeeds_once_other_process_confirms(self):
         caller = Wire()
-        protocol = self.made.desk.buildProtocol(None)
+        protocol = self.made.operator_server.buildProtocol(None)
         protocol.makeConnection(caller)
         protocol.dataReceived(b'POST /v1/cache-servers/c0/suspend HTTP/1.1\r\nHost: x\r\n\r\n')
         before, number = status(caller), json.loads(self.wire.value().splitlines()[-1])['n']
         self.receive(done=number)
-        self.assertEqual((before, status(caller), self.made.router.banned('c0')), (None, 200, True))
+        self.assertEqual((before, status(caller), self.made.router.is_suspended('c0')), (None, 200, True))
 
     def test_call_is_answered_if_other_process_hangs(self):
         caller = Wire()
-        protocol = self.made.desk.buildProtocol(None)
+        protocol = self.made.operator_server.buildProtocol(None)
         protocol.makeConnection(caller)
         protocol.dataReceived(b'POST /v1/node/drain HTTP/1.1\r\nHost: x\r\n\r\n')
         self.made.reactor.advance(0.5)
@@ -157,7 +157,7 @@
     def test_call_at_other_process_applies_here(self):
         self.receive(call=['suspend', 'c0'], n=7)
         self.assertEqual(
-            (self.made.router.banned('c0'), json.loads(self.wire.value().splitlines()[-1])),
+            (self.made.router.is_suspended('c0'), json.loads(self.wire.value().splitlines()[-1])),
             (True, {'done': 7}),
         )
 
@@ -177,10 +177,11 @@
 
     def test_predecessor_accepts_again_after_successor_dies(self):
         self.receive(serves=True)
-        before = self.made.listener.yielded, self.made.router.handed
+        before = self.made.listener.accepting_elsewhere, self.made.router.handed
         self.successor.connectionLost()
         self.assertEqual(
-            (before, self.made.listener.yielded, self.made.router.handed), ((True, True), False, False)
+            (before, self.made.listener.accepting_elsewhere, self.made.router.handed),
+            ((True, True), False, False),
         )
         self.assertGreater(self.made.listener.budget, 100)
 
@@ -208,7 +209,7 @@
         super().setUp()
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
-        self.made = unbegun(operator='127.0.0.1:9001')
+        self.made = unstarted_node(operator='127.0.0.1:9001')
         self.made.reactor.connectUNIX = lambda *given, **named: None
         name = PREFIX % crc32(repr((self.made.place.name, self.made.place.listen)).encode())
         with socket.socket(socket.AF_UNIX) as predecessor:
@@ -225,7 +226,7 @@
         path = os.path.join(self.folder.name, 'page.json')
         with open(path, 'w', encoding='utf-8') as file:
             file.write(page(discovery='127.0.0.1:8501'))
-        self.made.reread(path)
+        self.made.reload(path)
         before = len(self.made.reactor.tcpClients)
         self.made.reactor.advance(1.1)
         self.assertEqual(
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -8,7 +8,7 @@
 
 from lilacdyke.net.discovery import Entry
 from lilacdyke.net.handover import process_start
-from lilacdyke.net.logs import Sparse
+from lilacdyke.net.logs import RateLimitFilter
 from lilacdyke.net.sockets import Reactor
 from lilacdyke.net.starts import StartTimes
 from lilacdyke.values import SECOND
@@ -76,7 +76,7 @@
     def test_repeated_warnings_resume_after_monotonic_minute(self):
         now, record = [100.0], logging.LogRecord('x', logging.WARNING, '', 0, 'same', (), None)
         with mock.patch('lilacdyke.net.logs.System.elapsed', lambda: now[0]):
-            sparse = Sparse()
+            sparse = RateLimitFilter()
             self.assertEqual([sparse.filter(record) for _ in range(7)], [True] * 5 + [False] * 2)
             record.created -= HOUR
             self.assertFalse(sparse.filter(record))
@@ -89,11 +89,11 @@
 
     NOW, UNIX_S = 500 * SECOND, 1_700_000_000
 
-    def age_of(self, ahead_s, age_s, last_word):
+    def age_of(self, ahead_s, age_s, last_line_at):
         """Return the age, in seconds, of a server of age age_s at a node whose clock is ahead by ahead_s."""
         times = StartTimes(self.NOW - int((self.UNIX_S + ahead_s) * SECOND))
         listed = Entry(entry('c0', startedAtMs=(self.UNIX_S - age_s) * 1_000))
-        first = times.of(listed, self.NOW, last_word)
+        first = times.of(listed, self.NOW, last_line_at)
         self.assertEqual(times.of(listed, self.NOW + SECOND, self.NOW), first)  # listed again
         return (self.NOW - first) / SECOND
 
@@ -121,7 +121,7 @@
         predecessor.reactor.advance(5)
         successor.reactor.advance(5)
         successor.starts.offset += int(HOUR * SECOND)  # it started after a step of the wall clock
-        successor.inherit(predecessor.legacy())
+        successor.import_state(predecessor.export_state())
         since, back = successor.router.hand['c0']
         self.assertIsNone(back)
         self.assertAlmostEqual(successor.clock() - since, 5 * SECOND, delta=10)
--- a/tests/trial/test_holders.py
+++ b/tests/trial/test_holders.py
@@ -9,9 +9,9 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from lilacdyke.plan.book import Book, step
+from lilacdyke.plan.book import VoterFile, step
 from lilacdyke.trial import holders
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 from ..test_upgrade import free
 
@@ -145,18 +145,18 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.book = Book(folder.name, 'p0')
+        self.book = VoterFile(folder.name, 'p0')
 
     def test_what_was_written_last_is_read_and_a_half_written_one_beside_it_is_not(self):
         self.book.write(7, ['p0'], 100)
         self.book.write(1_000, ['p0', 'p1'], 200)
         with open(self.book.path + '.new', 'w', encoding='utf-8') as file:
             file.write('{"vers')
-        found = Book(self.book.folder, 'p0').read()
+        found = VoterFile(self.book.folder, 'p0').read()
         self.assertEqual((found.bound, found.voters, found.lease), (1_000, ['p0', 'p1'], 200))
 
     def test_what_cannot_be_read_is_never_an_empty_one(self):
-        with self.assertRaises(BadLine):
+        with self.assertRaises(InvalidValueError):
             self.book.read()
         for text in (
             '',
@@ -169,7 +169,7 @@
         ):
             with open(self.book.path, 'w', encoding='utf-8') as file:
                 file.write(text)
-            with self.subTest(text=text), self.assertRaises(BadLine):
+            with self.subTest(text=text), self.assertRaises(InvalidValueError):
                 self.book.read()
 
     def test_voters_change_one_at_a_time(self):
@@ -200,7 +200,7 @@
             process.kill()
             process.communicate()
             self.assertIn('"does not vote"', line)
-        self.assertEqual(Book(self.book.folder, 'p0').read().bound, 5)
+        self.assertEqual(VoterFile(self.book.folder, 'p0').read().bound, 5)
 
 
 if __name__ == '__main__':
--- a/tests/trial/test_soak.py
+++ b/tests/trial/test_soak.py
@@ -9,7 +9,7 @@
 
 from lilacdyke.changes.messages import Change, Item
 from lilacdyke.changes.store import Store
-from lilacdyke.changes.writer import Begun, Put
+from lilacdyke.changes.writer import EpochBegun, Put
 from lilacdyke.trial import soak
 
 SECONDS, NODES = 8.0, 3
@@ -36,7 +36,7 @@
     def judged(self, kept, told):
         with tempfile.TemporaryDirectory() as folder:
             store = Store(folder)
-            store.keep(Begun(1))
+            store.keep(EpochBegun(1))
             for value in kept:
                 store.keep(Put(Change(value, 'config', [Item('limit', str(value))], value)))
             store.close()
