--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -102,10 +102,10 @@
         probably misses, and is retried only if the origin accepts it."""
         if not tx.hops or tx.missed:
             return True
-        if tx.read and self.origin and not self.accepts_read(now, tx, self.origin, self.chance()):
+        if tx.read and self.origin and not self.accepts_read(now, tx, self.origin, self.uniform()):
             return False
         if not tx.hops[-1].ran:
-            return self.chance() >= 2 * (self.failure_ratio() - OVERLOAD_RATIO)
+            return self.uniform() >= 2 * (self.failure_ratio() - OVERLOAD_RATIO)
         cost = 0 if tx.hops[-1].failed and self.failure_ratio() < OVERLOAD_RATIO else 1
         if self.retry_budget < cost:
             return False
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -147,7 +147,7 @@
     """All servers that a node knows, with the measurements over them."""
 
     def __init__(self, terms, seed):
-        self.terms, self.chance = terms, Random(seed).random
+        self.terms, self.uniform = terms, Random(seed).random
         self.goal = min(profile.goal for profile in terms.profiles)
         self.unit = max(1, self.goal // 32)
         self.caches, self.origin, self.known = [], None, {}
@@ -186,7 +186,7 @@
         requests stay more frequent than terms.list_request_within demands."""
         self.failures += 1
         wait = min(self.terms.list_request_within // 4, self.goal << min(self.failures, 8))
-        self.list_request_at = now + int(wait * (0.5 + self.chance()))
+        self.list_request_at = now + int(wait * (0.5 + self.uniform()))
         self.set_timer(self.list_request_at, None)
 
     def list_entry(self, now, server, state, weight, started, zone, cell):
@@ -199,7 +199,7 @@
             server.started = started
             server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.capacity_factor(now, server))
             server.lag, server.hedge_timer = self.lag, HedgeTimer(self.unit)
-            server.cold_credit, server.credit_updated = self.chance(), now
+            server.cold_credit, server.credit_updated = self.uniform(), now
         server.told, server.weight, server.zone, server.cell = state, weight, zone, cell
         server.state = 'banned' if back is None and state == 'ready' else state
         self.known[server.name] = server
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -41,13 +41,13 @@
 def at_random(router, now, tx):
     """Any."""
     servers = able(router, now, tx)
-    return servers[int(router.chance() * len(servers))] if servers else None
+    return servers[int(router.uniform() * len(servers))] if servers else None
 
 
 def least(router, now, tx):
     """The one with the fewest of this node's hops out."""
     servers = able(router, now, tx)
-    return min(servers, key=lambda server: (server.out, router.chance())) if servers else None
+    return min(servers, key=lambda server: (server.out, router.uniform())) if servers else None
 
 
 def in_turn(router, now, tx):
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -1,7 +1,7 @@
 """Deliberately broken planners, limits and verdicts, as broken_nodes.py has nodes.
 
-put(owner, name, value) replaces an attribute until the run is over; chance() draws from the run's own source.
-Must never outlive a run.
+put(owner, name, value) replaces an attribute until the run is over; uniform() draws from the run's own
+source. Must never outlive a run.
 """
 
 from ..known import NO_FLEET_BOUNDS
@@ -16,11 +16,11 @@
 from ..plan.view import View
 
 
-def part_spent_twice(put, chance):
+def part_spent_twice(put, uniform):
     put(ForwarderLedger, 'given', lambda self, now, key: 0)
 
 
-def lease_past_its_end(put, chance):
+def lease_past_its_end(put, uniform):
     put(
         ForwarderLedger,
         'leased',
@@ -30,11 +30,11 @@
     )
 
 
-def tokens_not_taken(put, chance):
+def tokens_not_taken(put, uniform):
     put(Shares, 'spend', staticmethod(lambda limit, spent: None))
 
 
-def bucket_without_bound(put, chance):
+def bucket_without_bound(put, uniform):
     def fill(self, now, may):
         self.tokens += may * max(0, now - self.dated) * 20
         self.dated = now
@@ -42,7 +42,7 @@
     put(Usage, 'fill', fill)
 
 
-def seat_held_twice(put, chance):
+def seat_held_twice(put, uniform):
     usual = Share.lock_seat
 
     def lock_seat(self, ignored):
@@ -57,7 +57,7 @@
     put(Share, 'lock_seat', lock_seat)
 
 
-def bank_forgets_leases(put, chance):
+def bank_forgets_leases(put, uniform):
     usual = PlannerLedger.plan
 
     def plan(self, now, holder):
@@ -68,7 +68,7 @@
     put(PlannerLedger, 'plan', plan)
 
 
-def waits_for_a_plan(put, chance):
+def waits_for_a_plan(put, uniform):
     usual, heard = Shares.admit, {}
 
     def planned(self, now, name, plan):
@@ -88,7 +88,7 @@
     )
 
 
-def planner_lends_at_once(put, chance):
+def planner_lends_at_once(put, uniform):
     usual = PlannerLedger.__init__
 
     def begin(self, *given):
@@ -98,21 +98,21 @@
     put(PlannerLedger, '__init__', begin)
 
 
-def limit_read_once(put, chance):
+def limit_read_once(put, uniform):
     put(Planner, 'reload', lambda self, fleet: None)
     put(Planner, 'hear', lambda self, edition, mosts: None)
 
 
-def links_not_counted(put, chance):
+def links_not_counted(put, uniform):
     put(Shares, 'linked', lambda self, now, server, more: None)
 
 
-def cold_not_asked(put, chance):
+def cold_not_asked(put, uniform):
     usual = Shares.allows
     put(Shares, 'allows', lambda self, now, server, cold: usual(self, now, server, False))
 
 
-def smaller_lease_held(put, chance):
+def smaller_lease_held(put, uniform):
     usual = ForwarderLedger.digest
     put(
         ForwarderLedger,
@@ -121,7 +121,7 @@
     )
 
 
-def plan_without_age(put, chance):
+def plan_without_age(put, uniform):
     usual = ForwarderLedger.planned
 
     def planned(self, now, planner, plan):
@@ -139,12 +139,12 @@
 # --- verdicts ---------------------------------------------------------------------------------------------
 
 
-def age_not_carried(put, chance):
+def age_not_carried(put, uniform):
     usual = Verdict.plain
     put(Verdict, 'plain', lambda self, now: [*usual(self, now)[:7], 0, *usual(self, now)[8:]])
 
 
-def evidence_as_it_came(put, chance):
+def evidence_as_it_came(put, uniform):
     put(Planner, 'left', lambda self, now, digest: now if digest['stamp'] is not None else None)
     usual = Seen.report
     put(
@@ -157,7 +157,7 @@
     )
 
 
-def evidence_twice(put, chance):
+def evidence_twice(put, uniform):
     usual = VerdictTracker.told
 
     def told(self, left, seat, site, life, seq, report):
@@ -167,25 +167,25 @@
     put(VerdictTracker, 'told', told)
 
 
-def one_witness(put, chance):
+def one_witness(put, uniform):
     put(verdicts, 'MIN_WITNESSES', 1)
 
 
-def harm_unbounded(put, chance):
+def harm_unbounded(put, uniform):
     put(belief, 'MAX_RESTRAINED_SHARE', 1.0)
     put(belief, 'MAX_RESTRAINED_SITE_SHARE', 1.0)
 
 
-def own_eyes_ignored(put, chance):
+def own_eyes_ignored(put, uniform):
     put(ActiveVerdicts, 'observe', lambda self, now, server, well: None)
 
 
-def verdict_endless(put, chance):
+def verdict_endless(put, uniform):
     usual = ActiveVerdicts.planned
     put(ActiveVerdicts, 'planned', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
 
 
-def way_for_all(put, chance):
+def way_for_all(put, uniform):
     usual = VerdictTracker.verdicts
 
     def told(self, now):
@@ -197,7 +197,7 @@
     put(VerdictTracker, 'verdicts', told)
 
 
-def brought_back(put, chance):
+def brought_back(put, uniform):
     usual = View.look
 
     def look(self, now):
@@ -210,7 +210,7 @@
     put(View, 'look', look)
 
 
-def tries_not_counted(put, chance):
+def tries_not_counted(put, uniform):
     put(View, 'out', lambda self, now, server: False)
 
 
--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -1,7 +1,7 @@
 """Deliberately broken nodes: each function is a small patch for the length of one run.
 
-put(owner, name, value) replaces an attribute until the run is over; chance() draws from the run's own source.
-Must never outlive a run.
+put(owner, name, value) replaces an attribute until the run is over; uniform() draws from the run's own
+source. Must never outlive a run.
 """
 
 from .. import logic
@@ -19,7 +19,7 @@
 from .reactor import SimReactor
 
 
-def drain_ignored(put, chance):
+def drain_ignored(put, uniform):
     usual = Router.list_entry
     put(
         Router,
@@ -30,7 +30,7 @@
     )
 
 
-def gone_ignored(put, chance):
+def gone_ignored(put, uniform):
     usual = Router.list_entry
     put(
         Router,
@@ -57,23 +57,23 @@
     return called
 
 
-def leavers_served(put, chance):
+def leavers_served(put, uniform):
     put(ClientConnection, 'left', lambda self: False)
 
 
-def window_ignored(put, chance):
+def window_ignored(put, uniform):
     put(Router, 'permitted', under(Router.permitted, lambda self, tx: tx.profile, 'window', 1 << 40))
 
 
-def group_ignored(put, chance):
+def group_ignored(put, uniform):
     put(Router, 'permitted', under(Router.permitted, lambda self, tx: tx.profile, 'group', 'all'))
 
 
-def lost_is_never_ran(put, chance):
+def lost_is_never_ran(put, uniform):
     put(logic, 'NEVER_RAN', logic.NEVER_RAN + ('lost', 'error'))
 
 
-def left_forgotten(put, chance):
+def left_forgotten(put, uniform):
     usual = Link.connectionLost
 
     def lost(self, reason=None):
@@ -83,11 +83,11 @@
     put(Link, 'connectionLost', lost)
 
 
-def answer_dropped(put, chance):
+def answer_dropped(put, uniform):
     usual = ClientConnection.reply
 
     def reply(self, pieces):
-        if chance() < 0.02:
+        if uniform() < 0.02:
             self.active = None
         else:
             usual(self, pieces)
@@ -95,37 +95,37 @@
     put(ClientConnection, 'reply', reply)
 
 
-def answer_doubled(put, chance):
+def answer_doubled(put, uniform):
     usual = ClientConnection.reply
-    put(ClientConnection, 'reply', lambda self, pieces: usual(self, pieces * (1 + (chance() < 0.02))))
+    put(ClientConnection, 'reply', lambda self, pieces: usual(self, pieces * (1 + (uniform() < 0.02))))
 
 
-def answers_mixed(put, chance):
+def answers_mixed(put, uniform):
     usual, last = http.relayed, [None]
 
     def relayed(message, keep_alive):
-        given, last[0] = last[0] if last[0] and chance() < 0.02 else message, message
+        given, last[0] = last[0] if last[0] and uniform() < 0.02 else message, message
         return usual(given, keep_alive)
 
     put(http, 'relayed', relayed)
 
 
-def answer_cut_short(put, chance):
+def answer_cut_short(put, uniform):
     usual = http.relayed
 
     def relayed(message, keep_alive):
-        if chance() < 0.02:
+        if uniform() < 0.02:
             message.body = message.body[:-1]
         return usual(message, keep_alive)
 
     put(http, 'relayed', relayed)
 
 
-def cold_flooded(put, chance):
+def cold_flooded(put, uniform):
     put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
-def credit_endless(put, chance):
+def credit_endless(put, uniform):
     usual = Router.cold_budget_allows
 
     def cold_budget_allows(self, now, server):
@@ -136,7 +136,7 @@
     put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
-def clock_mistaken(put, chance):
+def clock_mistaken(put, uniform):
     put(
         StartTimes,
         'of',
@@ -146,34 +146,34 @@
     )
 
 
-def timers_on_wall_time(put, chance):
+def timers_on_wall_time(put, uniform):
     put(SimReactor, 'seconds', lambda self: self.monotonic() + self.ahead)
 
 
-def blames_servers(put, chance):
+def blames_servers(put, uniform):
     put(caches, 'local_errno', lambda failure: None)
 
 
-def hop_leaked(put, chance):
+def hop_leaked(put, uniform):
     usual = Router.hop_ended
 
     def hop_ended(self, now, hop, *rest):
         usual(self, now, hop, *rest)
-        hop.server.out += chance() < 0.02
+        hop.server.out += uniform() < 0.02
 
     put(Router, 'hop_ended', hop_ended)
 
 
-def slot_leaked(put, chance):
+def slot_leaked(put, uniform):
     usual = Table.remove
-    put(Table, 'remove', lambda self, number: usual(self, number) if chance() > 0.01 else None)
+    put(Table, 'remove', lambda self, number: usual(self, number) if uniform() > 0.01 else None)
 
 
-def descriptor_leaked(put, chance):
+def descriptor_leaked(put, uniform):
     usual = Link.close
 
     def close(self, why):
-        if self.transport is not None and self.left and chance() < 0.5:
+        if self.transport is not None and self.left and uniform() < 0.5:
             self.pool.forget(self)
         else:
             usual(self, why)
@@ -181,16 +181,16 @@
     put(Link, 'close', close)
 
 
-def change_missed(put, chance):
+def change_missed(put, uniform):
     usual = Discovery.told
     put(
         Discovery,
         'told',
-        lambda self, lines: usual(self, lines if lines[1] or chance() < 0.5 else (lines[0], lines[1], [])),
+        lambda self, lines: usual(self, lines if lines[1] or uniform() < 0.5 else (lines[0], lines[1], [])),
     )
 
 
-def versions_skipped(put, chance):
+def versions_skipped(put, uniform):
     usual = Discovery.open
 
     def open_(self):
@@ -201,51 +201,51 @@
     put(Discovery, 'open', open_)
 
 
-def asks_when_told_to(put, chance):
+def asks_when_told_to(put, uniform):
     put(Discovery, 'retry', lambda self, turn: None)
 
 
-def cut_at_the_limit(put, chance):
+def cut_at_the_limit(put, uniform):
     put(Download, 'due', Download.abort_both)
 
 
-def held_past_the_limit(put, chance):
+def held_past_the_limit(put, uniform):
     put(Link, 'has_partial_answer', property(lambda self: False))
 
 
-def held_without_limit(put, chance):
+def held_without_limit(put, uniform):
     put(Upload, 'due', lambda self: None)
 
 
-def wakeup_lost(put, chance):
+def wakeup_lost(put, uniform):
     usual = Deadlines.at
     put(
         Deadlines,
         'at',
-        lambda self, when, call, number: usual(self, when, call, number) if chance() > 0.05 else None,
+        lambda self, when, call, number: usual(self, when, call, number) if uniform() > 0.05 else None,
     )
 
 
-def limit_ignored(put, chance):
+def limit_ignored(put, uniform):
     put(Node, 'limit_due', lambda self, number: None)
 
 
-def loser_kept(put, chance):
+def loser_kept(put, uniform):
     put(Node, 'do_cancel', lambda self, hop: None)
 
 
-def body_changed(put, chance):
+def body_changed(put, uniform):
     usual = http.request
 
     def request(message, wait):
-        if message.body and chance() < 0.1:
+        if message.body and uniform() < 0.1:
             message.body = message.body[:-1] + b'!'
         return usual(message, wait)
 
     put(caches, 'request', request)
 
 
-def always_harmless(put, chance):
+def always_harmless(put, uniform):
     usual = Router.give_up
 
     def give_up(self, now, tx, why=None):
@@ -254,38 +254,38 @@
     put(Router, 'give_up', give_up)
 
 
-def hop_doubled(put, chance):
+def hop_doubled(put, uniform):
     usual = Caches.send
 
     def send(self, server, message, until, *rest):
-        if chance() < 0.05:
+        if uniform() < 0.05:
             usual(self, server, message, until, *rest)
         return usual(self, server, message, until, *rest)
 
     put(Caches, 'send', send)
 
 
-def hops_unbounded(put, chance):
+def hops_unbounded(put, uniform):
     for name in ('permitted', 'step'):
         put(Router, name, under(getattr(Router, name), lambda self, tx: self.terms, 'max_hops', 50))
 
 
-def leaves_at_once(put, chance):
+def leaves_at_once(put, uniform):
     put(Node, 'drain', lambda self, signum=15: self.reactor.stop())
 
 
-def counts_wrongly(put, chance):
+def counts_wrongly(put, uniform):
     usual = Node.count
 
     def count(self, what):
         usual(self, what)
-        if what == 'committed' and chance() < 0.02:
+        if what == 'committed' and uniform() < 0.02:
             usual(self, what)
 
     put(Node, 'count', count)
 
 
-def framings_chosen(put, chance):
+def framings_chosen(put, uniform):
     usual = http.Reader.frame
 
     def frame(self, message):
@@ -296,11 +296,11 @@
     put(http.Reader, 'frame', frame)
 
 
-def silent_kept(put, chance):
+def silent_kept(put, uniform):
     put(Phases, 'make_room', lambda self, places, need: None)
 
 
-def noise_raises(put, chance):
+def noise_raises(put, uniform):
     usual = http.read_head
 
     def read_head(buffer, end, first):
@@ -312,16 +312,16 @@
     put(http, 'read_head', read_head)
 
 
-def missing_is_served(put, chance):
+def missing_is_served(put, uniform):
     usual = caches.ending
     put(
         caches,
         'ending',
-        lambda answer: 'committed' if answer.parts[1] == b'404' and chance() < 0.2 else usual(answer),
+        lambda answer: 'committed' if answer.parts[1] == b'404' and uniform() < 0.2 else usual(answer),
     )
 
 
-def half_is_whole(put, chance):
+def half_is_whole(put, uniform):
     usual = Link.connectionLost
 
     def lost(self, reason=None):
@@ -334,7 +334,7 @@
     put(Link, 'connectionLost', lost)
 
 
-def slots_reused(put, chance):
+def slots_reused(put, uniform):
     usual = Table.add
 
     def add(self, what):
@@ -346,7 +346,7 @@
     put(Table, 'add', add)
 
 
-def ban_lost(put, chance):
+def ban_lost(put, uniform):
     usual = Router.list_entry
 
     def list_entry(self, now, server, state, *rest):
@@ -357,7 +357,7 @@
     put(Router, 'list_entry', list_entry)
 
 
-def copy_to_suspended(put, chance):
+def copy_to_suspended(put, uniform):
     usual = Router.pick
 
     def pick(self, now, tx):
@@ -370,7 +370,7 @@
     put(Router, 'pick', pick)
 
 
-def back_as_warm(put, chance):
+def back_as_warm(put, uniform):
     usual = Router.resume
 
     def resume(self, now, name):
@@ -384,12 +384,12 @@
     put(Router, 'capacity_factor', lambda self, now, server: 1)
 
 
-def idle_kept(put, chance):
+def idle_kept(put, uniform):
     put(Node, 'close_idle_clients', lambda self, since: None)
     put(Phases, 'make_room', lambda self, places, need: None)  # else they go after 2.5 s of rest all the same
 
 
-def never_away(put, chance):
+def never_away(put, uniform):
     usual = Node.ready
 
     def ready(self):
@@ -400,7 +400,7 @@
     put(Node, 'ready', ready)
 
 
-def never_back(put, chance):
+def never_back(put, uniform):
     put(Node, 'activate', lambda self: True)
 
 
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -92,7 +92,7 @@
         """Whether this ground has such a trouble."""
         return self.stage.ground.simulated and kind not in RELAYS or kind not in NETWORK + RELAYS
 
-    def targets(self, event, chance):
+    def targets(self, event, rng):
         """The numbers it meets: those named, or drawn from those there are."""
         if event.what:
             return list(event.what)
@@ -105,7 +105,7 @@
             pool = list(range(len(stage.zones)))
         else:
             pool = [server.number for server in self.caches()]
-        return sorted(chance.sample(pool, min(event.count, len(pool))))
+        return sorted(rng.sample(pool, min(event.count, len(pool))))
 
     def caches(self):
         """The cache servers at work."""
@@ -115,11 +115,11 @@
         """One event begins."""
         if self.stage.closing:
             return
-        stage, chance = self.stage, self.stage.chance('event %d' % index)
-        what = self.targets(event, chance) if event.kind in TARGETS else []
+        stage, rng = self.stage, self.stage.random_source('event %d' % index)
+        what = self.targets(event, rng) if event.kind in TARGETS else []
         span = int(event.for_s * 1e6)
         stage.see('fault', event.kind, ','.join(map(str, what)), stage.clock() + span)
-        getattr(self, 'do_' + event.kind)(index, event, what, span, chance)
+        getattr(self, 'do_' + event.kind)(index, event, what, span, rng)
 
     def numbered(self, what):
         """Servers by number, those still there."""
@@ -133,35 +133,35 @@
             setattr(thing, field, value)
         self.stage.later(span, lambda: [setattr(thing, field, back) for thing in things])
 
-    def do_slow(self, index, event, what, span, chance):
+    def do_slow(self, index, event, what, span, rng):
         self.set([server.model for server in self.numbered(what)], 'slow', event.size, 1.0, span)
 
-    def do_fetch_slow(self, index, event, what, span, chance):
+    def do_fetch_slow(self, index, event, what, span, rng):
         self.set([self.stage.fleet.origin], 'slow', event.size, 1.0, span)
 
-    def do_hung(self, index, event, what, span, chance):
+    def do_hung(self, index, event, what, span, rng):
         models = [server.model for server in self.numbered(what)]
         for model in models:
             model.hung = True
         self.stage.later(span, lambda: [model.end_hang() for model in models])
 
-    def do_garbled(self, index, event, what, span, chance):
+    def do_garbled(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'garbled', min(1.0, event.size / 10), 0.0, span)
 
-    def do_halved(self, index, event, what, span, chance):
+    def do_halved(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'halved', min(1.0, event.size / 10), 0.0, span)
 
-    def do_extra(self, index, event, what, span, chance):
+    def do_extra(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'extra', min(1.0, event.size / 10), 0.0, span)
 
-    def do_crash(self, index, event, what, span, chance):
+    def do_crash(self, index, event, what, span, rng):
         """The process dies and comes back cold."""
         for server in self.numbered(what):
             if server.port is not None:
                 server.close('crashed')
                 self.stage.later(span, server.restart)
 
-    def do_refuse(self, index, event, what, span, chance):
+    def do_refuse(self, index, event, what, span, rng):
         """Its port is closed for a while; connections that are open go on."""
         for server in self.numbered(what):
             if server.port is not None:
@@ -173,14 +173,14 @@
         if server.port is None and not self.stage.closing and self.stage.is_member(server.name):
             server.port = self.stage.listen(server, server.address)
 
-    def do_miss(self, index, event, what, span, chance):
+    def do_miss(self, index, event, what, span, rng):
         """Kept values go void all over."""
         for server in self.caches():
             for key in list(server.model.kept):
-                if chance.random() < min(1.0, event.size / 10):
+                if rng.random() < min(1.0, event.size / 10):
                     server.model.void(key)
 
-    def do_drain(self, index, event, what, span, chance):
+    def do_drain(self, index, event, what, span, rng):
         """They drain, go, and do not come back."""
         for server in self.numbered(what):
             self.drain(server, span)
@@ -224,7 +224,7 @@
         made.open()
         stage.roster.put(name, 'ready')
 
-    def do_replace(self, index, event, what, span, chance):
+    def do_replace(self, index, event, what, span, rng):
         """Each goes without a drain, and a successor under a new name comes up at its address, cold."""
         for server in self.numbered(what):
             if self.stage.is_member(server.name) and not server.model.draining:
@@ -232,7 +232,7 @@
                 self.remove(server)
                 self.stage.later(50_000, self.join, server, True)  # its port is free by then
 
-    def do_deploy(self, index, event, what, span, chance):
+    def do_deploy(self, index, event, what, span, rng):
         """A rolling deploy: a part of the fleet (size in tenths), `count` at a time, over the span."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         picked = all_[: max(1, int(len(all_) * min(10, event.size) / 10))]
@@ -248,7 +248,7 @@
                 self.join(server)
                 self.drain(server, span)
 
-    def do_shrink(self, index, event, what, span, chance):
+    def do_shrink(self, index, event, what, span, rng):
         """The fleet shrinks by a part (size in tenths), evenly over the span."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         leaving = all_[len(all_) - min(len(all_) - 1, int(len(all_) * event.size / 10)) :]
@@ -257,7 +257,7 @@
 
     # --- by hand ----------------------------------------------------------------------------------------
 
-    def do_suspend(self, index, event, what, span, chance):
+    def do_suspend(self, index, event, what, span, rng):
         """Staff takes them out at every node, restarts them meanwhile, and calls them back."""
         for server in self.numbered(what):
             for place in self.stage.places:
@@ -275,7 +275,7 @@
             self.stage.see('hand', place.name, 'back', server.name)
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
-    def do_away(self, index, event, what, span, chance):
+    def do_away(self, index, event, what, span, rng):
         """Staff has nodes emptied; the front sees it a moment later. They are called back after 4.5 s at the
         least."""
         for place in self.places(what):
@@ -319,7 +319,7 @@
     def network(self):
         return self.stage.ground.network
 
-    def do_cut(self, index, event, what, span, chance):
+    def do_cut(self, index, event, what, span, rng):
         """Sites are cut off from the others, without a word; each is whole within."""
         for number in what:
             zone = self.stage.zones[number]
@@ -331,7 +331,7 @@
             self.network.cut((index, number), apart)
             self.stage.later(span, self.network.end_cut, (index, number))
 
-    def do_site_cut(self, index, event, what, span, chance):
+    def do_site_cut(self, index, event, what, span, rng):
         """The nodes of one site are cut off from these servers, and from nothing else."""
         zone = self.stage.zones[index % len(self.stage.zones)]
         hosts = frozenset(place.address[0] for place in self.stage.places if place.zone == zone)
@@ -339,7 +339,7 @@
             self.network.apart[index, server.name] = (server.address[0], hosts)
             self.stage.later(span, self.together, (index, server.name))
 
-    def do_vanish(self, index, event, what, span, chance):
+    def do_vanish(self, index, event, what, span, rng):
         """Machines are gone without a word, and come back cold."""
         for server in self.numbered(what):
             host = server.address[0]
@@ -348,7 +348,7 @@
             self.stage.later(span, self.network.restore, host)
             self.stage.later(span, server.restart)
 
-    def do_delay(self, index, event, what, span, chance):
+    def do_delay(self, index, event, what, span, rng):
         """Bytes to and from them travel longer: size in milliseconds."""
         slower = self.stage.ground.slower
         hosts = [server.address[0] for server in self.numbered(what)]
@@ -356,14 +356,14 @@
             slower[host] = int(event.size * 1_000)
         self.stage.later(span, lambda: [slower.pop(host, None) for host in hosts])
 
-    def do_resets(self, index, event, what, span, chance):
+    def do_resets(self, index, event, what, span, rng):
         """Connections to them are reset at any byte: size in hundredths a message."""
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
-            self.network.resets[host] = (min(1.0, event.size / 100), chance)
+            self.network.resets[host] = (min(1.0, event.size / 100), rng)
         self.stage.later(span, lambda: [self.network.resets.pop(host, None) for host in hosts])
 
-    def do_dribble(self, index, event, what, span, chance):
+    def do_dribble(self, index, event, what, span, rng):
         """The nodes' system takes few bytes of each send."""
         taken = [self.stage.places[number].running for number in what]
         processes = [running.process for running in taken if running is not None]
@@ -371,7 +371,7 @@
             self.network.stuck[process] = max(1, int(event.size * 10))
         self.stage.later(span, lambda: [self.network.stuck.pop(process, None) for process in processes])
 
-    def do_deaf(self, index, event, what, span, chance):
+    def do_deaf(self, index, event, what, span, rng):
         """Full accept queues: connects to these servers are not answered."""
         hosts = [server.address[0] for server in self.numbered(what)]
         self.network.deaf.update(hosts)
@@ -382,13 +382,13 @@
     def places(self, what):
         return [self.stage.places[number] for number in what]
 
-    def do_kill(self, index, event, what, span, chance):
+    def do_kill(self, index, event, what, span, rng):
         """SIGKILL, and back after the span with its list of that time, which is old by then."""
         for place in self.places(what):
             self.stage.kill_node(place)
             self.stage.later(max(1, span), self.stage.start_node, place)
 
-    def do_term(self, index, event, what, span, chance):
+    def do_term(self, index, event, what, span, rng):
         """SIGTERM, and back after it has gone."""
         for place in self.places(what):
             self.stage.term_node(place)
@@ -400,7 +400,7 @@
         elif not self.stage.closing:
             self.stage.later(250_000, self.back, place)
 
-    def do_hup(self, index, event, what, span, chance):
+    def do_hup(self, index, event, what, span, rng):
         """SIGHUP with a page that names another address of discovery."""
         stage = self.stage
         for place in self.places(what):
@@ -412,13 +412,13 @@
                 agent.move((host, agent.address[1]))
                 place.running.hup(stage.page(place))
 
-    def do_standstill(self, index, event, what, span, chance):
+    def do_standstill(self, index, event, what, span, rng):
         """The process stands still; the system beneath it does not."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.freeze(span)
 
-    def do_clock(self, index, event, what, span, chance):
+    def do_clock(self, index, event, what, span, rng):
         """The machine's clock runs at `size` times the rate of the world's, by at most a part in five."""
         rate = min(1.2, max(0.8, event.size))
         for place in self.places(what):
@@ -427,13 +427,13 @@
                 running.reactor.drift(rate)
                 self.stage.later(span, running.reactor.drift, 1.0)
 
-    def do_step(self, index, event, what, span, chance):
+    def do_step(self, index, event, what, span, rng):
         """Its wall clock is stepped: so many seconds ahead."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.reactor.step(event.size)
 
-    def do_calls(self, index, event, what, span, chance):
+    def do_calls(self, index, event, what, span, rng):
         """Calls of the machine fail: which ones and how, `size` tells, by its place in OWN_FAILURES."""
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         for place in self.places(what):
@@ -448,7 +448,7 @@
         process.calls.add(rule)
         self.stage.later(span, process.calls.remove, rule)
 
-    def do_descriptors(self, index, event, what, span, chance):
+    def do_descriptors(self, index, event, what, span, rng):
         """Something else in the process holds all descriptors but a few."""
         for place in self.places(what):
             if place.running is not None:
@@ -462,25 +462,25 @@
     def planners(self, what):
         return [self.stage.planner_slots[number] for number in what]
 
-    def do_kill_planner(self, index, event, what, span, chance):
+    def do_kill_planner(self, index, event, what, span, rng):
         """SIGKILL, and back after the span with nothing."""
         for planner_slot in self.planners(what):
             self.stage.kill_planner(planner_slot)
             self.stage.later(max(1, span), self.stage.start_planner, planner_slot)
 
-    def do_stop_planner(self, index, event, what, span, chance):
+    def do_stop_planner(self, index, event, what, span, rng):
         """It stands still, and goes on with what it held."""
         for planner_slot in self.planners(what):
             if planner_slot.running is not None:
                 planner_slot.running.freeze(span)
 
-    def do_cut_planner(self, index, event, what, span, chance):
+    def do_cut_planner(self, index, event, what, span, rng):
         """Cut off from all, without a word."""
         for planner_slot in self.planners(what):
             self.network.cut((index, planner_slot.name), {planner_slot.address[0]})
             self.stage.later(span, self.network.end_cut, (index, planner_slot.name))
 
-    def do_part_planner(self, index, event, what, span, chance):
+    def do_part_planner(self, index, event, what, span, rng):
         """Cut off together with the first half of the nodes."""
         half = [place.address[0] for place in self.stage.places[: max(1, len(self.stage.places) // 2)]]
         for planner_slot in self.planners(what):
@@ -491,19 +491,19 @@
         self.network.apart.pop(number, None)
         self.network.release()
 
-    def do_late_planner(self, index, event, what, span, chance):
+    def do_late_planner(self, index, event, what, span, rng):
         """Bytes to and from them travel longer, in order: size in seconds."""
         hosts = [planner_slot.address[0] for planner_slot in self.planners(what)]
         self.stage.ground.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
         self.stage.later(span, lambda: [self.stage.ground.slower.pop(host, None) for host in hosts])
 
-    def do_planner_clock(self, index, event, what, span, chance):
+    def do_planner_clock(self, index, event, what, span, rng):
         """Its clock is up to a part in twenty fast or slow."""
         for planner_slot in self.planners(what):
             if planner_slot.running is not None:
                 planner_slot.running.reactor.drift(min(1.05, max(0.95, event.size)))
 
-    def do_lower(self, index, event, what, span, chance):
+    def do_lower(self, index, event, what, span, rng):
         """Operators lower a limit: size in tenths of what it was at first, but not under what seats own.
         After the span it is back."""
         bounds = self.stage.scenario.planning.bounds
@@ -512,7 +512,7 @@
             self.stage.lower(bound.name, max(bound.own, bound.most * min(10, event.size) / 10))
             self.stage.later(span, self.stage.lower, bound.name, bound.most)
 
-    def do_lie(self, index, event, what, span, chance):
+    def do_lie(self, index, event, what, span, rng):
         """It tells planners that all servers fail (size under 1), are slow (under 2), or are well."""
         for place in self.places(what):
             running = place.running
@@ -523,14 +523,14 @@
 
     # --- clients ----------------------------------------------------------------------------------------
 
-    def do_shift(self, index, event, what, span, chance):
+    def do_shift(self, index, event, what, span, rng):
         """Clients come to these nodes only."""
         self.set([self.stage], 'preferred_nodes', tuple(what), (), span)
 
-    def do_burst(self, index, event, what, span, chance):
+    def do_burst(self, index, event, what, span, rng):
         self.set([self.stage.load_generator], 'factor', event.size, 1.0, span)
 
-    def do_hot(self, index, event, what, span, chance):
+    def do_hot(self, index, event, what, span, rng):
         """`count` keys draw a part of all asked: size in hundredths."""
         self.set([self.stage.load_generator], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
 
@@ -539,23 +539,23 @@
     def agents(self, what):
         return [self.stage.agents[number] for number in what]
 
-    def do_silence(self, index, event, what, span, chance):
+    def do_silence(self, index, event, what, span, rng):
         for agent in self.agents(what):
             agent.set_silent(True)
             self.stage.later(span, agent.set_silent, False)
 
-    def do_lag(self, index, event, what, span, chance):
+    def do_lag(self, index, event, what, span, rng):
         """The list runs further behind, everywhere: size in seconds."""
         self.set(self.stage.agents, 'lag', int(event.size * 1e6), 0, span)
 
-    def do_stale(self, index, event, what, span, chance):
+    def do_stale(self, index, event, what, span, rng):
         """One agent's list runs behind."""
         self.set(self.agents(what), 'lag', int(event.size * 1e6), 0, span)
 
-    def do_cut_watch(self, index, event, what, span, chance):
+    def do_cut_watch(self, index, event, what, span, rng):
         for agent in self.agents(what):
             agent.cut(False)
 
-    def do_half_line(self, index, event, what, span, chance):
+    def do_half_line(self, index, event, what, span, rng):
         for agent in self.agents(what):
             agent.cut(True)
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -181,9 +181,13 @@
 
     def __init__(self, scenario, seed):
         self.scenario, self.world = scenario, World(seed)
-        self.later, self.drop, self.chance = self.world.later, self.world.cancel, self.world.chance
+        self.later, self.drop, self.random_source = (
+            self.world.later,
+            self.world.cancel,
+            self.world.random_source,
+        )
         self.slower, self.base_delays = {}, {}
-        self.jitter, self.jitter_share = self.chance('network').random, scenario.net.jitter
+        self.jitter, self.jitter_share = self.random_source('network').random, scenario.net.jitter
         self.network = Network(self.world, self.delay)
         self.stand_in_reactor = SimReactor(self.world, Process(self.network, 'rig', '127.9.0.1'), cost=(0, 0))
         self.stage, self.folder = None, None
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -203,7 +203,7 @@
         if timer.active():
             timer.cancel()
 
-    def chance(self, name):
+    def random_source(self, name):
         return Random('%s/%s' % (self.seed, name))
 
     def port(self, number):
--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -29,8 +29,8 @@
 
     def apply(self, ground):
         """Break the nodes of a run."""
-        chance = ground.chance('mutant').random
-        self.build(ground.put, chance)
+        uniform = ground.random_source('mutant').random
+        self.build(ground.put, uniform)
 
 
 MUTANTS = {
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -130,7 +130,7 @@
     def __init__(self, stage):
         self.stage, scenario = stage, stage.scenario
         self.behaviour, self.load = scenario.clients, scenario.load
-        self.rng = stage.chance('clients')
+        self.rng = stage.random_source('clients')
         self.draw = self.rng.random
         self.last_number, self.open = 0, 0
         self.factor, self.hot = 1.0, None  # rate multiplier; (number of hot keys, their share)
@@ -140,7 +140,7 @@
         self.tenants = list(accumulate(t.share * t.asks for t in scenario.tenants))
         self.idle = {}  # node -> idle connections, the latest used last
         self.replay = iter(self.load.replay_s)
-        self.stopped, self.id_prefix = False, stage.chance('names').getrandbits(32)
+        self.stopped, self.id_prefix = False, stage.random_source('names').getrandbits(32)
         self.until = int(scenario.length_s * 1e6)
 
     # --- arrivals ---------------------------------------------------------------------------------------
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -17,7 +17,7 @@
 
     def __init__(self, stage):
         self.stage, self.rows, self.version, self.agents = stage, {}, 1, []
-        self.rng = stage.chance('roster')
+        self.rng = stage.random_source('roster')
 
     def put(self, name, state, quiet=False, **fields):
         """Change a server's row. Each agent applies the change after its own delay, or at once if `quiet`."""
@@ -52,7 +52,7 @@
         self.coming, self.next_change_at = [], 0  # earliest time of the next change, to keep the order
         self.log = []  # (version, row) of applied changes
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
-        self.rng = stage.chance('agent ' + place.name)
+        self.rng = stage.random_source('agent ' + place.name)
         self.roster.agents.append(self)
         self.heartbeat_started = False
 
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -87,7 +87,7 @@
         self.garbled = self.halved = self.extra = 0.0  # share of answers with each fault
         self.refusing = False
         self.handshake = int(stage.scenario.caches.handshake_ms * 1_000)
-        self.rng = stage.chance('server ' + self.name)
+        self.rng = stage.random_source('server ' + self.name)
         model.on_fall = self.fall
 
     def buildProtocol(self, addr):
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -52,7 +52,7 @@
     def __init__(self, scenario, seed, ground):
         self.scenario, self.seed, self.ground = scenario, seed, ground
         self.clock, self.later, self.drop = ground.clock, ground.later, ground.drop
-        self.listen, self.connect, self.chance = ground.listen, ground.connect, ground.chance
+        self.listen, self.connect, self.random_source = ground.listen, ground.connect, ground.random_source
         self.recorder = Recorder(ground.clock)
         self.see = self.recorder.see
         self.profiles = {profile.name: profile for profile in scenario.profiles}
@@ -191,7 +191,7 @@
             self.clock,
             self.later,
             self.drop,
-            self.chance('model ' + name),
+            self.random_source('model ' + name),
             self.see,
             started,
             origin,
@@ -217,11 +217,11 @@
 
     def warm_caches(self):
         """Fill the caches with a random share of all keys, the popular ones first."""
-        scenario, chance = self.scenario, self.chance('warm')
+        scenario, rng = self.scenario, self.random_source('warm')
         names = sorted(self.fleet.servers)
         for rank in range(scenario.load.keys):
             for name in names:
-                if chance.random() < scenario.caches.warm_share:
+                if rng.random() < scenario.caches.warm_share:
                     self.fleet.servers[name].store('k%d' % rank, 0)
 
     def client_address(self, place):
@@ -256,7 +256,7 @@
             'listen': '%s:%d' % (place.address[0], self.ground.port(place.address[1])),
             'operator': '%s:%d' % (place.operator_address[0], self.ground.port(place.operator_address[1])),
             'discovery': '%s:%d' % (agent.address[0], self.ground.port(agent.address[1])),
-            'seed': '%016x' % self.chance('seed %s %d' % (place.name, self.number())).getrandbits(64),
+            'seed': '%016x' % self.random_source('seed %s %d' % (place.name, self.number())).getrandbits(64),
             'limits': {
                 'cores': 1.0,
                 'memory_mb': scenario.limits.memory_mb,
--- a/lilacdyke/lab/world.py
+++ b/lilacdyke/lab/world.py
@@ -19,7 +19,7 @@
         self.now, self.heap, self.sequence, self.seed, self.done = 0, [], 0, seed, 0
         self.current_reactor = None  # the reactor that is running
 
-    def chance(self, name):
+    def random_source(self, name):
         """Return a separate random source for each name, so that a draw by one component does not affect
         the others."""
         return Random('%s/%s' % (self.seed, name))
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -83,7 +83,7 @@
         """Accept a transaction that reached the node at `since`; it gets exactly one final answer."""
         self.arrived, self.interval = now, (7 * self.interval + now - self.arrived) / 8 if self.arrived else 0
         self.gets_hops_often = 3 * self.interval * len(self.caches) <= 2 * self.goal
-        key_hash = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
+        key_hash = crc32(key.encode()) if key is not None else int(self.uniform() * (1 << 32))
         tx = Tx(self.terms.profiles[row], key, key_hash, since, limit, write)
         tx.refused = self.shares and self.shares.admit(now, tx.profile)
         tx.hedgeable = self.terms.may_hedge and tx.read  # only idempotent reads are hedged
@@ -288,7 +288,7 @@
         if leader is not None and leader is not tx and len(tx.hops) < self.terms.max_hops - 1:
             self.followers.setdefault(tx.key, []).append(tx)
             return self.hold(tx)
-        if not self.origin or not self.accepts_read(now, tx, self.origin, self.chance()):
+        if not self.origin or not self.accepts_read(now, tx, self.origin, self.uniform()):
             return self.give_up(now, tx, 'origin is slow')
         if self.origin.out >= self.origin.in_flight_limit:
             mean = self.fetch_times.mean_and_deviation()[0] or self.goal // 4
@@ -320,7 +320,7 @@
         # Writes ignore load limits, except in a wide overload, in which retried writes keep an origin down.
         urgent = tx.write and self.failure_ratio() < 0.5
         busy = BUSY_FACTOR * self.total_out / len(self.caches) + MIN_IN_FLIGHT
-        home, spare, aside, drawn = None, None, 0, self.chance()
+        home, spare, aside, drawn = None, None, 0, self.uniform()
         for server in self.ranked(now, tx):
             if server in tried or server.state != 'ready' or not self.cold_budget_allows(now, server):
                 continue
@@ -329,7 +329,7 @@
             if share < 1:
                 # Few candidates, and by chance: one hop from each node would keep them all overloaded.
                 aside += 1
-                if aside > self.terms.max_hops or self.chance() >= share:
+                if aside > self.terms.max_hops or self.uniform() >= share:
                     spare = spare or (server if urgent else None)
                     continue
             if room and server.out <= busy:
@@ -389,7 +389,7 @@
             return
         eligible = sum(s.zone == self.terms.zone for s in self.caches) if local else len(self.caches)
         spread = min(eligible, int(eligible * share) + 1)
-        first = int(self.chance() * spread) if spread > 1 else 0
+        first = int(self.uniform() * spread) if spread > 1 else 0
         tx.rank[:spread] = tx.rank[first:spread] + tx.rank[:first]
 
     def give_up(self, now, tx, why=None):
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -155,9 +155,9 @@
 class Discovery:
     """Keeps a watch open, and tracks the version that the node has been given."""
 
-    def __init__(self, reactor, deadlines, clock, place, chance, node):
+    def __init__(self, reactor, deadlines, clock, place, uniform, node):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.target, self.chance, self.table = place.discovery, chance, Table()
+        self.target, self.uniform, self.table = place.discovery, uniform, Table()
         self.node = node
         # If not set, the router decides when to open a watch; retries are made here in either mode.
         self.pushed = not place.terms.watched
@@ -286,7 +286,7 @@
         if watch.throttled:
             wait = min(THROTTLED_BACKOFF, THROTTLED_BACKOFF // 8 << min(self.throttled, 8))
         self.backing_off = True
-        self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance() / 2)), self.retry, self.attempt)
+        self.deadlines.at(self.clock() + int(wait * (0.5 + self.uniform() / 2)), self.retry, self.attempt)
 
 
 def started(entry, offset):
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -80,7 +80,7 @@
         # Unix time is read once, for server lists, so that later steps of the wall clock have no effect.
         self.starts = StartTimes(self.clock() - int(system.wall() * SECOND))
         self.wall_offset = system.wall() - self.elapsed()  # changes when the wall clock is stepped
-        self.chance = Random(place.seed).random
+        self.uniform = Random(place.seed).random
         self.router = Router(place.terms, place.seed, place.rank)
         self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_sending_timeout)
         self.servers, self.entries = {}, {}  # by name: the router's objects; the latest list entries
@@ -102,7 +102,7 @@
             self.events,
             self.call_failed,
         )
-        self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.chance, self)
+        self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.uniform, self)
         self.operator_server = None
         self.out_of_rotation, self.away_since = False, 0  # by operators; since when
         self.handover, self.exit_code = None, 0  # links to the node's other processes, if it can hand over
@@ -909,7 +909,7 @@
     if changes:
         from ..changes.node import NodeChanges  # imported only where it is used
 
-        node.changes = NodeChanges(reactor, node.elapsed, node.chance, place.name, place.rank, changes)
+        node.changes = NodeChanges(reactor, node.elapsed, node.uniform, place.name, place.rank, changes)
         node.changes.begin()
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda n, _: reactor.callFromThread(node.drain, n))
--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -175,9 +175,9 @@
 
     __slots__ = ('span', 'received', 'good_at', 'bad_at', 'late')
 
-    def __init__(self, span, chance, late=0):
+    def __init__(self, span, uniform, late=0):
         # Randomized, so that not all forwarders return to their own view at once when the planners are gone.
-        self.span = int(shorter(span) * (0.75 + 0.25 * chance()))
+        self.span = int(shorter(span) * (0.75 + 0.25 * uniform()))
         self.late = late  # slow servers that answer sooner than this are left alone
         # By server: the verdict received; when a hop from here last went well, and badly.
         self.received, self.good_at, self.bad_at = {}, {}, {}
--- a/lilacdyke/plan/check.py
+++ b/lilacdyke/plan/check.py
@@ -199,42 +199,42 @@
 
 def walk(seed, steps, forwarder_ledger=ForwarderLedger, planner_ledger=PlannerLedger):
     """Run one long random history of 3 forwarders and 1 or 2 planners. Return how much was lent in it."""
-    chance = Random(seed)
-    rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(5)]
-    pools, planners = chance.choice(((0, 0), POOLS)), chance.choice((1, 2))
-    world, lent = World(3, planners, rates, forwarder_ledger, planner_ledger, pools, chance.choice((0, 2))), 0
-    in_order_rate = chance.choice((0.2, 0.5, 0.9))
-    open_above = chance.choice((0.85, 0.7))
-    steady = chance.random() < 0.5  # the planners' own shares never change
-    quiet = chance.random() < 0.4  # no restarts and rare changes of demand, so that loans last
-    steps_per_tick = chance.choice((1, 3, 8))
+    rng = Random(seed)
+    rates = [DRIFT + rng.choice((-1, 0, 1)) for _ in range(5)]
+    pools, planners = rng.choice(((0, 0), POOLS)), rng.choice((1, 2))
+    world, lent = World(3, planners, rates, forwarder_ledger, planner_ledger, pools, rng.choice((0, 2))), 0
+    in_order_rate = rng.choice((0.2, 0.5, 0.9))
+    open_above = rng.choice((0.85, 0.7))
+    steady = rng.random() < 0.5  # the planners' own shares never change
+    quiet = rng.random() < 0.4  # no restarts and rare changes of demand, so that loans last
+    steps_per_tick = rng.choice((1, 3, 8))
     for _ in range(steps):
-        draw = chance.random()
+        draw = rng.random()
         if draw < 1 / (1 + steps_per_tick):
             world.tick()
         elif draw > 0.985 and not quiet:
-            if chance.random() < 0.5:
-                world.restart_forwarder_ledger(chance.randrange(3), chance.random() < 0.7)
+            if rng.random() < 0.5:
+                world.restart_forwarder_ledger(rng.randrange(3), rng.random() < 0.7)
             else:
-                world.restart_planner_ledger(chance.randrange(planners))
+                world.restart_planner_ledger(rng.randrange(planners))
         elif draw > 0.975:
-            world.seat(chance.randrange(3))
+            world.seat(rng.randrange(3))
         elif draw > 0.97 and not steady:
-            world.change(chance.randrange(planners))
+            world.change(rng.randrange(planners))
         elif draw > open_above:
-            world.begin(chance.randrange(3))
-        elif world.messages and chance.random() < 0.65:
-            index = chance.randrange(len(world.messages)) if chance.random() > in_order_rate else 0
-            if chance.random() < 0.1:
+            world.begin(rng.randrange(3))
+        elif world.messages and rng.random() < 0.65:
+            index = rng.randrange(len(world.messages)) if rng.random() > in_order_rate else 0
+            if rng.random() < 0.1:
                 world.lose(index)
             else:
-                world.deliver(index, chance.random() < 0.1)
+                world.deliver(index, rng.random() < 0.1)
         else:
-            forwarder = chance.randrange(3)
+            forwarder = rng.randrange(3)
             world.report(
                 forwarder,
-                chance.randrange(planners),
-                chance.random() < 0.5 if not quiet else (forwarder + world.now // 20) % 2,
+                rng.randrange(planners),
+                rng.random() < 0.5 if not quiet else (forwarder + world.now // 20) % 2,
             )
         if len(world.messages) > 30:
             world.lose(0)
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -28,7 +28,7 @@
         self.seat_budget = fleet.seat_parts(self.rank)
         # Locks on the two halves of the seat: the first covers deposits, the second is passed to a successor.
         self.first_half, self.second_half, self.retry_scheduled = None, None, False
-        self.life = '%s-%x' % (node.place.name, int(node.chance() * (1 << 48)))
+        self.life = '%s-%x' % (node.place.name, int(node.uniform() * (1 << 48)))
         self.forwarder_ledger = ForwarderLedger(
             now,
             self.life,
@@ -44,7 +44,7 @@
             now, fleet, self.forwarder_ledger, node.place.terms.profiles
         )
         self.forwarder = Forwarder(
-            now, fleet, self.forwarder_ledger, self.needs, self.shares.used, node.chance
+            now, fleet, self.forwarder_ledger, self.needs, self.shares.used, node.uniform
         )
         self.view = None
         if fleet.span is not None:
@@ -134,8 +134,8 @@
             self.deadlines,
             self.clock,
             self.told,
-            'canary-%s-%d' % (self.view.site, int(2 * self.node.chance())),
-            self.node.chance,
+            'canary-%s-%d' % (self.view.site, int(2 * self.node.uniform())),
+            self.node.uniform,
             lambda number: say('canary', number=number),
             lambda number: say('no canary', number=number),
         )
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -39,12 +39,12 @@
 class Forwarder:
     """The links of one forwarder."""
 
-    def __init__(self, now, fleet, forwarder_ledger, needs, used, chance):
-        self.forwarder_ledger, self.needs, self.used, self.chance = forwarder_ledger, needs, used, chance
+    def __init__(self, now, fleet, forwarder_ledger, needs, used, uniform):
+        self.forwarder_ledger, self.needs, self.used, self.uniform = forwarder_ledger, needs, used, uniform
         self.lease = fleet.lease
         self.accepts_limits, self.edition, self.mosts = fleet.accepts_limits, fleet.edition, fleet.mosts()
         self.planners = {
-            row.name: PlannerState(row.name, now + int(self.lease * chance() / FIRST_BACKOFF_DIVISOR))
+            row.name: PlannerState(row.name, now + int(self.lease * uniform() / FIRST_BACKOFF_DIVISOR))
             for row in fleet.planner
         }
         self.scheduled_wake = None  # time of the pending wake-up
@@ -57,7 +57,7 @@
         """Handle an established link."""
         planner = self.planners[name]
         planner.state, planner.state_since, planner.written = UP, now, True
-        planner.next_action = now + int(self.lease * self.chance() / DIGESTS_PER_LEASE)  # spreads them
+        planner.next_action = now + int(self.lease * self.uniform() / DIGESTS_PER_LEASE)  # spreads them
 
     def down(self, now, name):
         """Handle a closed link or a failed dial. Exponential backoff with jitter keeps a fleet from dialling
@@ -75,7 +75,7 @@
         planner.state, planner.state_since, planner.next_action = (
             DOWN,
             now,
-            now + int(backoff * (0.5 + self.chance())),
+            now + int(backoff * (0.5 + self.uniform())),
         )
 
     def written(self, name, whole):
@@ -138,7 +138,7 @@
             if planner.state == DIALLING:
                 self.down(now, planner.name)
                 return 'end', planner.name, 'no answer'
-            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.chance()) / DIGESTS_PER_LEASE)
+            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.uniform()) / DIGESTS_PER_LEASE)
             if planner.written:
                 return 'say', planner.name, self.digest(now, planner.name)
         first = min(planner.next_action for planner in self.planners.values())
--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -2,7 +2,7 @@
 
 Never blocks, and checks the clock whenever it is asked whether the lease is held.
 
-    lease = Lease(reactor, deadlines, clock, fleet, 'name', chance, got, lost)
+    lease = Lease(reactor, deadlines, clock, fleet, 'name', uniform, got, lost)
     lease.acquire(); lease.held(); lease.number; lease.release()
 
 got(number) is called when the lease is acquired. lost(number) is called before another process can acquire
@@ -47,12 +47,12 @@
 class Lease:
     """The lease, as described above. fleet: the settings of the fleet file, with its tasks."""
 
-    def __init__(self, reactor, deadlines, clock, fleet, task, chance, got, lost):
-        self.reactor, self.deadlines, self.clock, self.chance, self.do_got, self.do_lost = (
+    def __init__(self, reactor, deadlines, clock, fleet, task, uniform, got, lost):
+        self.reactor, self.deadlines, self.clock, self.uniform, self.do_got, self.do_lost = (
             reactor,
             deadlines,
             clock,
-            chance,
+            uniform,
             got,
             lost,
         )
@@ -61,7 +61,7 @@
             row.name: limits.address(row.address) for row in fleet.planner if row.name in fleet.voters
         }
         self.seeker = Seeker(
-            clock(), task, '%s-%s' % (task, os.urandom(8).hex()), fleet.voters, self.span, chance
+            clock(), task, '%s-%s' % (task, os.urandom(8).hex()), fleet.voters, self.span, uniform
         )
         self.links, self.failures, self.deciding = {}, dict.fromkeys(self.addresses, 0), False
         for name in self.addresses:
@@ -115,7 +115,7 @@
             del self.links[link.name]
             self.failures[link.name] = min(5, self.failures[link.name] + 1)
             wait = min(self.span, (self.span << self.failures[link.name]) // BACKOFF_PARTS)
-            self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance())), self.dial, link.name)
+            self.deadlines.at(self.clock() + int(wait * (0.5 + self.uniform())), self.dial, link.name)
 
     def voted(self, name, answer):
         self.seeker.told(self.clock(), name, answer)
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -188,7 +188,7 @@
         'life',
         'voters',
         'lease',
-        'chance',
+        'uniform',
         'seq',
         'wanted',
         'verb',
@@ -204,8 +204,8 @@
         'wakeup_at',
     )
 
-    def __init__(self, now, task, life, voters, lease, chance):
-        self.task, self.life, self.voters, self.lease, self.chance = task, life, list(voters), lease, chance
+    def __init__(self, now, task, life, voters, lease, uniform):
+        self.task, self.life, self.voters, self.lease, self.uniform = task, life, list(voters), lease, uniform
         self.seq, self.wanted, self.outbox = 0, False, []
         self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # the current round
         self.number, self.until = None, None  # the current lease, or the last one held
@@ -309,7 +309,7 @@
             return
         self.send_all(RELEASE, now)
         self.failures = min(4, self.failures + 1)
-        self.next_round = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.chance())))
+        self.next_round = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.uniform())))
 
     def decide(self, now):
         """Return the next decision for the host, or None."""
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -39,10 +39,12 @@
 
     def __init__(self, fleet, task, command, wait, reactor):
         self.command, self.reactor = command, reactor
-        self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
+        self.zero, self.uniform = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.task, self.popen, self.code, self.term_sent = task, None, None, False
-        self.lease = Lease(reactor, self.deadlines, self.clock, fleet, task, self.chance, self.got, self.lost)
+        self.lease = Lease(
+            reactor, self.deadlines, self.clock, fleet, task, self.uniform, self.got, self.lost
+        )
         if wait is not None:
             self.deadlines.at(self.clock() + down(wait), self.wait_expired, 0)
         self.lease.acquire()
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -33,7 +33,7 @@
         self.site = 'z%s' % node.place.terms.zone
         self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
         self.seen = Seen(self.clock(), span, self.slow_after)
-        self.belief = ActiveVerdicts(span, node.chance, self.slow_after)
+        self.belief = ActiveVerdicts(span, node.uniform, self.slow_after)
         self.pending_reports = {name: {} for name in planners}  # by planner: reports by digest number
         self.acknowledged = {
             name: (None, {}) for name in planners
--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -24,7 +24,7 @@
     """Two seekers hold the lease at once, or lease numbers do not rise."""
 
 
-def fixed_chance():
+def fixed_uniform():
     """Stands in for the random source in a searched world, which must be deterministic."""
     return 0.5
 
@@ -33,24 +33,32 @@
     return True
 
 
-class DrawnChance:
+class DrawnUniform:
     """The random source of a walked world."""
 
-    def __init__(self, chance):
-        self.chance = chance
+    def __init__(self, rng):
+        self.rng = rng
 
     def __call__(self):
-        return self.chance.random()
+        return self.rng.random()
 
 
 class World:
     """Voters and seekers of one task with the messages in flight between them. Each has its own clock."""
 
-    def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, chance=fixed_chance):
-        self.voter, self.seeker, self.chance, self.now, self.lives, self.last_numbers, self.leases_granted = (
+    def __init__(self, voters=3, seekers=2, rates=None, voter=Voter, seeker=Seeker, uniform=fixed_uniform):
+        (
+            self.voter,
+            self.seeker,
+            self.uniform,
+            self.now,
+            self.lives,
+            self.last_numbers,
+            self.leases_granted,
+        ) = (
             voter,
             seeker,
-            chance,
+            uniform,
             0,
             0,
             [],
@@ -79,7 +87,7 @@
 
     def new_seeker(self, number):
         result = self.seeker(
-            self.seeker_clock(number), TASK, self.new_life(), range(len(self.bounds)), LEASE, self.chance
+            self.seeker_clock(number), TASK, self.new_life(), range(len(self.bounds)), LEASE, self.uniform
         )
         result.want(self.seeker_clock(number))
         return result
@@ -194,33 +202,33 @@
 
 def walk(seed, steps, **kinds):
     """Run one long random history of 3 or 5 voters and 2 or 3 seekers. Return (steps, leases granted)."""
-    chance = Random(seed)
-    voters, seekers = chance.choice((3, 3, 5)), chance.choice((2, 2, 3))
-    rates = [DRIFT + chance.choice((-1, 0, 1)) for _ in range(voters + seekers)]
-    world = World(voters, seekers, rates, chance=DrawnChance(Random(seed)), **kinds)
+    rng = Random(seed)
+    voters, seekers = rng.choice((3, 3, 5)), rng.choice((2, 2, 3))
+    rates = [DRIFT + rng.choice((-1, 0, 1)) for _ in range(voters + seekers)]
+    world = World(voters, seekers, rates, uniform=DrawnUniform(Random(seed)), **kinds)
     in_order_rate, steps_per_tick = (
-        chance.choice((0.3, 0.7, 0.95)),
-        chance.choice((8, 16, 30)),
+        rng.choice((0.3, 0.7, 0.95)),
+        rng.choice((8, 16, 30)),
     )
-    release_rate = chance.choice((0.0, 0.002, 0.04))
-    restart_rate, loss_rate = chance.choice((0.0, 0.005, 0.02)), chance.choice((0.0, 0.05, 0.2))
+    release_rate = rng.choice((0.0, 0.002, 0.04))
+    restart_rate, loss_rate = rng.choice((0.0, 0.005, 0.02)), rng.choice((0.0, 0.05, 0.2))
     # (seeker, blocked directions, whether it is also suspended): a partition that lasts for a while. Blocked
     # messages are lost, or delivered after its end.
     isolated, until, delayed = None, 0, False
     for _ in range(steps):
-        draw = chance.random()
+        draw = rng.random()
         if world.now >= until:
             holder = next(
                 (number for number, seeker in enumerate(world.seekers) if seeker.until is not None), 0
             )
             isolated = (
-                holder if chance.random() < 0.7 else chance.randrange(seekers),
-                chance.choice(((True,), (False,), (True, False))),
-                chance.random() < 0.3,
+                holder if rng.random() < 0.7 else rng.randrange(seekers),
+                rng.choice(((True,), (False,), (True, False))),
+                rng.random() < 0.3,
             )
-            until = world.now + chance.randint(2, chance.choice((LEASE, LEASE, 4 * LEASE)))
-            delayed = chance.random() < 0.5
-            if chance.random() < 0.25:
+            until = world.now + rng.randint(2, rng.choice((LEASE, LEASE, 4 * LEASE)))
+            delayed = rng.random() < 0.5
+            if rng.random() < 0.25:
                 isolated = None
         blocked = [
             isolated is not None and row[2] == isolated[0] and row[0] in isolated[1] for row in world.messages
@@ -231,29 +239,29 @@
         deliverable = [index for index, gone in enumerate(blocked) if not gone]
         if draw < 1 / steps_per_tick:
             world.tick()
-            number = chance.randrange(seekers)
+            number = rng.randrange(seekers)
             if isolated is None or not isolated[2] or number != isolated[0]:
                 world.pull(number)
         elif draw > 1 - restart_rate:
-            if chance.random() < 0.6:
+            if rng.random() < 0.6:
                 # Restart one voter, or all at once.
-                for number in range(voters) if chance.random() < 0.2 else [chance.randrange(voters)]:
+                for number in range(voters) if rng.random() < 0.2 else [rng.randrange(voters)]:
                     world.restart_voter(number)
             else:
-                world.restart_seeker(chance.randrange(seekers))
+                world.restart_seeker(rng.randrange(seekers))
         elif draw > 1 - restart_rate - release_rate:
-            number = chance.randrange(seekers)
+            number = rng.randrange(seekers)
             if world.seekers[number].until is not None:
                 world.release(number)
-        elif deliverable and chance.random() < 0.85:
-            index = deliverable[0] if chance.random() < in_order_rate else chance.choice(deliverable)
-            if chance.random() < loss_rate:
+        elif deliverable and rng.random() < 0.85:
+            index = deliverable[0] if rng.random() < in_order_rate else rng.choice(deliverable)
+            if rng.random() < loss_rate:
                 world.lose(index)
             else:
-                world.deliver(index, chance.random() < 0.05)
+                world.deliver(index, rng.random() < 0.05)
         else:
-            number = chance.randrange(seekers)
-            if chance.random() < 0.3:
+            number = rng.randrange(seekers)
+            if rng.random() < 0.3:
                 world.seekers[number].free(world.seeker_clock(number))  # a spurious notification
             if isolated is None or not isolated[2] or number != isolated[0]:
                 world.pull(number)
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -66,35 +66,35 @@
 
 def scenario(seed, kinds=None, most=5, length=6.0):
     """The trial of a seed. kinds: what its timeline is drawn from."""
-    chance = Random('trial/%d' % seed)
-    rate = chance.choice([60.0, 100.0])
+    rng = Random('trial/%d' % seed)
+    rate = rng.choice([60.0, 100.0])
     bounds = [
-        chance.choice(
+        rng.choice(
             [
-                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8)), profile='read'),
-                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8))),
-                Bound(name='open', most=chance.randint(3, 8), what='open'),
-                Bound(name='fetches', most=round(rate * chance.uniform(0.1, 0.3)), what='fetches'),
+                Bound(name='reads', most=round(rate * rng.uniform(0.4, 0.8)), profile='read'),
+                Bound(name='reads', most=round(rate * rng.uniform(0.4, 0.8))),
+                Bound(name='open', most=rng.randint(3, 8), what='open'),
+                Bound(name='fetches', most=round(rate * rng.uniform(0.1, 0.3)), what='fetches'),
             ]
         )
     ]
-    if chance.random() < 0.4:
-        bounds.append(Bound(name='links', most=chance.randint(9, 20), what='links'))
+    if rng.random() < 0.4:
+        bounds.append(Bound(name='links', most=rng.randint(9, 20), what='links'))
     kinds, events = dict(kinds or KINDS), []
     if bounds[0].what == 'open':
         kinds.update(BETWEEN)
     names = sorted(kinds)
-    for _ in range(chance.randint(2, most)):
-        kind = chance.choices(names, [kinds[name] for name in names])[0]
+    for _ in range(rng.randint(2, most)):
+        kind = rng.choices(names, [kinds[name] for name in names])[0]
         low, high = SIZES.get(kind, (4, 4))
-        span = chance.uniform(0.3, 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0)
+        span = rng.uniform(0.3, 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0)
         events.append(
             Event(
-                at_s=round(chance.uniform(0.3, length * 0.7), 2),
+                at_s=round(rng.uniform(0.3, length * 0.7), 2),
                 kind=kind,
-                count=chance.choice([1, 1, 2]),
+                count=rng.choice([1, 1, 2]),
                 for_s=round(span, 2),
-                size=round(chance.uniform(low, high), 2),
+                size=round(rng.uniform(low, high), 2),
             )
         )
     return check(
@@ -201,10 +201,10 @@
 
 def watched(made):
     """Two sites with verdicts on servers, most of whose troubles are servers' and links'."""
-    chance = Random('watched/%d' % made.seed)
+    rng = Random('watched/%d' % made.seed)
     names, events = sorted(WATCHED), []
-    for _ in range(chance.randint(2, 5)):
-        kind = chance.choices(names, [WATCHED[name] for name in names])[0]
+    for _ in range(rng.randint(2, 5)):
+        kind = rng.choices(names, [WATCHED[name] for name in names])[0]
         low, high = SIZES.get(
             kind,
             (0, 3)
@@ -218,14 +218,14 @@
         longest = 10 * LEASE if kind in ('stop_planner', 'standstill') else 3.0
         events.append(
             Event(
-                at_s=round(chance.uniform(0.3, 5.5), 2),
+                at_s=round(rng.uniform(0.3, 5.5), 2),
                 kind=kind,
-                count=chance.choice([1, 1, 2]),
-                for_s=round(chance.uniform(0.5, longest), 2),
-                size=round(chance.uniform(low, high), 2),
+                count=rng.choice([1, 1, 2]),
+                for_s=round(rng.uniform(0.5, longest), 2),
+                size=round(rng.uniform(low, high), 2),
             )
         )
-    bounds = [Bound(name='tries', what='tries', most=2.0)] if chance.random() < 0.3 else []
+    bounds = [Bound(name='tries', what='tries', most=2.0)] if rng.random() < 0.3 else []
     return replace(
         made,
         length_s=8.0,
@@ -233,7 +233,7 @@
         kinds=[Kind(count=6, cores=4)],
         load=Load(rate=120.0, keys=300),
         events=sorted(events, key=lambda event: event.at_s),
-        planning=replace(made.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])),
+        planning=replace(made.planning, seats=4, bounds=bounds, span_s=rng.choice([1.2, 1.5, 2.0])),
     )
 
 
@@ -254,18 +254,16 @@
 def bends(seed, given):
     """What each process of a trial is bent by: clocks up to a twentieth apart, some that step, and planners
     that die between two steps of their work: a deposit taken and not lent yet, a plan made and not sent."""
-    chance = Random('bends/%d' % seed)
+    rng = Random('bends/%d' % seed)
     names = ['n%d' % number for number in range(given.nodes)] + [
         'p%d' % number for number in range(given.planning.planners)
     ]
     found = {}
     for name in names:
-        if chance.random() < 0.4:
-            found[name] = {'rate': chance.choice([0.976, 1.024])}  # of true time: together a twentieth apart
-        if chance.random() < 0.2:
-            found.setdefault(name, {})['jumps'] = [
-                [chance.uniform(1, 5), chance.choice([-3600.0, 3600.0, -1.0])]
-            ]
-        if name[0] == 'p' and chance.random() < 0.25:
-            found.setdefault(name, {})['dies'] = {chance.choice(STEPS): chance.randint(2, 60)}
+        if rng.random() < 0.4:
+            found[name] = {'rate': rng.choice([0.976, 1.024])}  # of true time: together a twentieth apart
+        if rng.random() < 0.2:
+            found.setdefault(name, {})['jumps'] = [[rng.uniform(1, 5), rng.choice([-3600.0, 3600.0, -1.0])]]
+        if name[0] == 'p' and rng.random() < 0.25:
+            found.setdefault(name, {})['dies'] = {rng.choice(STEPS): rng.randint(2, 60)}
     return found
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -29,10 +29,10 @@
     def plays(self, kind):
         return kind not in self.left_over
 
-    def links(self, event, what, chance):
+    def links(self, event, what, rng):
         """The relays of a node to planners: of some of these."""
         planner_slots = self.stage.planner_slots
-        some = chance.sample(planner_slots, chance.randint(1, len(planner_slots))) if planner_slots else []
+        some = rng.sample(planner_slots, rng.randint(1, len(planner_slots))) if planner_slots else []
         return [
             self.stage.ground.relays[self.stage.places[number].name, planner_slot.name]
             for number in what
@@ -50,65 +50,63 @@
         """Which directions: up, down or both."""
         return relay.ways if size >= 2 else relay.ways[DOWN:] if size >= 1 else relay.ways[: UP + 1]
 
-    def do_way_cut(self, index, event, what, span, chance):
+    def do_way_cut(self, index, event, what, span, rng):
         """Silent, in one direction or both."""
         self.for_a_while(
-            self.links(event, what, chance),
+            self.links(event, what, rng),
             lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
             span,
         )
 
-    def do_way_tear(self, index, event, what, span, chance):
+    def do_way_tear(self, index, event, what, span, rng):
         """Some bytes still pass, then nothing: within a frame."""
         self.for_a_while(
-            self.links(event, what, chance),
-            lambda relay: [
-                setattr(way, 'torn', chance.randint(1, 60)) for way in self.ways(relay, event.size)
-            ],
+            self.links(event, what, rng),
+            lambda relay: [setattr(way, 'torn', rng.randint(1, 60)) for way in self.ways(relay, event.size)],
             span,
         )
 
-    def do_way_late(self, index, event, what, span, chance):
+    def do_way_late(self, index, event, what, span, rng):
         """Seconds on the way, in order."""
 
         def change(relay):
             for way in relay.ways:
                 way.late, way.jitter = int(event.size * 5e5), int(event.size * 5e5)
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.for_a_while(self.links(event, what, rng), change, span)
 
-    def do_way_thin(self, index, event, what, span, chance):
+    def do_way_thin(self, index, event, what, span, rng):
         """Few bytes a second."""
         self.for_a_while(
-            self.links(event, what, chance),
+            self.links(event, what, rng),
             lambda relay: [setattr(way, 'pace', 20 + 100 * event.size) for way in relay.ways],
             span,
         )
 
-    def do_way_reset(self, index, event, what, span, chance):
-        self.for_a_while(self.links(event, what, chance), lambda relay: relay.reset(), span)
+    def do_way_reset(self, index, event, what, span, rng):
+        self.for_a_while(self.links(event, what, rng), lambda relay: relay.reset(), span)
 
-    def do_way_refuse(self, index, event, what, span, chance):
+    def do_way_refuse(self, index, event, what, span, rng):
         def change(relay):
             relay.refuse()
             relay.reset()
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.for_a_while(self.links(event, what, rng), change, span)
 
-    def do_way_replay(self, index, event, what, span, chance):
+    def do_way_replay(self, index, event, what, span, rng):
         """Reset, and the next connection begins with an older one's bytes."""
 
         def change(relay):
             relay.reset()
             relay.tells_old = True
 
-        self.for_a_while(self.links(event, what, chance), change, span)
+        self.for_a_while(self.links(event, what, rng), change, span)
 
-    def do_cut_planner(self, index, event, what, span, chance):
+    def do_cut_planner(self, index, event, what, span, rng):
         """Cut off from all."""
         self.part(what, self.stage.places, span)
 
-    def do_part_planner(self, index, event, what, span, chance):
+    def do_part_planner(self, index, event, what, span, rng):
         """Cut off from the first half of the nodes."""
         self.part(what, self.stage.places[: max(1, len(self.stage.places) // 2)], span)
 
@@ -127,7 +125,7 @@
             span,
         )
 
-    def do_late_planner(self, index, event, what, span, chance):
+    def do_late_planner(self, index, event, what, span, rng):
         def change(relay):
             for way in relay.ways:
                 way.late = int(event.size * 5e5)
@@ -142,7 +140,7 @@
             span,
         )
 
-    def do_cut(self, index, event, what, span, chance):
+    def do_cut(self, index, event, what, span, rng):
         """Sites are cut off from the others: nodes and caches; planners are in no site."""
         zones = {self.stage.zones[number] for number in what}
 
@@ -165,7 +163,7 @@
         server = self.stage.servers.get(other)
         return server is not None and (place.zone in zones) != (server.model.zone in zones)
 
-    def do_site_cut(self, index, event, what, span, chance):
+    def do_site_cut(self, index, event, what, span, rng):
         """One site is cut off from these servers, in one direction or both; others reach them."""
         zone, names = (
             self.stage.zones[index % len(self.stage.zones)],
@@ -182,7 +180,7 @@
             span,
         )
 
-    def do_delay(self, index, event, what, span, chance):
+    def do_delay(self, index, event, what, span, rng):
         names = {server.name for server in self.numbered(what)}
 
         def change(relay):
@@ -193,7 +191,7 @@
             [relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span
         )
 
-    def do_starve(self, index, event, what, span, chance):
+    def do_starve(self, index, event, what, span, rng):
         """Most of the time the process gets no processor: a few milliseconds in each slice."""
         end = self.stage.clock() + span
         for place in self.places(what):
--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -198,7 +198,7 @@
             time.sleep(1.5)
             fleet, zero = limits.read(path), time.monotonic() - 1
             deadlines = Deadlines(lambda: int((time.monotonic() - zero) * SECOND), reactor.callLater)
-            chance, found = Random(1).random, {}
+            uniform, found = Random(1).random, {}
             for number in range(seekers):
                 Lease(
                     reactor,
@@ -206,7 +206,7 @@
                     deadlines.clock,
                     fleet,
                     'task-%d' % (number % tasks),
-                    chance,
+                    uniform,
                     lambda number: counts.update(['got']),
                     lambda number: counts.update(['lost']),
                 ).acquire()
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -195,7 +195,7 @@
     def later(self, wait, call, *given):
         return self.reactor.callLater(max(0, wait) / 1e6, call, *given)
 
-    def chance(self, name):
+    def random_source(self, name):
         return Random('%d/%s' % (self.seed, name))
 
     # --- processes --------------------------------------------------------------------------------------
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -36,7 +36,7 @@
     def __init__(self, number, reactor, profile):
         self.reactor, self.number = reactor, number
         self.zero = time.monotonic()
-        self.chance = Random(number).random
+        self.uniform = Random(number).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.system = self.place = self.terms = self
         self.rank, self.name, self.profiles = number, 'n%d' % number, [profile]
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -52,7 +52,7 @@
     def hold(self, data):
         """Bytes, or the end, wait for their turn."""
         way, now = self.relay.ways[self.way], self.relay.clock()
-        due = now + way.late + int(way.jitter * self.relay.chance.random())
+        due = now + way.late + int(way.jitter * self.relay.rng.random())
         if way.pace and data:
             due = max(due, self.free) + int(len(data) * 1e6 / way.pace)
         self.free = due = max(self.free, due)
@@ -117,7 +117,7 @@
 
     def __init__(self, ground, name, here, there, bind=None):
         self.ground, self.name, self.here, self.there, self.bind = ground, name, here, there, bind
-        self.clock, self.later, self.chance = ground.clock, ground.later, ground.chance('relay ' + name)
+        self.clock, self.later, self.rng = ground.clock, ground.later, ground.random_source('relay ' + name)
         self.ways, self.ends, self.port = (Way(), Way()), {}, None
         self.old = None  # what an ended connection carried upwards first; told again to the next, if so asked
         self.tells_old = False
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -51,11 +51,11 @@
 
     def __init__(self, reactor, fleet, name, history, keeps):
         self.reactor, self.name, self.history, self.resource, self.keeps = reactor, name, history, None, keeps
-        self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
+        self.zero, self.uniform = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.left, self.acting = 0, False
         self.lease = Lease(
-            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.got, self.lost
+            reactor, self.deadlines, self.clock, fleet, 'job', self.uniform, self.got, self.lost
         )
         self.lease.acquire()
 
@@ -67,7 +67,7 @@
 
     def got(self, number):
         self.history.tell('got', number=number, until=self.lease.left())
-        self.left = LONG if self.chance() < self.keeps else 1 + int(ACTS * self.chance())
+        self.left = LONG if self.uniform() < self.keeps else 1 + int(ACTS * self.uniform())
         self.act(0)
 
     def lost(self, number):
@@ -80,7 +80,7 @@
         if self.left <= 0 or self.resource is None:
             self.lease.release()
             self.deadlines.at(
-                self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0
+                self.clock() + int(SECOND // 100 * self.uniform()), lambda _: self.lease.acquire(), 0
             )
             return
         self.left, self.acting = self.left - (self.keeps <= 1), True
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -96,26 +96,26 @@
     faults: list[str] = []
 
 
-def drawn_size(kind, chance):
+def drawn_size(kind, rng):
     """The size of a trouble of this kind."""
     if kind == 'step':
-        return chance.choice(STEPS_S)
+        return rng.choice(STEPS_S)
     if kind == 'calls':
-        return chance.randint(1, len(OWN_FAILURES))
-    return round(chance.uniform(*draw.SIZES.get(kind, (4, 4))), 2)
+        return rng.randint(1, len(OWN_FAILURES))
+    return round(rng.uniform(*draw.SIZES.get(kind, (4, 4))), 2)
 
 
 def drawn(seed, seconds, nodes):
     """(the scenario of a seed, the troubles of this module's own)."""
-    chance = Random('soak/%d' % seed)
+    rng = Random('soak/%d' % seed)
     base, events, own = draw.scenario(seed), [], []
     for _ in range(max(2, int(seconds / EVERY_S))):
-        kind = chance.choices(sorted(KINDS), [KINDS[name] for name in sorted(KINDS)])[0]
-        at, span = round(chance.uniform(0.5, seconds * 0.85), 2), round(chance.uniform(0.1, 3.0), 2)
+        kind = rng.choices(sorted(KINDS), [KINDS[name] for name in sorted(KINDS)])[0]
+        at, span = round(rng.uniform(0.5, seconds * 0.85), 2), round(rng.uniform(0.1, 3.0), 2)
         if kind in OWN:
-            own.append(Trouble(at, kind, span, chance.randrange(1, 100)))
+            own.append(Trouble(at, kind, span, rng.randrange(1, 100)))
             continue
-        count, size = chance.choice((1, 1, 2, 3)), drawn_size(kind, chance)
+        count, size = rng.choice((1, 1, 2, 3)), drawn_size(kind, rng)
         events.append(Event(at_s=at, kind=kind, count=count, for_s=span, size=size))
     made = replace(
         base,
@@ -137,11 +137,11 @@
     def plays(self, kind):
         return kind in ('step', 'calls') or super().plays(kind)
 
-    def do_step(self, index, event, what, span, chance):
+    def do_step(self, index, event, what, span, rng):
         for place in self.places(what):
             self.stage.ground.machine(place.name).step(event.size)
 
-    def do_calls(self, index, event, what, span, chance):
+    def do_calls(self, index, event, what, span, rng):
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         if call in NEEDED:
             span = min(span, NEEDED_MOST)
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -156,7 +156,7 @@
 
     def test_injected_reset_reaches_both_ends(self):
         near, far = self.connected_pair()
-        self.net.resets[SERVER[0]] = (1.0, self.world.chance('x'))
+        self.net.resets[SERVER[0]] = (1.0, self.world.random_source('x'))
         near.send(b'abcdef')
         self.advance(3 * DELAY)
         self.assertEqual((self.recv_errno(near), self.recv_errno(far)), (ECONNRESET, ECONNRESET))
--- a/tests/plan/test_verdicts.py
+++ b/tests/plan/test_verdicts.py
@@ -151,17 +151,17 @@
 class MergeTests(unittest.TestCase):
     """Order, duplication and grouping of evidence make no difference."""
 
-    def drawn(self, chance):
+    def drawn(self, rng):
         results = ['well', 'failed', 'silent', 'refused']
         return [
             (
                 seat,
-                chance.choice('ab'),
+                rng.choice('ab'),
                 seq,
-                report(c1=chance.choice([30, 300, *results[1:]]), c2=chance.choice([30, 300, *results[1:]])),
+                report(c1=rng.choice([30, 300, *results[1:]]), c2=rng.choice([30, 300, *results[1:]])),
             )
-            for seat in range(chance.randint(2, 7))
-            for seq in range(1, chance.randint(2, 4))
+            for seat in range(rng.randint(2, 7))
+            for seq in range(1, rng.randint(2, 4))
         ]
 
     def found(self, rows, tracker_class=VerdictTracker):
@@ -173,10 +173,10 @@
     def differs(self, tracker_class=VerdictTracker):
         """Return whether order or duplication makes a difference in any of the random cases."""
         for seed in range(300):
-            chance = Random(seed)
-            rows = self.drawn(chance)
-            other = rows + chance.choices(rows, k=len(rows))
-            chance.shuffle(other)
+            rng = Random(seed)
+            rows = self.drawn(rng)
+            other = rows + rng.choices(rows, k=len(rows))
+            rng.shuffle(other)
             # Sorted, so that both end with the same newest report of each seat.
             if self.found(sorted(rows, key=lambda row: row[2]), tracker_class) != self.found(
                 other, tracker_class
@@ -196,17 +196,17 @@
 
     def test_grouping_makes_no_difference(self):
         for seed in range(200):
-            chance, rows = Random(seed), []
+            rng, rows = Random(seed), []
             for _ in range(4):
                 row = Row()
                 row.sent, row.well, row.last_bad, row.last_good = (
-                    chance.randint(0, 9),
-                    chance.randint(0, 9),
-                    chance.choice([None, 3, 9]),
-                    chance.choice([None, 2]),
+                    rng.randint(0, 9),
+                    rng.randint(0, 9),
+                    rng.choice([None, 3, 9]),
+                    rng.choice([None, 2]),
                 )
-                row.last_answer = chance.choice([None, 1, 5])
-                row.times[chance.randrange(12)] += 1
+                row.last_answer = rng.choice([None, 1, 5])
+                row.times[rng.randrange(12)] += 1
                 rows.append(row)
 
             def plain(row):
@@ -307,14 +307,14 @@
     """Run one random history of two reporting forwarders, a planner and an acting forwarder, whose clocks
     drift and whose messages are delayed and lost. Return the longest time, in ticks of the simulation, for
     which a verdict was in effect after its newest evidence."""
-    chance = Random(seed)
-    rates = [chance.choice((0.976, 1.0, 1.024)) for _ in range(4)]
-    offsets = [chance.randrange(5_000) for _ in range(4)]
+    rng = Random(seed)
+    rates = [rng.choice((0.976, 1.0, 1.024)) for _ in range(4)]
+    offsets = [rng.randrange(5_000) for _ in range(4)]
     clock = [lambda now, n=n: int(now * rates[n]) + offsets[n] for n in range(4)]
-    planner, held = tracker_class(SPAN), belief(SPAN, chance.random)
+    planner, held = tracker_class(SPAN), belief(SPAN, rng.random)
     seen = {0: Seen(clock[0](0), SPAN), 1: Seen(clock[1](0), SPAN)}
     stamps, in_flight, newest, longest = {}, [], None, 0
-    stop = chance.randrange(500, 2_500)  # from then on there is no evidence on c3
+    stop = rng.randrange(500, 2_500)  # from then on there is no evidence on c3
     for now in range(0, 6_000, 5):
         if now < stop and now % 50 == 0:
             for seat in seen:
@@ -329,7 +329,7 @@
                 stamp = stamps.get(seat)  # (the planner's time, when it arrived here)
                 in_flight.append(
                     (
-                        now + chance.choice((5, 50, 900)),
+                        now + rng.choice((5, 50, 900)),
                         'up',
                         seat,
                         now,
@@ -337,13 +337,13 @@
                         seen[seat].report(clock[seat](now)),
                     )
                 )
-            in_flight.append((now + chance.choice((5, 50, 900)), 'ask', None, clock[3](now), None, None))
+            in_flight.append((now + rng.choice((5, 50, 900)), 'ask', None, clock[3](now), None, None))
         due, in_flight = (
             [row for row in in_flight if row[0] <= now],
             [row for row in in_flight if row[0] > now],
         )
         for _, kind, seat, sent, stamp, told in due:
-            if chance.random() < 0.2:
+            if rng.random() < 0.2:
                 continue
             if kind == 'up':
                 stamps[seat] = (clock[2](now), clock[seat](now))
@@ -352,7 +352,7 @@
                     planner.told(left, seat, 'ab'[seat], 'life', sent + 1, told)
             elif kind == 'ask':
                 made = [verdict.plain(clock[2](now)) for verdict in planner.verdicts(clock[2](now)).values()]
-                in_flight.append((now + chance.choice((5, 50, 900)), 'plan', None, sent, None, made))
+                in_flight.append((now + rng.choice((5, 50, 900)), 'plan', None, sent, None, made))
             else:
                 held.planned(sent, told)
         if held.in_effect(clock[3](now), ('c3', START)) is not None and held.received['c3', START].negative:
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -26,7 +26,7 @@
         )
         self.node = SimpleNamespace(
             clock=lambda: self.now,
-            chance=lambda: 1.0,
+            uniform=lambda: 1.0,
             router=router,
             starts=StartTimes(0),
             deadlines=SimpleNamespace(at=lambda when, call, given: None),
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -105,19 +105,19 @@
 
     def test_set_aside_cache_gets_reduced_traffic(self):
         node, tx, first, second = self.state(0)
-        first.share, node.chance = MIN_SHARE, lambda: 0.5
+        first.share, node.uniform = MIN_SHARE, lambda: 0.5
         self.assertIs(node.pick(0, tx), second)
 
     def test_reduced_share_holds_when_all_caches_are_set_aside(self):
         node, tx, *_ = self.state(0)
-        node.chance = lambda: 0.5
+        node.uniform = lambda: 0.5
         for cache in node.caches:
             cache.share = MIN_SHARE
         self.assertIsNone(node.pick(0, tx))
 
     def test_write_avoids_a_set_aside_cache(self):
         node, _, *_ = self.state(0)
-        node.chance, write = lambda: 0.5, taken(node, KEPT, write=True)
+        node.uniform, write = lambda: 0.5, taken(node, KEPT, write=True)
         first, second = node.ranked(0, write)[:2]
         first.share = MIN_SHARE
         self.assertIs(node.pick(0, write), second)
@@ -382,14 +382,14 @@
     def test_refused_read_is_retried_only_if_the_origin_accepts_it(self):
         node = router(3, True)
         for node.origin.lag, want in ((0, 'send'), (node.goal, 'roll_back')):
-            node.chance, tx = lambda: 0.5, taken(node)
+            node.uniform, tx = lambda: 0.5, taken(node)
             ended(node, tx, node.caches[0], 'refused', ran=False)
             self.assertEqual(node.step_read(0, tx, False)[0], want)
 
     def test_fewer_refused_reads_are_retried_under_overload(self):
         node, answers = router(3), []
         for node.good_hops, node.poor in ((8, 2), (4, 6)):
-            node.chance, tx = lambda: 0.5, taken(node)
+            node.uniform, tx = lambda: 0.5, taken(node)
             ended(node, tx, node.caches[0], 'refused', ran=False)
             answers.append(node.pay_for_retry(0, tx))
         self.assertEqual(answers, [True, False])
@@ -537,7 +537,7 @@
 
     def test_fetch_is_rejected_when_the_origin_is_slow(self):
         node = router(2, origin=True)
-        node.origin.lag, node.chance, tx = node.goal, lambda: 0.5, taken(node)
+        node.origin.lag, node.uniform, tx = node.goal, lambda: 0.5, taken(node)
         tx.missed = node.caches[0]
         self.assertEqual(node.step_fetch(0, tx)[0], 'roll_back')
 
@@ -594,7 +594,7 @@
 
     def test_list_retry_backoff_is_capped(self):
         node = router(0, watched=True)
-        node.chance, waits = lambda: 0.5, []
+        node.uniform, waits = lambda: 0.5, []
         for _ in range(12):
             node.list_failed(0)
             waits.append(node.list_request_at)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -910,7 +910,7 @@
         """Measured from when discovery becomes reachable until the list is in force, whatever happened
         to earlier calls. The call in progress at that moment may be silent or trickle.
         """
-        chance = Random(7)
+        rng = Random(7)
         for mode, within, most in (
             ('pushed', 0.4, 5.0),
             ('on_request', 0.4, 5.0),
@@ -922,12 +922,12 @@
                 made = node(
                     settings=changed_settings(membershipMode=mode, safety={'stopSendingWithinS': within})
                 )
-                reached = made.clock() + chance.randrange(120_000)
-                longest = max(longest, self.play(made, chance, reached) - reached)
+                reached = made.clock() + rng.randrange(120_000)
+                longest = max(longest, self.play(made, rng, reached) - reached)
             with self.subTest(mode=mode, within=within):
                 self.assertLess(longest, most * 10_000)
 
-    def play(self, made, chance, reached):
+    def play(self, made, rng, reached):
         """Fail calls at random until `reached`, answer the next one, and return when the list is in
         force.
         """
@@ -941,7 +941,7 @@
             if len(made.reactor.tcpClients) > calls:
                 calls = len(made.reactor.tcpClients)
                 how, trickling = (
-                    chance.choice(('refused', 'no connection', 'silent', 'head', 'trickle', 'declined')),
+                    rng.choice(('refused', 'no connection', 'silent', 'head', 'trickle', 'declined')),
                     None,
                 )
                 if made.clock() >= reached:
--- a/tests/trial/test_trial.py
+++ b/tests/trial/test_trial.py
@@ -100,7 +100,7 @@
             ways = (Way(), Way())
             clock = staticmethod(lambda: int(clock.seconds() * 1e6))
             later = staticmethod(lambda wait, call, *given: clock.callLater(wait / 1e6, call, *given))
-            chance, tells_old, old = __import__('random').Random(1), False, None
+            rng, tells_old, old = __import__('random').Random(1), False, None
             opened = closed = staticmethod(lambda end: None)
 
         self.link, self.asked, self.there = Link, End(Link, UP), End(Link, DOWN)
