--- a/lilacdyke/changes/replica.py
+++ b/lilacdyke/changes/replica.py
@@ -8,13 +8,13 @@
 Freshness is measured on this replica's own clock. A neighbour's message that echoes one of our stamps was
 sent after that stamp, and states the age of the neighbour's log at that time. Once our log has everything
 that the neighbour's has, it lacks nothing older than the stamp minus that age, however long the network took.
-Clock rates may differ by a twentieth (`ledger.longer`).
+Clock rates may differ by a twentieth (`ledger.max_elapsed`).
 """
 
 from collections import Counter
 from heapq import heappop, heappush
 
-from ..plan.ledger import longer
+from ..plan.ledger import max_elapsed
 from ..values import SECOND
 from .log import MAX_SPAN_CHANGES, ChangeLog
 from .messages import MAX_BEHIND_NAMES, MAX_ORIGINS, Position, Sync
@@ -155,7 +155,7 @@
             theirs = sync.positions.get(origin)
             if origin == self.origin or theirs is None or not self.has_reached(origin, theirs):
                 continue
-            since = sync.echo - longer(age)
+            since = sync.echo - max_elapsed(age)
             self.fresh_since[origin] = max(self.fresh_since.get(origin, since), since)
 
     def has_reached(self, origin, position):
--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -77,7 +77,7 @@
 
     def __init__(self, terms, seed):
         super().__init__(terms, seed)
-        self.shares = None  # this node's leases from the fleet (plan/shares.py); None: no limit
+        self.fleet_limits = None  # this node's leases from the fleet (plan/shares.py); None: no limit
         self.handed = False  # whether the node's next process has taken over the cold budgets
         self.retry_budget = 1.0
 
@@ -132,7 +132,7 @@
         multiple that the whole fleet must stay under. It may be far below one hop per window, so credit
         accumulates from a random start."""
         warmth = self.capacity_factor(now, server)
-        if self.shares and not self.shares.allows(now, server, warmth < 1):
+        if self.fleet_limits and not self.fleet_limits.allows(now, server, warmth < 1):
             return False
         if server.origin or warmth == 1:
             return True
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -109,7 +109,7 @@
         'origin',
         'name_hash',
         'state',
-        'told',
+        'listed_state',
         'weight',
         'started',
         'zone',
@@ -125,14 +125,16 @@
         'limit_cut',
         'lag',
         'latency_updated',
-        'word',
+        'fleet_bounds',
     )
 
     def __init__(self, name, origin):
-        self.name, self.origin, self.word = name, origin, NO_FLEET_BOUNDS
+        self.name, self.origin, self.fleet_bounds = name, origin, NO_FLEET_BOUNDS
         self.name_hash = crc32(name.encode()) << 32
         self.state, self.weight, self.started, self.zone, self.cell = 'gone', 1, None, 0, 0
-        self.told = 'gone'  # as listed; self.state is 'banned' for a ready server that an operator suspended
+        self.listed_state = (
+            'gone'  # as listed; self.state is 'banned' for a ready server that an operator suspended
+        )
         self.out = 0  # this node's in-flight hops
         self.share = 1  # share of the reads of its keys that it gets; below 1 while set aside
         self.unanswered_hops = 0  # consecutive unanswered hops
@@ -200,7 +202,7 @@
             server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.capacity_factor(now, server))
             server.lag, server.hedge_timer = self.lag, HedgeTimer(self.unit)
             server.cold_credit, server.credit_updated = self.uniform(), now
-        server.told, server.weight, server.zone, server.cell = state, weight, zone, cell
+        server.listed_state, server.weight, server.zone, server.cell = state, weight, zone, cell
         server.state = 'banned' if back is None and state == 'ready' else state
         self.known[server.name] = server
 
@@ -265,7 +267,7 @@
     @staticmethod
     def row(server):
         """Return a server's entry as in the latest list."""
-        return server, server.told, server.weight, server.started, server.zone, server.cell
+        return server, server.listed_state, server.weight, server.started, server.zone, server.cell
 
     def rebuild_ready(self):
         # A gone server is kept while it has in-flight hops, and dropped when a later list is applied.
@@ -356,7 +358,7 @@
         of many nodes gets few samples from each. Both fade, or a node that sends little because of an
         overload would learn too late that it is over."""
         common = 0 if server.origin else self.common_wait(now)
-        reported = server.word[3] if now < server.word[0] else 0
+        reported = server.fleet_bounds[3] if now < server.fleet_bounds[0] else 0
         return max(reported, common + (server.lag - common) * self.decay(now, server.latency_updated))
 
     def decay(self, now, since):
@@ -371,7 +373,7 @@
 
     def admitted_share(self, now, server):
         """Return the server's share within the bounds that the fleet sets, if they have not expired."""
-        _, lowest, highest, _ = server.word if now < server.word[0] else NO_FLEET_BOUNDS
+        _, lowest, highest, _ = server.fleet_bounds if now < server.fleet_bounds[0] else NO_FLEET_BOUNDS
         return max(lowest, min(highest, self.turns(now, server)))
 
     def halve_share(self, now, server):
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -7,17 +7,17 @@
 from ..known import NO_FLEET_BOUNDS
 from ..plan import belief, verdicts
 from ..plan.belief import ActiveVerdicts, Seen
-from ..plan.fleet import Share
+from ..plan.fleet import FleetMember
 from ..plan.forwarder import Forwarder
 from ..plan.ledger import ForwarderLedger, PlannerLedger
 from ..plan.planner import Planner
-from ..plan.shares import Shares, Usage
+from ..plan.shares import FleetLimits, Usage
 from ..plan.verdicts import Verdict, VerdictTracker
 from ..plan.view import View
 
 
 def part_spent_twice(put, uniform):
-    put(ForwarderLedger, 'given', lambda self, now, key: 0)
+    put(ForwarderLedger, 'deposited', lambda self, now, key: 0)
 
 
 def lease_past_its_end(put, uniform):
@@ -31,7 +31,7 @@
 
 
 def tokens_not_taken(put, uniform):
-    put(Shares, 'spend', staticmethod(lambda limit, spent: None))
+    put(FleetLimits, 'spend', staticmethod(lambda limit, spent: None))
 
 
 def bucket_without_bound(put, uniform):
@@ -43,18 +43,18 @@
 
 
 def seat_held_twice(put, uniform):
-    usual = Share.lock_seat
+    usual = FleetMember.lock_seat
 
     def lock_seat(self, ignored):
         if self.rank is None:  # one more than there are seats
             self.rank = 0
             self.forwarder_ledger.set_seat_budget(
-                self.clock(), self.told.seat_parts(0), self.told.seat_parts(0), True
+                self.clock(), self.fleet_file.seat_parts(0), self.fleet_file.seat_parts(0), True
             )
         else:
             usual(self, ignored)
 
-    put(Share, 'lock_seat', lock_seat)
+    put(FleetMember, 'lock_seat', lock_seat)
 
 
 def bank_forgets_leases(put, uniform):
@@ -69,16 +69,16 @@
 
 
 def waits_for_a_plan(put, uniform):
-    usual, heard = Shares.admit, {}
+    usual, heard = FleetLimits.admit, {}
 
-    def planned(self, now, name, plan):
+    def apply_plan(self, now, name, plan):
         heard[id(self.forwarder_ledger)] = now
         return was(self, now, name, plan)
 
-    was = Forwarder.planned
-    put(Forwarder, 'planned', planned)
+    was = Forwarder.apply_plan
+    put(Forwarder, 'apply_plan', apply_plan)
     put(
-        Shares,
+        FleetLimits,
         'admit',
         lambda self, now, profile: (
             usual(self, now, profile)
@@ -100,16 +100,16 @@
 
 def limit_read_once(put, uniform):
     put(Planner, 'reload', lambda self, fleet: None)
-    put(Planner, 'hear', lambda self, edition, mosts: None)
+    put(Planner, 'adopt_limits', lambda self, edition, mosts: None)
 
 
 def links_not_counted(put, uniform):
-    put(Shares, 'linked', lambda self, now, server, more: None)
+    put(FleetLimits, 'linked', lambda self, now, server, more: None)
 
 
 def cold_not_asked(put, uniform):
-    usual = Shares.allows
-    put(Shares, 'allows', lambda self, now, server, cold: usual(self, now, server, False))
+    usual = FleetLimits.allows
+    put(FleetLimits, 'allows', lambda self, now, server, cold: usual(self, now, server, False))
 
 
 def smaller_lease_held(put, uniform):
@@ -122,9 +122,9 @@
 
 
 def plan_without_age(put, uniform):
-    usual = ForwarderLedger.planned
+    usual = ForwarderLedger.apply_plan
 
-    def planned(self, now, planner, plan):
+    def apply_plan(self, now, planner, plan):
         good = usual(self, now, planner, plan)
         if good:
             account = self.account(planner)
@@ -133,7 +133,7 @@
             }
         return good
 
-    put(ForwarderLedger, 'planned', planned)
+    put(ForwarderLedger, 'apply_plan', apply_plan)
 
 
 # --- verdicts ---------------------------------------------------------------------------------------------
@@ -158,13 +158,13 @@
 
 
 def evidence_twice(put, uniform):
-    usual = VerdictTracker.told
+    usual = VerdictTracker.add_report
 
     def told(self, left, seat, site, life, seq, report):
         for part in range(2):
             usual(self, left, 1_000 * part + seat, site if not part else 'z9', life, seq, report)
 
-    put(VerdictTracker, 'told', told)
+    put(VerdictTracker, 'add_report', told)
 
 
 def one_witness(put, uniform):
@@ -181,8 +181,8 @@
 
 
 def verdict_endless(put, uniform):
-    usual = ActiveVerdicts.planned
-    put(ActiveVerdicts, 'planned', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
+    usual = ActiveVerdicts.apply_plan
+    put(ActiveVerdicts, 'apply_plan', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
 
 
 def way_for_all(put, uniform):
@@ -198,20 +198,24 @@
 
 
 def brought_back(put, uniform):
-    usual = View.look
+    usual = View.apply_verdicts
 
-    def look(self, now):
+    def apply_verdicts(self, now):
         usual(self, now)
         for server in self.node.router.known.values():
-            if server.word is not NO_FLEET_BOUNDS and server.word[1] > 0 or server.state == 'banned':
+            if (
+                server.fleet_bounds is not NO_FLEET_BOUNDS
+                and server.fleet_bounds[1] > 0
+                or server.state == 'banned'
+            ):
                 server.state = 'ready'
         self.node.router.rebuild_ready()
 
-    put(View, 'look', look)
+    put(View, 'apply_verdicts', apply_verdicts)
 
 
 def tries_not_counted(put, uniform):
-    put(View, 'out', lambda self, now, server: False)
+    put(View, 'is_down', lambda self, now, server: False)
 
 
 # --- scenarios that some need -----------------------------------------------------------------------------
--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -182,10 +182,10 @@
 
 
 def change_missed(put, uniform):
-    usual = Discovery.told
+    usual = Discovery.apply_list
     put(
         Discovery,
-        'told',
+        'apply_list',
         lambda self, lines: usual(self, lines if lines[1] or uniform() < 0.5 else (lines[0], lines[1], [])),
     )
 
@@ -377,7 +377,9 @@
         self.hand.pop(name, None)
         server = self.known.get(name)
         if server:
-            self.list_remembered(now, [(server, server.told, server.weight, None, server.zone, server.cell)])
+            self.list_remembered(
+                now, [(server, server.listed_state, server.weight, None, server.zone, server.cell)]
+            )
         return usual(self, now, name)
 
     put(Router, 'resume', resume)
--- a/lilacdyke/lab/eyes.py
+++ b/lilacdyke/lab/eyes.py
@@ -14,23 +14,24 @@
     swaps a method."""
     from ..plan.view import View
 
-    observe, look = View.observe, View.look
+    observe, apply_verdicts = View.observe, View.apply_verdicts
 
     def noting(self, now, server_id, said, lasted, quick):
         see('seen', self.node.place.name, server_id[0], said, lasted * 100, quick)
         observe(self, now, server_id, said, lasted, quick)
 
     def looking(self, now):
-        before = {server: server.word for server in self.node.router.known.values()}
-        look(self, now)
+        before = {server: server.fleet_bounds for server in self.node.router.known.values()}
+        apply_verdicts(self, now)
         # Those that end first: they all change in one call, though their rows are written one after the
         # other.
         for server in sorted(
-            self.node.router.known.values(), key=lambda server: server.word[2] < 1 or server.word[3] > 0
+            self.node.router.known.values(),
+            key=lambda server: server.fleet_bounds[2] < 1 or server.fleet_bounds[3] > 0,
         ):
-            until, least, most, wait = server.word
-            if server.word != before.get(server):
-                left = max(0, until - now) * 100 if server.word is not NO_FLEET_BOUNDS else 0
+            until, least, most, wait = server.fleet_bounds
+            if server.fleet_bounds != before.get(server):
+                left = max(0, until - now) * 100 if server.fleet_bounds is not NO_FLEET_BOUNDS else 0
                 see(
                     'word',
                     self.node.place.name,
@@ -39,8 +40,8 @@
                     most,
                     wait * 100,
                     left,
-                    self.words.get(server.name, ('',))[0],
+                    self.bounds_by_server.get(server.name, ('',))[0],
                 )
 
     put(View, 'observe', noting)
-    put(View, 'look', looking)
+    put(View, 'apply_verdicts', looking)
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -17,7 +17,7 @@
 from ..net.node import Node
 from ..plan import limits as fleets
 from ..plan import process as planning
-from ..plan.fleet import Share
+from ..plan.fleet import FleetMember
 from . import eyes
 from .network import Network, Process
 from .reactor import SimReactor
@@ -81,7 +81,7 @@
         before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
         self.node = Node(page(self.path), self.reactor, self.system)
         if ground.stage.planner_slots:
-            self.node.fleet = Share(
+            self.node.fleet = FleetMember(
                 self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
             )
         self.node.start()
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -85,7 +85,7 @@
         self.gets_hops_often = 3 * self.interval * len(self.caches) <= 2 * self.goal
         key_hash = crc32(key.encode()) if key is not None else int(self.uniform() * (1 << 32))
         tx = Tx(self.terms.profiles[row], key, key_hash, since, limit, write)
-        tx.refused = self.shares and self.shares.admit(now, tx.profile)
+        tx.refused = self.fleet_limits and self.fleet_limits.admit(now, tx.profile)
         tx.hedgeable = self.terms.may_hedge and tx.read  # only idempotent reads are hedged
         if tx.read and key is not None:
             tx.key_seen = self.key_history.add(key_hash)
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -386,14 +386,14 @@
 
     def may_dial(self):
         """Return whether the fleet's limit on connections to this server permits another one."""
-        shares = self.caches.shares
-        return shares is None or shares.links(self.caches.clock(), self.server)
+        fleet_limits = self.caches.fleet_limits
+        return fleet_limits is None or fleet_limits.links(self.caches.clock(), self.server)
 
     def count(self, more):
         """Adjust the number of connections."""
         self.links += more
-        if self.caches.shares is not None:
-            self.caches.shares.linked(self.caches.clock(), self.server, more)
+        if self.caches.fleet_limits is not None:
+            self.caches.fleet_limits.linked(self.caches.clock(), self.server, more)
 
     def declined(self):
         """Handle a new connection that was refused and closed at its first hop: the server has no
@@ -590,7 +590,7 @@
         self.idle_links = {}  # idle connections by number, longest idle first
         self.call_failed = call_failed  # called for local failures
         self.events = events  # log of individual connections (events.py)
-        self.shares = None  # this node's share of the fleet's limits; None: no fleet
+        self.fleet_limits = None  # this node's share of the fleet's limits; None: no fleet
 
     @property
     def open(self):
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -127,7 +127,7 @@
                 # An empty line is a heartbeat and cannot be part of a list.
                 raise InvalidValueError('incomplete list')
             if line and (whole := self.assemble_list(line)):
-                self.discovery.told(read_list(json.loads(whole)))
+                self.discovery.apply_list(read_list(json.loads(whole)))
             if not self.partial_list:
                 self.discovery.last_complete = self.discovery.last_line_at = self.discovery.last_received
         if len(self.line) + len(self.partial_list) > MAX_LIST:
@@ -267,7 +267,7 @@
         else:
             self.deadlines.at(due, self.silent, number)
 
-    def told(self, lines):
+    def apply_list(self, lines):
         """Pass a list or change to the node."""
         self.redials = 0
         self.node.listed(*lines[1:])
--- a/lilacdyke/net/guard.py
+++ b/lilacdyke/net/guard.py
@@ -61,7 +61,7 @@
         """Record since when servers are not ready, after a list or a change to it."""
         now = self.now()
         for server in servers:
-            if server.told == 'ready' and server.state != 'gone':
+            if server.listed_state == 'ready' and server.state != 'gone':
                 self.not_ready_since.pop(server.name, None)
             elif len(self.not_ready_since) < MAX_SERVERS:
                 self.not_ready_since.setdefault(server.name, now)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -537,7 +537,7 @@
             self.deadlines.at(self.clock(), self.cancel_unsent, attempt.number)
         if not active.attempts:
             active.shared = False
-            self.router.shares.done(active.tx.profile)
+            self.router.fleet_limits.done(active.tx.profile)
 
     def cancel_unsent(self, number):
         """End an attempt of a finished request that is still waiting for a connection."""
@@ -791,7 +791,7 @@
             why=self.send_reason(hop),
         )
         if self.fleet:
-            self.router.shares.sent(now, hop.server, self.router.capacity_factor(now, hop.server) < 1)
+            self.router.fleet_limits.sent(now, hop.server, self.router.capacity_factor(now, hop.server) < 1)
         attempt.exchange = self.caches.send(
             hop.server,
             active.message,
@@ -903,9 +903,9 @@
     installReactor(reactor)
     node = Node(place, reactor, lines_per_second=lines_per_second)
     if fleet:
-        from ..plan.fleet import Share  # imported only where it is used
+        from ..plan.fleet import FleetMember  # imported only where it is used
 
-        node.fleet = Share(node, fleet)
+        node.fleet = FleetMember(node, fleet)
     if changes:
         from ..changes.node import NodeChanges  # imported only where it is used
 
--- a/lilacdyke/plan/belief.py
+++ b/lilacdyke/plan/belief.py
@@ -9,7 +9,7 @@
 list), so that evidence on a server that was restarted or replaced does not count for its successor.
 """
 
-from .ledger import longer, shorter
+from .ledger import max_elapsed, min_elapsed
 
 BINS, BIN_UNIT = 12, 10  # bins of answer times: the first ends at BIN_UNIT ticks, each further one doubles
 SERVERS = 1_024  # per report
@@ -177,7 +177,7 @@
 
     def __init__(self, span, uniform, late=0):
         # Randomized, so that not all forwarders return to their own view at once when the planners are gone.
-        self.span = int(shorter(span) * (0.75 + 0.25 * uniform()))
+        self.span = int(min_elapsed(span) * (0.75 + 0.25 * uniform()))
         self.late = late  # slow servers that answer sooner than this are left alone
         # By server: the verdict received; when a hop from here last went well, and badly.
         self.received, self.good_at, self.bad_at = {}, {}, {}
@@ -190,13 +190,13 @@
         if len(seen) > SERVERS:
             del seen[next(iter(seen))]
 
-    def planned(self, asked, rows):
+    def apply_plan(self, asked, rows):
         """Store the verdicts of a plan that answers the digest sent at `asked`. Of two on one server the one
         with the newer evidence counts."""
         for name, started, kind, factor, answer_time, witnesses, sites, age, weight, way in rows[
             :MAX_VERDICTS
         ]:
-            newest, server = asked - longer(age), (name, started)
+            newest, server = asked - max_elapsed(age), (name, started)
             verdict = self.received.get(server)
             if verdict is None or newest > verdict.newest:
                 self.received[server] = ReceivedVerdict(
@@ -224,7 +224,7 @@
             else verdict
         )
 
-    def words(self, now, servers):
+    def bounds_by_server(self, now, servers):
         """Return {server: (verdict, word)} of the verdicts in effect. servers: {server: site} of this
         forwarder's whole list. Where the limits MAX_RESTRAINED_SITE_SHARE and MAX_RESTRAINED_SHARE are
         reached, the most certain verdicts take precedence."""
--- a/lilacdyke/plan/check.py
+++ b/lilacdyke/plan/check.py
@@ -14,13 +14,13 @@
 
 import click
 
-from .ledger import DRIFT, Budgets, ForwarderLedger, PlannerLedger, longer
+from .ledger import DRIFT, Budgets, ForwarderLedger, PlannerLedger, max_elapsed
 
 OWN, LEASE, GIFT_SPAN, TAIL = 12, 4, 12, 4
 POOLS = (6, 2)  # the two sizes that a planner's own share may have
 KEYS = ('a', 'b')  # a budget of arrivals and one of open requests
 TAILS = Budgets(b=TAIL)
-LONGEST_GIFT = GIFT_SPAN + 2 * longer(TAIL)
+LONGEST_GIFT = GIFT_SPAN + 2 * max_elapsed(TAIL)
 MAX_MESSAGES = 4  # in flight in a searched world
 
 
@@ -98,7 +98,7 @@
 
     def begin(self, number, key=KEYS[1]):
         """Open as many requests as the forwarder's ledger allows."""
-        while len(self.open[number][key]) < self.forwarder_ledgers[number].may(self.clock(number), key):
+        while len(self.open[number][key]) < self.forwarder_ledgers[number].spendable(self.clock(number), key):
             self.open[number][key].append(self.clock(number) + TAIL)
 
     def change(self, number):
@@ -133,9 +133,13 @@
             self.messages[index] if duplicate else self.messages.pop(index)
         )
         if not to_planner_ledger:
-            self.forwarder_ledgers[forwarder].planned(self.clock(forwarder), planner, copy.deepcopy(message))
+            self.forwarder_ledgers[forwarder].apply_plan(
+                self.clock(forwarder), planner, copy.deepcopy(message)
+            )
             return
-        plan = self.planner_ledgers[planner].told(self.planner_clock(planner), copy.deepcopy(message))
+        plan = self.planner_ledgers[planner].process_digest(
+            self.planner_clock(planner), copy.deepcopy(message)
+        )
         if plan is not None:
             self.messages.append((False, forwarder, planner, plan))
 
@@ -163,7 +167,7 @@
     def total(self):
         """Return the size of each budget. A planner's former share counts until all leases granted from it
         must have expired."""
-        since = self.now - longer(longer(LEASE) + longer(TAIL)) - 1
+        since = self.now - max_elapsed(max_elapsed(LEASE) + max_elapsed(TAIL)) - 1
         return OWN * self.forwarders + sum(
             max(
                 pool
@@ -178,11 +182,11 @@
         total = self.total()
         for key in KEYS:
             each = [
-                max(forwarder_ledger.may(self.clock(number), key), len(self.open[number].get(key, ())))
+                max(forwarder_ledger.spendable(self.clock(number), key), len(self.open[number].get(key, ())))
                 for number, forwarder_ledger in enumerate(self.forwarder_ledgers)
             ]
             least = min(
-                forwarder_ledger.may(self.clock(number), key)
+                forwarder_ledger.spendable(self.clock(number), key)
                 for number, forwarder_ledger in enumerate(self.forwarder_ledgers)
             )
             if sum(each) > total or least < 0:
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -11,18 +11,18 @@
 from .ledger import Budgets, ForwarderLedger
 from .limits import address
 from .link import ToPlanner
-from .shares import Shares
+from .shares import FleetLimits
 from .view import View
 
 SEAT_RETRIES_PER_LEASE = 10  # attempts per lease to lock a seat that another process holds
 STATUS_CHECK_LEASES = 5  # leases between two checks for planners that answer
 
 
-class Share:
+class FleetMember:
     """The state of a node as a member of its fleet."""
 
     def __init__(self, node, fleet):
-        self.node, self.told, self.deadlines, self.clock = node, fleet, node.deadlines, node.clock
+        self.node, self.fleet_file, self.deadlines, self.clock = node, fleet, node.deadlines, node.clock
         now, planner_names = self.clock(), [row.name for row in fleet.planner]
         self.rank = node.place.rank if node.place.rank < fleet.seats else None
         self.seat_budget = fleet.seat_parts(self.rank)
@@ -40,22 +40,22 @@
             fleet.units(),
             Budgets(fleet.mosts()),
         )
-        self.shares = node.router.shares = Shares(
+        self.fleet_limits = node.router.fleet_limits = FleetLimits(
             now, fleet, self.forwarder_ledger, node.place.terms.profiles
         )
         self.forwarder = Forwarder(
-            now, fleet, self.forwarder_ledger, self.needs, self.shares.used, node.uniform
+            now, fleet, self.forwarder_ledger, self.needs, self.fleet_limits.used, node.uniform
         )
         self.view = None
         if fleet.span is not None:
             self.view = self.forwarder.view = View(node, fleet.span, planner_names)
-            self.forwarder.seat, self.shares.out = node.place.rank, self.view.out
+            self.forwarder.seat, self.fleet_limits.is_down = node.place.rank, self.view.is_down
         self.canary_lease = None
         if self.view and fleet.tasks is not None:
             self.acquire_canary_lease()
         self.addresses = {row.name: address(row.address) for row in fleet.planner}
         self.links, self.isolated, self.deciding = {}, None, False
-        node.caches.shares = self.shares
+        node.caches.fleet_limits = self.fleet_limits
         self.lock_seat(0)
         self.check_status(0)
         self.run_decisions()
@@ -67,7 +67,7 @@
         predecessor that is still draining or is suspended. Without them only leases may be spent."""
         self.retry_scheduled = False
         if self.rank is None:
-            warn('no seat', rank=self.node.place.rank, seats=self.told.seats)
+            warn('no seat', rank=self.node.place.rank, seats=self.fleet_file.seats)
             return
         before = self.first_half, self.second_half
         self.first_half = self.first_half or self.hold_half('first')
@@ -79,19 +79,21 @@
             self.schedule_seat_retry()
 
     def hold_half(self, which):
-        return self.node.system.hold('lilacdyke/%s/seat/%d/%s' % (self.told.installation, self.rank, which))
+        return self.node.system.hold(
+            'lilacdyke/%s/seat/%d/%s' % (self.fleet_file.installation, self.rank, which)
+        )
 
     def schedule_seat_retry(self):
         """Schedule another attempt to lock the seat."""
         if not self.retry_scheduled:
             self.retry_scheduled = True
             self.deadlines.at(
-                self.clock() + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.lock_seat, 0
+                self.clock() + max(1, self.fleet_file.lease // SEAT_RETRIES_PER_LEASE), self.lock_seat, 0
             )
 
     def update_budget(self, anew=False):
         """Set the budget that the ledger may count on, by the halves of the seat that are held."""
-        heir_part = self.told.heir_part(self.seat_budget)
+        heir_part = self.fleet_file.heir_part(self.seat_budget)
         own = (
             self.seat_budget
             if self.first_half and self.second_half
@@ -118,10 +120,13 @@
             self.update_budget()
             now = self.clock()
             if any(
-                amount > self.forwarder_ledger.may(now, key) for key, amount in self.shares.used().items()
+                amount > self.forwarder_ledger.spendable(now, key)
+                for key, amount in self.fleet_limits.used().items()
             ):
                 self.second_half = second  # stays locked, but is not spent
-                self.deadlines.at(now + max(1, self.told.lease // SEAT_RETRIES_PER_LEASE), self.hand_over, 0)
+                self.deadlines.at(
+                    now + max(1, self.fleet_file.lease // SEAT_RETRIES_PER_LEASE), self.hand_over, 0
+                )
             else:
                 self.node.system.release_name(second)
 
@@ -133,13 +138,13 @@
             self.node.reactor,
             self.deadlines,
             self.clock,
-            self.told,
+            self.fleet_file,
             'canary-%s-%d' % (self.view.site, int(2 * self.node.uniform())),
             self.node.uniform,
             lambda number: say('canary', number=number),
             lambda number: say('no canary', number=number),
         )
-        self.shares.is_canary = self.canary_lease.held
+        self.fleet_limits.is_canary = self.canary_lease.held
         self.canary_lease.acquire()
 
     # --- demand and evidence ----------------------------------------------------------------------------
@@ -147,9 +152,9 @@
     def needs(self, now):
         """Return what can be spared and what is lacked, after closing idle connections beyond the budget."""
         router = self.node.router
-        if self.shares.limits['links']:
-            self.node.caches.trim(lambda server: self.shares.over(now, server))
-        return self.shares.needs(
+        if self.fleet_limits.limits['links']:
+            self.node.caches.trim(lambda server: self.fleet_limits.over(now, server))
+        return self.fleet_limits.needs(
             now, [server.name for server in router.caches if router.capacity_factor(now, server) < 1]
         )
 
@@ -162,14 +167,14 @@
 
     def on_plan(self, name, plan):
         """Process a plan."""
-        self.forwarder.planned(self.clock(), name, plan)
+        self.forwarder.apply_plan(self.clock(), name, plan)
         self.run_decisions()
 
     def link_lost(self, link):
         """Handle a closed link."""
         if self.links.get(link.name) is link:
             del self.links[link.name]
-            self.forwarder.down(self.clock(), link.name)
+            self.forwarder.link_down(self.clock(), link.name)
             self.run_decisions()
 
     def run_decisions(self):
@@ -182,7 +187,7 @@
                 getattr(self, 'do_' + decision[0])(*decision[1:])
         except Exception:
             LOG.exception('fault')
-            self.deadlines.at(self.clock() + self.told.lease, self.on_wake, 0)
+            self.deadlines.at(self.clock() + self.fleet_file.lease, self.on_wake, 0)
         finally:
             self.deciding = False
 
@@ -201,7 +206,7 @@
 
     def link_up(self, link):
         if self.links.get(link.name) is link:
-            self.forwarder.up(self.clock(), link.name)
+            self.forwarder.link_up(self.clock(), link.name)
             self.run_decisions()
         else:
             link.end()  # connected after the dial was given up
@@ -234,5 +239,5 @@
                 edition=self.forwarder.edition,
             )
         self.deadlines.at(
-            now + STATUS_CHECK_LEASES * self.told.lease // (5 if isolated else 1), self.check_status, 0
+            now + STATUS_CHECK_LEASES * self.fleet_file.lease // (5 if isolated else 1), self.check_status, 0
         )
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -6,7 +6,7 @@
 must never delay one; leases reach transactions through the ledger.
 """
 
-from .ledger import longer
+from .ledger import max_elapsed
 
 UP, DOWN, DIALLING = 'up', 'down', 'dialling'
 DIGESTS_PER_LEASE = 4  # digests sent per lease
@@ -53,13 +53,13 @@
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def up(self, now, name):
+    def link_up(self, now, name):
         """Handle an established link."""
         planner = self.planners[name]
         planner.state, planner.state_since, planner.written = UP, now, True
         planner.next_action = now + int(self.lease * self.uniform() / DIGESTS_PER_LEASE)  # spreads them
 
-    def down(self, now, name):
+    def link_down(self, now, name):
         """Handle a closed link or a failed dial. Exponential backoff with jitter keeps a fleet from dialling
         a recovered planner all at once."""
         planner = self.planners[name]
@@ -82,21 +82,21 @@
         """Set whether the send buffer of a link is empty. Nothing is sent to a peer that does not read."""
         self.planners[name].written = whole
 
-    def planned(self, now, name, plan):
+    def apply_plan(self, now, name, plan):
         """Process a plan. Return whether it was used."""
         planner, request = self.planners[name], self.forwarder_ledger.sent.get(plan['seq'])
-        if not self.forwarder_ledger.planned(now, name, plan):
+        if not self.forwarder_ledger.apply_plan(now, name, plan):
             return False
         planner.last_plan_at = now
         # A planner whose limits are not adopted here is not reported as heard: others would count it as
         # reachable without having learned its edition.
-        if self.hear(plan['edition'], plan['mosts']):
+        if self.adopt_limits(plan['edition'], plan['mosts']):
             planner.digest_sent_at = request[1]
         if self.view:
-            self.view.planned(now, name, plan, request[1])
+            self.view.apply_plan(now, name, plan, request[1])
         return True
 
-    def hear(self, edition, mosts):
+    def adopt_limits(self, edition, mosts):
         """Adopt the limits of a newer edition, which later digests pass on to all planners. Return whether
         this edition, or a newer one, is in force."""
         if edition > self.edition and self.accepts_limits(mosts):
@@ -127,8 +127,8 @@
         for planner in self.planners.values():
             if planner.state == UP and now >= max(
                 planner.state_since, planner.last_plan_at or 0
-            ) + SILENT_LEASES * longer(self.lease):
-                self.down(now, planner.name)
+            ) + SILENT_LEASES * max_elapsed(self.lease):
+                self.link_down(now, planner.name)
                 return 'end', planner.name, 'silent'
             if now < planner.next_action:
                 continue
@@ -136,7 +136,7 @@
                 planner.state, planner.state_since, planner.next_action = DIALLING, now, now + self.lease
                 return 'dial', planner.name
             if planner.state == DIALLING:
-                self.down(now, planner.name)
+                self.link_down(now, planner.name)
                 return 'end', planner.name, 'no answer'
             planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.uniform()) / DIGESTS_PER_LEASE)
             if planner.written:
--- a/lilacdyke/plan/lease.py
+++ b/lilacdyke/plan/lease.py
@@ -24,7 +24,7 @@
 class ToVoter(FrameProtocol, Outgoing):
     """The connection to one voter."""
 
-    heard = {VOTE: 'voted', FREE: 'free'}
+    handlers = {VOTE: 'voted', FREE: 'free'}
 
     def __init__(self, lease, name):
         super().__init__()
@@ -118,7 +118,7 @@
             self.deadlines.at(self.clock() + int(wait * (0.5 + self.uniform())), self.dial, link.name)
 
     def voted(self, name, answer):
-        self.seeker.told(self.clock(), name, answer)
+        self.seeker.on_answer(self.clock(), name, answer)
         self.run_decisions()
 
     def free(self, task):
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -15,7 +15,7 @@
 that they recorded before. A voter persists an upper bound on these numbers across restarts.
 """
 
-from .ledger import longer, shorter
+from .ledger import max_elapsed, min_elapsed
 
 MAX_TASKS, MAX_WAITING, MAX_LIVES = 1_024, 1_024, 1_024  # bounds on what a voter remembers
 NUMBER_BLOCK = 1_000  # numbers reserved by one write to disk
@@ -27,13 +27,13 @@
 
 def promise_duration(lease):
     """Return how long a voter's promise lasts."""
-    return longer(lease)
+    return max_elapsed(lease)
 
 
 def startup_silence(lease):
     """Return how long a restarted voter must not answer: the longest that a promise of its previous life can
     last, allowing for a different clock rate."""
-    return longer(promise_duration(lease)) + 1
+    return max_elapsed(promise_duration(lease)) + 1
 
 
 class Promise:
@@ -72,7 +72,7 @@
         found = self.promises.get(task)
         return found if found is not None and now <= found.until else None
 
-    def told(self, now, message):
+    def on_message(self, now, message):
         """Process a seeker's message. Return (the answer or None, lives to notify that the task is free)."""
         task, life, seq, verb = message['task'], message['life'], message['seq'], message['verb']
         if not self.votes(now) or not self.is_new(now, task, life, seq):
@@ -239,7 +239,7 @@
         if self.wanted and self.until is None and self.verb is None:
             self.next_round = now
 
-    def told(self, now, voter, answer):
+    def on_answer(self, now, voter, answer):
         """Process a voter's answer; one that does not belong to the current round is ignored."""
         if (
             self.verb is None
@@ -275,7 +275,7 @@
             self.end_round()
 
     def holds(self):
-        self.until = self.sent + shorter(self.lease)
+        self.until = self.sent + min_elapsed(self.lease)
         self.next_round = self.sent + self.lease // RENEWALS_PER_LEASE
         self.end_round()
 
--- a/lilacdyke/plan/ledger.py
+++ b/lilacdyke/plan/ledger.py
@@ -36,12 +36,12 @@
         return self.get(family, 0) if colon else 0
 
 
-def longer(span):
+def max_elapsed(span):
     """Return the longest that a span of another process's clock can last on this one."""
     return span + -(-2 * span // DRIFT)
 
 
-def shorter(span):
+def min_elapsed(span):
     """Return the shortest that a span of another process's clock can last on this one."""
     return span - -(-2 * span // DRIFT)
 
@@ -113,7 +113,7 @@
         whole=None,
         deposit_divisor=2,
     ):
-        if deposit_term < 2 * longer(lease):
+        if deposit_term < 2 * max_elapsed(lease):
             raise ValueError('deposits must last at least twice as long as leases')
         self.life, self.own, self.full, self.lease, self.deposit_term = life, own, own, lease, deposit_term
         self.lease_tails, self.units, self.whole = lease_tails or Budgets(), units or Budgets(), whole
@@ -139,7 +139,7 @@
 
     def deposit_duration(self, key):
         """Return how long a deposit lasts."""
-        return self.deposit_term + 2 * longer(self.lease_tails[key])
+        return self.deposit_term + 2 * max_elapsed(self.lease_tails[key])
 
     def in_recovery(self, now, key):
         """Return whether deposits of an earlier life may still be in force."""
@@ -155,7 +155,7 @@
         lives = self.accounts[planner]
         return lives[-1] if lives else None
 
-    def given(self, now, key):
+    def deposited(self, now, key):
         """Return how much of a budget is deposited with planners now."""
         if self.in_recovery(now, key):
             return self.max_deposit(key) * len(self.accounts)
@@ -174,10 +174,10 @@
                 total += amount if now < until else 0
         return total
 
-    def may(self, now, key):
+    def spendable(self, now, key):
         """Return the grains of a budget that may be spent now. The total of the budget, where known, is an
         upper bound, whatever a plan says."""
-        found = self.own[key] - self.given(now, key) + self.leased(now, key)
+        found = self.own[key] - self.deposited(now, key) + self.leased(now, key)
         return found if self.whole is None else min(found, self.whole[key])
 
     # --- messages ---------------------------------------------------------------------------------------
@@ -190,7 +190,7 @@
         self.forget(now)
         self.sent[self.seq] = (planner, now)
         account, deposits = self.account(planner), {}
-        if account and all(amount <= self.may(now, key) for key, amount in used.items()):
+        if account and all(amount <= self.spendable(now, key) for key, amount in used.items()):
             account.confirmed_version = account.version
         # No deposits while those of an earlier life may be in force: a planner counts the two separately and
         # would lend both. None either from a process that shares its seat with another.
@@ -222,7 +222,7 @@
             for other in self.accounts[planner]
             if other is not account
         )
-        others = self.given(now, key) - reserved(account.deposits.get(key, ()), now)
+        others = self.deposited(now, key) - reserved(account.deposits.get(key, ()), now)
         amount = max(0, min(amount - others, self.max_deposit(key) - lives))
         amount -= amount % (self.units[key] or 1)
         deposits = [
@@ -245,7 +245,7 @@
                 }
             lives[:] = [account for account in lives[:-1] if account.deposits] + lives[-1:]
 
-    def planned(self, now, planner, plan):
+    def apply_plan(self, now, planner, plan):
         """Apply a plan and return whether it was used. Ignore one that does not answer a recent digest of
         this forwarder, or that is older than the current one."""
         request = self.sent.get(plan['seq'])
@@ -367,9 +367,9 @@
 
     def charge_duration(self, key):
         """Return how long a lease is charged for."""
-        return longer(self.lease) + longer(self.lease_tails[key])
+        return max_elapsed(self.lease) + max_elapsed(self.lease_tails[key])
 
-    def told(self, now, digest):
+    def process_digest(self, now, digest):
         """Process a digest. Return the plan that answers it, or None if it is outdated."""
         if now >= self.last_expiry + self.keep:
             self.expire(now)
@@ -385,17 +385,17 @@
             holder.grants = [
                 record_grant for record_grant in holder.grants if record_grant[0] >= digest['holds']
             ]
-            self.receive(now, holder, digest)
+            self.record_deposits(now, holder, digest)
         return self.plan(now, holder)
 
-    def receive(self, now, holder, digest):
+    def record_deposits(self, now, holder, digest):
         """Record deposits. They count from the earliest time at which the digest can have been sent: the
         stamp of the plan that it echoes, plus how long the forwarder had held that plan."""
         if digest['stamp'] is None or digest['stamp'] > now:
             return
-        sent_at = min(now, digest['stamp'] + shorter(digest['held']))
+        sent_at = min(now, digest['stamp'] + min_elapsed(digest['held']))
         for key, amount in digest['gifts'].items():
-            until = sent_at + shorter(self.deposit_term + 2 * longer(self.lease_tails[key]))
+            until = sent_at + min_elapsed(self.deposit_term + 2 * max_elapsed(self.lease_tails[key]))
             kept = [
                 deposit
                 for deposit in holder.deposits.get(key, ())
@@ -413,7 +413,7 @@
         """Return a snapshot of a budget that is valid for leases made until it is replaced."""
         found = self.snapshots.get(key)
         if found is None or not found.when <= now < found.when + self.keep:
-            tail, until = longer(self.lease_tails[key]), now + self.charge_duration(key) + self.keep
+            tail, until = max_elapsed(self.lease_tails[key]), now + self.charge_duration(key) + self.keep
             charges = {
                 holder: charge
                 for holder in self.holders.values()
@@ -448,7 +448,7 @@
                 leases[key] = amount
                 snapshot.record_grant(holder, amount)
         self.version += 1
-        holder.grants.append((self.version, now + longer(self.lease), leases))
+        holder.grants.append((self.version, now + max_elapsed(self.lease), leases))
         return {
             'forwarder': holder.name,
             'seq': holder.seq,
@@ -462,7 +462,7 @@
     def expire(self, now):
         """Drop expired leases and deposits, and forwarders that have neither and have long been silent."""
         self.last_expiry = now
-        tail = longer(max(self.lease_tails.values(), default=0))
+        tail = max_elapsed(max(self.lease_tails.values(), default=0))
         for name, holder in list(self.holders.items()):
             holder.grants = [record_grant for record_grant in holder.grants if now <= record_grant[1] + tail]
             holder.deposits = {
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -14,7 +14,7 @@
 
 from ..decode import address as decode_address
 from ..values import InvalidValueError, down
-from .ledger import Budgets, longer
+from .ledger import Budgets, max_elapsed
 from .sites import Loss, Name, Part
 from .sites import check as check_loss
 
@@ -103,7 +103,7 @@
     @property
     def deposit_term(self):
         """Return the duration of a deposit, which has to outlast leases made from it by any clock."""
-        return 2 * longer(self.lease)
+        return 2 * max_elapsed(self.lease)
 
     @property
     def span(self):
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -25,10 +25,10 @@
 
 
 class FrameProtocol(Protocol):
-    """One end of a link. heard: maps each kind of frame accepted here to the name of the method that handles
-    its fields."""
+    """One end of a link. handlers: maps each kind of frame accepted here to the name of the method that
+    handles its fields."""
 
-    heard = {}
+    handlers = {}
 
     def __init__(self):
         self.frames, self.ended = Frames(), False
@@ -41,8 +41,8 @@
             return
         try:
             for kind, fields in self.frames.feed(data):
-                if kind in self.heard and not self.ended:
-                    getattr(self, self.heard[kind])(fields)
+                if kind in self.handlers and not self.ended:
+                    getattr(self, self.handlers[kind])(fields)
         except UnsupportedVersionError as err:
             self.protocol_error('link refused', err)
         except BadFrameError as err:
@@ -75,17 +75,17 @@
 class ToPlanner(FrameProtocol, Outgoing):
     """A forwarder's end of a link."""
 
-    heard = {PLAN: 'plan_received'}
+    handlers = {PLAN: 'plan_received'}
 
-    def __init__(self, share, name):
+    def __init__(self, fleet_member, name):
         super().__init__()
-        self.share, self.name = share, name
+        self.fleet_member, self.name = fleet_member, name
 
     def plan_received(self, plan):
-        self.share.on_plan(self.name, plan)
+        self.fleet_member.on_plan(self.name, plan)
 
     def count_bad_frame(self):
-        self.share.node.count('bad_frames')
+        self.fleet_member.node.count('bad_frames')
 
     def send_digest(self, fields):
         """Send a digest unless earlier data is still buffered; the next digest supersedes it.
@@ -95,13 +95,13 @@
 
     def connectionLost(self, reason=None):
         self.ended = True
-        self.share.link_lost(self)
+        self.fleet_member.link_lost(self)
 
 
 class ToForwarder(FrameProtocol):
     """A planner's end of a link."""
 
-    heard = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
+    handlers = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
 
     def __init__(self, factory):
         super().__init__()
--- a/lilacdyke/plan/planner.py
+++ b/lilacdyke/plan/planner.py
@@ -12,7 +12,7 @@
 """
 
 from .frames import MAX_ROWS
-from .ledger import PlannerLedger, longer, shorter
+from .ledger import PlannerLedger, max_elapsed, min_elapsed
 from .verdicts import VerdictTracker
 
 QUORUM_WINDOW_LEASES = 2  # leases for which another planner counts as reachable after its last answer
@@ -46,16 +46,16 @@
         self.edition, self.mosts = fleet.edition, fleet.mosts()
         return None
 
-    def told(self, now, digest):
+    def process_digest(self, now, digest):
         """Process a digest. Return the plan that answers it, or None."""
-        self.hear(digest['edition'], digest['mosts'])
+        self.adopt_limits(digest['edition'], digest['mosts'])
         self.record_heard_planners(now, digest)
         self.planner_ledger.set_own_budget(
             self.fleet.planner_budget(
                 self.index, self.mosts if self.has_quorum(now) else self.seat_owned_limits()
             )
         )
-        plan = self.planner_ledger.told(now, digest)
+        plan = self.planner_ledger.process_digest(now, digest)
         if plan is None:
             return None
         return dict(plan, edition=self.edition, mosts=self.mosts, verdicts=self.verdicts_for(now, digest))
@@ -66,7 +66,7 @@
             return []
         left = self.left(now, digest)
         if left is not None and digest['seat'] is not None:
-            self.verdict_tracker.told(
+            self.verdict_tracker.add_report(
                 left,
                 digest['seat'],
                 digest['site'],
@@ -100,7 +100,7 @@
         that were delayed on the way from counting as fresh."""
         if digest['life'] != self.planner_ledger.life or digest['stamp'] is None or digest['stamp'] > now:
             return None
-        return min(now, digest['stamp'] + shorter(digest['held']))
+        return min(now, digest['stamp'] + min_elapsed(digest['held']))
 
     def record_heard_planners(self, now, digest):
         """Record when other planners answered the sender: before it sent this digest."""
@@ -109,10 +109,10 @@
             return
         for row in self.fleet.planner:
             if row.name in digest['heard']:
-                when = left - longer(digest['heard'][row.name])
+                when = left - max_elapsed(digest['heard'][row.name])
                 self.last_heard[row.name] = max(self.last_heard.get(row.name, when), when)
 
-    def hear(self, edition, mosts):
+    def adopt_limits(self, edition, mosts):
         """Adopt limits of a newer edition. If two contents share an edition number, which operators should
         never do, the lower value of each limit applies."""
         if not self.fleet.accepts_limits(mosts):
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -74,7 +74,7 @@
 
     def digest_received(self, digest):
         """Return the plan that answers a digest, or None."""
-        return self.planner.told(self.clock(), digest)
+        return self.planner.process_digest(self.clock(), digest)
 
     def fleet_status(self):
         """Return the fields of the answer to an operator's status request."""
@@ -163,7 +163,7 @@
 
     def vote(self, message):
         """Return (the voter's answer or None, lives of those to notify that the task is free)."""
-        return (None, []) if self.voter is None else self.voter.told(self.clock(), message)
+        return (None, []) if self.voter is None else self.voter.on_message(self.clock(), message)
 
     def reload(self, path):
         """Reload the fleet file on SIGHUP, for a new edition of the limits. A file that is unreadable or
--- a/lilacdyke/plan/shares.py
+++ b/lilacdyke/plan/shares.py
@@ -58,7 +58,7 @@
         return demand
 
 
-class Shares:
+class FleetLimits:
     """The limits that apply at one forwarder, and their usage."""
 
     def __init__(self, now, fleet, forwarder_ledger, profiles):
@@ -67,7 +67,7 @@
             what: [limit for limit in fleet.limit if limit.what == what]
             for what in ('requests', 'fetches', 'cold', 'tries', 'open', 'links')
         }
-        self.out = lambda now, server: False  # whether the fleet considers a server down; set by the view
+        self.is_down = lambda now, server: False  # whether the fleet considers a server down; set by the view
         self.is_canary = None  # with task leases: whether this forwarder may probe such servers
         self.concurrent = {limit.name for limit in fleet.limit if limit.concurrent}
         self.global_names = [limit.name for limit in fleet.limit if limit.what not in PER_SERVER]
@@ -101,7 +101,7 @@
 
     def has_room(self, now, limit, spent):
         """Return whether one more fits into the budget, and count a refusal."""
-        budget = self.forwarder_ledger.may(now, spent.key)
+        budget = self.forwarder_ledger.spendable(now, spent.key)
         if limit.concurrent:
             allowed = (spent.open + 1) * GRAINS_PER_UNIT <= budget
         else:
@@ -124,7 +124,7 @@
 
     def allows(self, now, server, cold):
         """Return whether a hop may go to a server. cold: whether that server is cold."""
-        if self.is_canary is not None and self.out(now, server) and not self.is_canary():
+        if self.is_canary is not None and self.is_down(now, server) and not self.is_canary():
             return False
         return all(
             self.has_room(now, limit, self.usage(now, key)) for limit, key in self.keys(now, server, cold)
@@ -145,7 +145,7 @@
         if server.origin:
             return [(limit, limit.name) for limit in self.limits['fetches']]
         found = [*self.limits['cold']] if cold else []
-        if self.limits['tries'] and self.out(now, server):
+        if self.limits['tries'] and self.is_down(now, server):
             found += self.limits['tries']
         return [(limit, '%s:%s' % (limit.name, server.name)) for limit in found]
 
@@ -180,7 +180,7 @@
         """Return how many connections to a server exceed the current budget."""
         return max(
             (
-                -(self.forwarder_ledger.may(now, spent.key) // GRAINS_PER_UNIT) + spent.open
+                -(self.forwarder_ledger.spendable(now, spent.key) // GRAINS_PER_UNIT) + spent.open
                 for limit in self.limits['links']
                 if (spent := self.spent.get('%s:%s' % (limit.name, server.name)))
             ),
@@ -211,7 +211,7 @@
             concurrent = key.partition(':')[0] in self.concurrent
             own, demand = self.forwarder_ledger.own[key], self.usage(now, key).demand(now, concurrent)
             spare[key] = max(0, own - demand * 3 // 2)
-            shortfall = demand * 5 // 4 - (own - self.forwarder_ledger.given(now, key))
+            shortfall = demand * 5 // 4 - (own - self.forwarder_ledger.deposited(now, key))
             if shortfall > 0:
                 wants[key] = -(-shortfall // GRAINS_PER_UNIT) * GRAINS_PER_UNIT if concurrent else shortfall
         return {key: amount for key, amount in spare.items() if amount}, wants
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -11,7 +11,7 @@
 """
 
 from .belief import BIN_UNIT, BINS, FAILING, FIELDS, FULL, MAX_VERDICTS, SERVERS, SILENT, SLOW, WELL, Row
-from .ledger import longer
+from .ledger import max_elapsed
 
 MIN_HOPS = 4  # least number of hops for a verdict
 MAX_HOPS = 8  # hops of one forwarder that count, so that a busy or lying one cannot outweigh others
@@ -81,7 +81,7 @@
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def told(self, left, seat, site, life, seq, report):
+    def add_report(self, left, seat, site, life, seq, report):
         """Store a seat's report, complete or with only its changed rows. left: the earliest time, by this
         clock, at which it may have been sent. Only a seat's newest row on a server counts, however often, by
         whatever path or under whichever life it is reported."""
@@ -94,7 +94,7 @@
                 setattr(row, name, count)
             row.times = [*times, *[0] * BINS][:BINS]
             row.last_good, row.last_bad, row.last_answer = (
-                None if age is None else left - longer(age) for age in (last_good, last_bad, last_answer)
+                None if age is None else left - max_elapsed(age) for age in (last_good, last_bad, last_answer)
             )
             row.bad_run = min(bad_run, MAX_HOPS)
             if row.newest is None:
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -39,7 +39,7 @@
             name: (None, {}) for name in planners
         }  # by planner: its life, and the evidence it has received
         # By server: (kind, whether it concerns only the network path from this site, until) of active words.
-        self.words, self.refresh_scheduled = {}, False
+        self.bounds_by_server, self.refresh_scheduled = {}, False
         self.next_log_at = 0  # verdict changes before this time are not logged
 
     # --- evidence ---------------------------------------------------------------------------------------
@@ -70,8 +70,8 @@
             return
         quick = outcome == WELL and lasted < self.slow_after
         self.observe(now, server_id, outcome, lasted, quick)
-        if server.word is not NO_FLEET_BOUNDS and quick is (server.word[1] == 0):
-            self.look(now)
+        if server.fleet_bounds is not NO_FLEET_BOUNDS and quick is (server.fleet_bounds[1] == 0):
+            self.apply_verdicts(now)
 
     def observe(self, now, server_id, outcome, lasted, quick):
         """Record one observation. quick: whether it was a fast success."""
@@ -103,49 +103,49 @@
 
     # --- verdicts ---------------------------------------------------------------------------------------
 
-    def planned(self, now, planner, plan, asked):
+    def apply_plan(self, now, planner, plan, asked):
         """Process a plan that answers the digest sent at `asked`."""
         life, versions = self.pending_reports[planner].pop(plan['seq'], (None, {}))
         self.acknowledged[planner] = (plan['life'], versions if life == plan['life'] else {})
         if plan['verdicts']:
-            self.belief.planned(asked, plan['verdicts'])
-        if plan['verdicts'] or self.words:
-            self.look(now)
+            self.belief.apply_plan(asked, plan['verdicts'])
+        if plan['verdicts'] or self.bounds_by_server:
+            self.apply_verdicts(now)
 
-    def look(self, now):
+    def apply_verdicts(self, now):
         """Set the words that follow from the current verdicts."""
         idents = {
             server: server_id for server in self.node.router.caches if (server_id := self.server_id(server))
         }
-        active_words = self.belief.words(
+        active_words = self.belief.bounds_by_server(
             now, {server_id: server.zone for server, server_id in idents.items()}
         )
         for server in self.node.router.known.values():
-            held, server.word = active_words.get(idents.get(server), (None, NO_FLEET_BOUNDS))
+            held, server.fleet_bounds = active_words.get(idents.get(server), (None, NO_FLEET_BOUNDS))
             self.update_word(
-                now, server.name, held.kind if held else None, bool(held and held.way), server.word[0]
+                now, server.name, held.kind if held else None, bool(held and held.way), server.fleet_bounds[0]
             )
-        for name in self.words.keys() - self.node.router.known.keys():
+        for name in self.bounds_by_server.keys() - self.node.router.known.keys():
             self.update_word(now, name, None, False, 0)
-        if self.words and not self.refresh_scheduled:
+        if self.bounds_by_server and not self.refresh_scheduled:
             self.refresh_scheduled = True
             self.node.deadlines.at(now + max(1, self.span // REFRESHES_PER_SPAN), self.refresh_words, 0)
 
     def refresh_words(self, _):
         """Recompute words, since verdicts lose weight with age."""
         self.refresh_scheduled = False
-        self.look(self.clock())
+        self.apply_verdicts(self.clock())
 
     def update_word(self, now, name, kind, way, until):
         """Record the word of a server, and log changes at a limited rate."""
-        previous = self.words.pop(name, None)
+        previous = self.bounds_by_server.pop(name, None)
         if kind is not None:
-            self.words[name] = (kind, way, until)
+            self.bounds_by_server[name] = (kind, way, until)
         if (previous and previous[:2]) != (kind and (kind, way)) and now >= self.next_log_at:
             self.next_log_at = now + SECOND // LOG_LINES_PER_SECOND
             say('verdict', server=name, kind=kind or 'none', way=way)
 
-    def out(self, now, server):
+    def is_down(self, now, server):
         """Return whether the fleet considers a server down."""
-        word = self.words.get(server.name)
+        word = self.bounds_by_server.get(server.name)
         return word is not None and word[0] in (SILENT, FAILING) and now < word[2]
--- a/lilacdyke/plan/vote_check.py
+++ b/lilacdyke/plan/vote_check.py
@@ -116,10 +116,10 @@
         """Deliver a message; a duplicate stays in flight and arrives once more."""
         to_voter, number, seeker, message = self.messages[index] if duplicate else self.messages.pop(index)
         if not to_voter:
-            self.seekers[seeker].told(self.seeker_clock(seeker), number, message)
+            self.seekers[seeker].on_answer(self.seeker_clock(seeker), number, message)
             return self.pull(seeker)
         voter = self.voters[number]
-        answer, free = voter.told(self.clock(number), message)
+        answer, free = voter.on_message(self.clock(number), message)
         self.bounds[number] = voter.bound
         if answer is not None:
             self.messages.append((False, number, seeker, answer))
--- a/lilacdyke/scale/control.py
+++ b/lilacdyke/scale/control.py
@@ -79,10 +79,10 @@
             digest = pack(DIGEST, forwarder.digest(self.now, 'p0'))
             digest_ready = time.process_time()
             [(_, fields)] = Frames().feed(digest)
-            plan = pack(PLAN, self.planner.told(self.now, fields))
+            plan = pack(PLAN, self.planner.process_digest(self.now, fields))
             plan_ready = time.process_time()
             [(_, fields)] = Frames().feed(plan)
-            forwarder.planned(self.now, 'p0', fields)
+            forwarder.apply_plan(self.now, 'p0', fields)
             ended = time.process_time()
             self.planner_s += plan_ready - digest_ready
             self.forwarders_s += digest_ready - started + ended - plan_ready
@@ -139,7 +139,7 @@
             'verb': verb,
             'number': number,
         }
-        return voter.told(now, message)[0]
+        return voter.on_message(now, message)[0]
 
     for task in range(tasks):
         reply = exchange(task, 'ask', 0)
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -58,8 +58,8 @@
 }
 LEASE = 0.5
 STEPS = (
-    '>plan.ledger:PlannerLedger.receive',
-    '>plan.planner:Planner.told',
+    '>plan.ledger:PlannerLedger.record_deposits',
+    '>plan.planner:Planner.process_digest',
     '<plan.ledger:PlannerLedger.plan',
 )
 
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -20,7 +20,7 @@
 from ..net.sockets import Reactor
 from ..net.tables import Deadlines
 from ..plan import limits
-from ..plan.fleet import Share
+from ..plan.fleet import FleetMember
 from ..plan.link import FrameProtocol
 from ..terms import IDEMPOTENT, Profile
 from ..values import SECOND
@@ -41,7 +41,7 @@
         self.system = self.place = self.terms = self
         self.rank, self.name, self.profiles = number, 'n%d' % number, [profile]
         self.caches = self.router = self
-        self.shares, self.counts = None, Counter()
+        self.fleet_limits, self.counts = None, Counter()
 
     def clock(self):
         return int((time.monotonic() - self.zero) * SECOND) + SECOND
@@ -61,7 +61,7 @@
     def ask(self, _):
         """Clients ask, at some forwarders more than its part."""
         for _ in range(1 + self.number % 3):
-            if self.shares.admit(self.clock(), self.profiles[0]) is None:
+            if self.fleet_limits.admit(self.clock(), self.profiles[0]) is None:
                 self.count('admitted')
         self.deadlines.at(self.clock() + SECOND // 2, self.ask, 0)
 
@@ -116,7 +116,7 @@
             fleet, profile = limits.read(path), Profile('read', IDEMPOTENT, 'all', 0, 5000, 0, 10_000)
             nobodies = [Nobody(number, reactor, profile) for number in range(forwarders)]
             for nobody in nobodies:
-                nobody.fleet = Share(nobody, fleet)
+                nobody.fleet = FleetMember(nobody, fleet)
                 nobody.ask(0)
             found = {}
 
--- a/tests/changes/test_search.py
+++ b/tests/changes/test_search.py
@@ -153,7 +153,7 @@
     ],
     "ignores a relay's age": [(Replica, 'update_freshness', ignores_relay_age)],
     'fresh without a lease': [(Replica, 'age', fresh_without_a_lease)],
-    'ignores clock drift': [(replicas, 'longer', lambda span: span)],
+    'ignores clock drift': [(replicas, 'max_elapsed', lambda span: span)],
     'complete without children': [(Replica, 'complete', own_position_as_complete)],
     'snapshot ahead of its state': [(ChangeLog, 'snapshot', snapshot_ahead_of_state)],
     'unbounded tail': [(ChangeLog, 'covers', unbounded_tail)],
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -11,11 +11,11 @@
 from lilacdyke.plan import limits
 from lilacdyke.plan.forwarder import Forwarder
 from lilacdyke.plan.frames import PLAN, pack
-from lilacdyke.plan.ledger import Budgets, ForwarderLedger, longer
+from lilacdyke.plan.ledger import Budgets, ForwarderLedger, max_elapsed
 from lilacdyke.plan.limits import GRAINS_PER_UNIT
 from lilacdyke.plan.link import PlannerFactory, ToPlanner
 from lilacdyke.plan.planner import Planner
-from lilacdyke.plan.shares import TOKENS_PER_GRAIN, Shares
+from lilacdyke.plan.shares import TOKENS_PER_GRAIN, FleetLimits
 from lilacdyke.values import InvalidValueError
 
 from ..helpers import terms
@@ -119,26 +119,28 @@
             self.fleet.lease_tails(),
             self.fleet.units(),
         )
-        self.shares = Shares(0, self.fleet, self.forwarder_ledger, self.terms.profiles)
+        self.fleet_limits = FleetLimits(0, self.fleet, self.forwarder_ledger, self.terms.profiles)
         self.read, _, self.once = self.terms.profiles
 
     def test_rate_limit_admits_its_part_and_a_burst(self):
         own = self.forwarder_ledger.own['reads'] / GRAINS_PER_UNIT  # 16.7 per second
         admitted = 0
         for now in range(0, 100_000, 10):
-            if self.shares.admit(now, self.read) is None:
+            if self.fleet_limits.admit(now, self.read) is None:
                 admitted += 1
-                self.shares.spent['open'].open = 0
+                self.fleet_limits.spent['open'].open = 0
         self.assertTrue(0.93 * 10 * own <= admitted <= 10 * own + 2, admitted)
 
     def test_only_canary_probes_server_that_is_down(self):
         server, other, held = Server('c1', False), Server('c2', False), []
-        self.shares.out = lambda now, server: server.name == 'c1'
-        before = self.shares.allows(0, server, False)
-        self.shares.is_canary = lambda: bool(held)
-        without = self.shares.allows(0, server, False), self.shares.allows(0, other, False)
+        self.fleet_limits.is_down = lambda now, server: server.name == 'c1'
+        before = self.fleet_limits.allows(0, server, False)
+        self.fleet_limits.is_canary = lambda: bool(held)
+        without = self.fleet_limits.allows(0, server, False), self.fleet_limits.allows(0, other, False)
         held.append(True)
-        self.assertEqual((before, without, self.shares.allows(0, server, False)), (True, (False, True), True))
+        self.assertEqual(
+            (before, without, self.fleet_limits.allows(0, server, False)), (True, (False, True), True)
+        )
 
     def test_probes_are_limited_for_each_server_that_is_down(self):
         fleet = limits.check(
@@ -158,48 +160,48 @@
             fleet.lease_tails(),
             fleet.units(),
         )
-        shares, server, other = (
-            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
+        fleet_limits, server, other = (
+            FleetLimits(0, fleet, forwarder_ledger, self.terms.profiles),
             Server('c1', False),
             Server('c2', False),
         )
-        shares.out = lambda now, server: server.name == 'c1'
+        fleet_limits.is_down = lambda now, server: server.name == 'c1'
         sent = 0
         for now in range(0, 50_000, 100):
-            if shares.allows(now, server, False):
-                shares.sent(now, server, False)
+            if fleet_limits.allows(now, server, False):
+                fleet_limits.sent(now, server, False)
                 sent += 1
-            self.assertTrue(shares.allows(now, other, False))
+            self.assertTrue(fleet_limits.allows(now, other, False))
         self.assertIn(sent, (4, 5))  # one per second, from an empty bucket
 
     def test_idle_time_does_not_accumulate_tokens(self):
-        self.shares.admit(0, self.read)
-        admitted = sum(self.shares.admit(50_000, self.read) is None for _ in range(20))
+        self.fleet_limits.admit(0, self.read)
+        admitted = sum(self.fleet_limits.admit(50_000, self.read) is None for _ in range(20))
         self.assertLessEqual(admitted, 2)
 
     def test_concurrency_limit_refuses_until_a_request_ends(self):
         statuses = [
-            self.shares.admit(0, self.once) for _ in range(3)
+            self.fleet_limits.admit(0, self.once) for _ in range(3)
         ]  # 5 of 10 are divided among 3 seats: two here
-        self.shares.done(self.once)
-        self.assertEqual((statuses, self.shares.admit(0, self.once)), ([None, None, 429], None))
+        self.fleet_limits.done(self.once)
+        self.assertEqual((statuses, self.fleet_limits.admit(0, self.once)), ([None, None, 429], None))
 
     def test_refused_request_uses_none_of_its_limits(self):
         for _ in range(2):
-            self.shares.admit(0, self.once)
-        self.shares.admit(50_000, self.read)
+            self.fleet_limits.admit(0, self.once)
+        self.fleet_limits.admit(50_000, self.read)
         self.assertEqual(
             (
-                self.shares.spent['open'].open,
-                self.shares.spent['reads'].tokens > GRAINS_PER_UNIT * TOKENS_PER_GRAIN,
+                self.fleet_limits.spent['open'].open,
+                self.fleet_limits.spent['reads'].tokens > GRAINS_PER_UNIT * TOKENS_PER_GRAIN,
             ),
             (2, True),
         )
 
     def test_limit_of_another_class_does_not_apply(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[self.fleet.limit[0]])
-        shares = Shares(0, fleet, self.forwarder_ledger, self.terms.profiles)
-        self.assertEqual([shares.admit(0, self.once) for _ in range(50)], [None] * 50)
+        fleet_limits = FleetLimits(0, fleet, self.forwarder_ledger, self.terms.profiles)
+        self.assertEqual([fleet_limits.admit(0, self.once) for _ in range(50)], [None] * 50)
 
     def test_usage_is_tracked_for_1024_servers(self):
         fleet = msgspec.structs.replace(
@@ -219,46 +221,46 @@
             fleet.lease_tails(),
             fleet.units(),
         )
-        shares, servers = (
-            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
+        fleet_limits, servers = (
+            FleetLimits(0, fleet, forwarder_ledger, self.terms.profiles),
             [Server('s%d' % number, False) for number in range(1_024)],
         )
         for now in (0, 5_000):
             for server in servers:
-                shares.allows(now, server, True)
-                shares.links(now, server)
+                fleet_limits.allows(now, server, True)
+                fleet_limits.links(now, server)
         for server in servers:
-            while shares.allows(5_000, server, True):
-                shares.sent(5_000, server, True)
-        self.assertEqual([shares.allows(5_000, server, True) for server in servers].count(True), 0)
+            while fleet_limits.allows(5_000, server, True):
+                fleet_limits.sent(5_000, server, True)
+        self.assertEqual([fleet_limits.allows(5_000, server, True) for server in servers].count(True), 0)
 
     def test_cold_limit_applies_to_each_server_separately(self):
         fleet = msgspec.structs.replace(self.fleet, limit=[limits.Limit(name='cold', what='cold', most=30.0)])
         forwarder_ledger = ForwarderLedger(
             -1_000_000, 'f', ['p0'], fleet.seat_parts(0), LEASE, fleet.deposit_term
         )
-        shares, one, other = (
-            Shares(0, fleet, forwarder_ledger, self.terms.profiles),
+        fleet_limits, one, other = (
+            FleetLimits(0, fleet, forwarder_ledger, self.terms.profiles),
             Server('a', False),
             Server('b', False),
         )
         for server in (one, other):
-            shares.allows(0, server, True)
-        found = [shares.allows(5_000, one, True)]
+            fleet_limits.allows(0, server, True)
+        found = [fleet_limits.allows(5_000, one, True)]
         for _ in range(2):
-            shares.sent(5_000, one, True)
+            fleet_limits.sent(5_000, one, True)
         found += [
-            shares.allows(5_000, one, True),
-            shares.allows(5_000, one, False),
-            shares.allows(5_000, other, True),
+            fleet_limits.allows(5_000, one, True),
+            fleet_limits.allows(5_000, one, False),
+            fleet_limits.allows(5_000, other, True),
         ]
         self.assertEqual(found, [True, False, True, True])
 
     def test_unused_budget_is_spared_and_refused_demand_is_wanted(self):
-        spare, wants = self.shares.needs(10_000, [])
+        spare, wants = self.fleet_limits.needs(10_000, [])
         for _ in range(400):
-            self.shares.admit(15_000, self.read)
-        _, after = self.shares.needs(20_000, [])
+            self.fleet_limits.admit(15_000, self.read)
+        _, after = self.fleet_limits.needs(20_000, [])
         self.assertEqual((spare['reads'], wants), (self.forwarder_ledger.own['reads'], {}))
         self.assertGreater(after['reads'], 2 * self.forwarder_ledger.own['reads'])
 
@@ -298,13 +300,13 @@
                 0, self.fleet, self.forwarder_ledger, lambda now: ({}, {}), dict, Random(seed).random
             )
             forwarder.planners['p0'].failures = 8
-            forwarder.down(0, 'p0')
+            forwarder.link_down(0, 'p0')
             seconds.append(forwarder.planners['p0'].next_action // 10_000)
         self.assertLess(max(seconds.count(second) for second in set(seconds)), 110)
 
     def test_silent_link_is_closed(self):
         self.until(LEASE)
-        self.forwarder.up(LEASE, 'p0')
+        self.forwarder.link_up(LEASE, 'p0')
         ends = [
             (now, name, why)
             for now, what, name, *more in self.until(5 * LEASE, LEASE)
@@ -313,10 +315,10 @@
             if name == 'p0'
         ]
         self.assertEqual([row[1:] for row in ends][:1], [('p0', 'silent')])
-        self.assertLessEqual(ends[0][0], LEASE + 2 * longer(LEASE) + 10)
+        self.assertLessEqual(ends[0][0], LEASE + 2 * max_elapsed(LEASE) + 10)
 
     def test_no_digest_for_a_peer_that_does_not_read(self):
-        self.forwarder.up(0, 'p0')
+        self.forwarder.link_up(0, 'p0')
         self.forwarder.written('p0', False)
         sent = [what for _, what, *_ in self.until(LEASE) if what == 'say']
         self.assertEqual(sent, [])
@@ -324,9 +326,9 @@
     def test_newer_edition_is_adopted_only_if_it_fits(self):
         lower = {'reads': 60 * GRAINS_PER_UNIT, 'open': 10 * GRAINS_PER_UNIT}
         heard = [
-            self.forwarder.hear(2, lower),
-            self.forwarder.hear(3, {'reads': 1}),
-            self.forwarder.hear(1, self.fleet.mosts()),
+            self.forwarder.adopt_limits(2, lower),
+            self.forwarder.adopt_limits(3, {'reads': 1}),
+            self.forwarder.adopt_limits(1, self.fleet.mosts()),
         ]
         self.assertEqual(
             (heard, self.forwarder.edition, self.forwarder.mosts), ([True, False, True], 2, lower)
@@ -336,7 +338,7 @@
         self.forwarder.needs = lambda now: ({}, {'reads': 9_000})
         for planner, lent in (('p0', 5_000), ('p1', 1_000)):
             digest = self.forwarder.digest(0, planner)
-            self.forwarder_ledger.planned(
+            self.forwarder_ledger.apply_plan(
                 0,
                 planner,
                 {
@@ -380,8 +382,8 @@
             mosts=self.fleet.mosts(),
             heard=dict(heard),
         )
-        plan = self.planner.told(now, dict(digest, **more))
-        self.forwarder_ledger.planned(now, 'p0', plan)
+        plan = self.planner.process_digest(now, dict(digest, **more))
+        self.forwarder_ledger.apply_plan(now, 'p0', plan)
         return plan
 
     def test_planner_without_quorum_lends_nothing_of_its_own(self):
@@ -416,8 +418,8 @@
         )
 
     def test_lower_values_apply_for_two_contents_of_one_edition(self):
-        self.planner.hear(1, dict(self.fleet.mosts(), reads=70 * GRAINS_PER_UNIT))
-        self.planner.hear(1, dict(self.fleet.mosts(), open=8 * GRAINS_PER_UNIT))
+        self.planner.adopt_limits(1, dict(self.fleet.mosts(), reads=70 * GRAINS_PER_UNIT))
+        self.planner.adopt_limits(1, dict(self.fleet.mosts(), open=8 * GRAINS_PER_UNIT))
         self.assertEqual(self.planner.mosts, {'reads': 70 * GRAINS_PER_UNIT, 'open': 8 * GRAINS_PER_UNIT})
 
     def test_reload_requires_higher_edition_and_same_floors(self):
@@ -481,9 +483,9 @@
         }
         self.assertEqual(
             (
-                forwarder_ledger.planned(0, 'p0', plan),
-                forwarder_ledger.may(0, 'k'),
-                forwarder_ledger.may(LEASE, 'k'),
+                forwarder_ledger.apply_plan(0, 'p0', plan),
+                forwarder_ledger.spendable(0, 'k'),
+                forwarder_ledger.spendable(LEASE, 'k'),
             ),
             (True, 20, 5),
         )
@@ -500,7 +502,9 @@
             'forwarders': 1,
         }
         pack(PLAN, plan)  # the largest amount that a frame may carry
-        self.assertEqual((forwarder_ledger.planned(0, 'p0', plan), forwarder_ledger.may(0, 'k')), (False, 5))
+        self.assertEqual(
+            (forwarder_ledger.apply_plan(0, 'p0', plan), forwarder_ledger.spendable(0, 'k')), (False, 5)
+        )
 
 
 class RecordingTransport(StringTransport):
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -60,13 +60,13 @@
         )
         ((_, came),) = Frames().feed(pack('digest', digest))
         plan = dict(
-            planner_ledger.told(5, came),
+            planner_ledger.process_digest(5, came),
             edition=1,
             mosts={},
             verdicts=[['c0', 7, 'slow', 2.0, 320, 3, 2, 40, 0.5, True]],
         )
         ((_, back),) = Frames().feed(pack('plan', plan))
-        self.assertEqual((came, back, forwarder_ledger.planned(101, 'p', back)), (digest, plan, True))
+        self.assertEqual((came, back, forwarder_ledger.apply_plan(101, 'p', back)), (digest, plan, True))
 
     def test_unknown_fields_and_kinds_are_skipped(self):
         reader = Frames()
--- a/tests/plan/test_leases.py
+++ b/tests/plan/test_leases.py
@@ -14,7 +14,7 @@
     promise_duration,
     startup_silence,
 )
-from lilacdyke.plan.ledger import shorter
+from lilacdyke.plan.ledger import min_elapsed
 from lilacdyke.plan.vote_check import LeaseViolationError
 
 LONG = 1_000
@@ -31,7 +31,7 @@
 
 class VoterTests(unittest.TestCase):
     def accepts(self, made, now, *given, **more):
-        answer, _ = made.told(now, message(*given, **more))
+        answer, _ = made.on_message(now, message(*given, **more))
         return answer and answer['yes']
 
     def test_task_is_promised_to_one_seeker_until_expiry(self):
@@ -92,7 +92,7 @@
     def test_release_overtaking_a_renewal_ends_the_promise_and_notifies_a_waiter(self):
         made = voter()
         self.accepts(made, 0, ASK, 1), self.accepts(made, 0, ASK, 1, 'b'), self.accepts(made, 0, ASK, 1, 'c')
-        self.assertEqual(made.told(1, message(RELEASE, 5)), (None, ['b']))
+        self.assertEqual(made.on_message(1, message(RELEASE, 5)), (None, ['b']))
         self.assertIsNone(self.accepts(made, 2, RENEW, 4))
         self.assertTrue(self.accepts(made, 3, ASK, 2, 'b'))
 
@@ -100,7 +100,8 @@
         made = voter()
         self.accepts(made, 0, ASK, 1)
         self.assertEqual(
-            (made.told(0, message(RELEASE, 1, 'b')), self.accepts(made, 0, ASK, 2, 'b')), ((None, []), False)
+            (made.on_message(0, message(RELEASE, 1, 'b')), self.accepts(made, 0, ASK, 2, 'b')),
+            ((None, []), False),
         )
 
     def test_restarted_voter_accepts_a_renewal_from_the_holder(self):
@@ -114,7 +115,7 @@
         self.assertEqual((said.count(True), len(made.promises)), (leases.MAX_TASKS, leases.MAX_TASKS))
         self.assertTrue(self.accepts(made, 3 * LONG, ASK, 1, 'a', 0, 'later'))
         for number in range(2 * leases.MAX_LIVES):
-            made.told(4 * LONG, message(ASK, 1, 'life %d' % number, 0, 't1'))
+            made.on_message(4 * LONG, message(ASK, 1, 'life %d' % number, 0, 't1'))
         self.assertLessEqual(len(made.latest), leases.MAX_LIVES)
 
 
@@ -137,9 +138,9 @@
             if decision[0] != 'send':
                 found.append(decision)
             elif decision[1] in up:
-                answer, _ = self.voters[decision[1]].told(now, decision[2])
+                answer, _ = self.voters[decision[1]].on_message(now, decision[2])
                 if answer:
-                    seeker.told(now, decision[1], answer)
+                    seeker.on_answer(now, decision[1], answer)
         return [row for row in found if row[0] != 'wake']
 
     def test_free_lease_is_acquired_at_once_and_renewed_with_one_voter_down(self):
@@ -158,7 +159,7 @@
             self.assertFalse(self.seeker.held(now) and other.held(now))
             if any(row[0] == 'got' for row in self.run_at(now, other)):
                 got = got or now
-        self.assertTrue(shorter(LONG) <= lost < got <= 2 * LONG + 2 * LONG // 4, (lost, got))
+        self.assertTrue(min_elapsed(LONG) <= lost < got <= 2 * LONG + 2 * LONG // 4, (lost, got))
         self.assertGreater(other.number, 1)
 
     def test_released_lease_is_lost_first_and_then_acquired_by_another(self):
@@ -206,10 +207,10 @@
         super().start_round(verb, now, number)
         self.next_round = now + self.lease
 
-    def told(self, now, voter, answer):
+    def on_answer(self, now, voter, answer):
         if self.sent is not None and answer['seq'] == self.seq:
             self.sent = now
-        super().told(now, voter, answer)
+        super().on_answer(now, voter, answer)
 
 
 class NoSilenceAfterStart(Voter):
@@ -252,7 +253,7 @@
 
     def most_renew(self, now):
         self.holds()
-        self.until = now + shorter(self.lease)
+        self.until = now + min_elapsed(self.lease)
 
 
 class NoExpiryCheck(Seeker):
@@ -279,8 +280,8 @@
 class StaleAnswers(Seeker):
     """Accepts answers of earlier rounds."""
 
-    def told(self, now, voter, answer):
-        super().told(now, voter, dict(answer, seq=self.seq))
+    def on_answer(self, now, voter, answer):
+        super().on_answer(now, voter, dict(answer, seq=self.seq))
 
 
 class ForgetsBound(Voter):
--- a/tests/plan/test_ledger.py
+++ b/tests/plan/test_ledger.py
@@ -3,7 +3,7 @@
 import unittest
 
 from lilacdyke.plan import check
-from lilacdyke.plan.ledger import Budgets, Deposit, ForwarderLedger, PlannerLedger, longer, shorter
+from lilacdyke.plan.ledger import Budgets, Deposit, ForwarderLedger, PlannerLedger, max_elapsed, min_elapsed
 
 LEASE, GIFT, OWN = 20, 60, 100
 
@@ -19,8 +19,8 @@
 
 def meet(made, planner_ledger, now=0, planner='p', spare=(), wants=(), wait=0):
     """Exchange a digest and its plan, which arrives `wait` later. Return the plan."""
-    plan = planner_ledger.told(now, made.digest(now, planner, dict(spare), dict(wants)))
-    made.planned(now + wait, planner, plan)
+    plan = planner_ledger.process_digest(now, made.digest(now, planner, dict(spare), dict(wants)))
+    made.apply_plan(now + wait, planner, plan)
     return plan
 
 
@@ -39,55 +39,57 @@
         meet(self.poor, self.planner_ledger, now, wants={'k': 80})
 
     def test_forwarder_without_planner_may_spend_its_own_part(self):
-        self.assertEqual(self.rich.may(5, 'k'), OWN)
+        self.assertEqual(self.rich.spendable(5, 'k'), OWN)
 
     def test_no_deposit_with_planner_that_never_answered(self):
         self.rich.digest(0, 'p', {'k': 30}, {})
-        self.assertEqual(self.rich.may(0, 'k'), OWN)
+        self.assertEqual(self.rich.spendable(0, 'k'), OWN)
 
     def test_deposit_of_one_forwarder_is_leased_to_another(self):
         self.lend()
         self.assertEqual(
-            (self.rich.may(1, 'k'), self.poor.may(1, 'k'), self.poor.may(1, 'other')), (70, 130, OWN)
+            (self.rich.spendable(1, 'k'), self.poor.spendable(1, 'k'), self.poor.spendable(1, 'other')),
+            (70, 130, OWN),
         )
 
     def test_lease_expires_before_deposit_that_covers_it(self):
         self.lend()
         self.assertEqual(
-            [(self.rich.may(at, 'k'), self.poor.may(at, 'k')) for at in (19, 20, 60, 61)],
+            [(self.rich.spendable(at, 'k'), self.poor.spendable(at, 'k')) for at in (19, 20, 60, 61)],
             [(70, 130), (70, 100), (70, 100), (100, 100)],
         )
 
     def test_lease_runs_from_sending_of_its_digest(self):
         self.lend()
-        plan = self.planner_ledger.told(10, self.poor.digest(0, 'p', {}, {'k': 80}))
+        plan = self.planner_ledger.process_digest(10, self.poor.digest(0, 'p', {}, {'k': 80}))
         self.assertEqual(
-            (self.poor.planned(15, 'p', plan), self.poor.may(19, 'k'), self.poor.may(20, 'k')),
+            (self.poor.apply_plan(15, 'p', plan), self.poor.spendable(19, 'k'), self.poor.spendable(20, 'k')),
             (True, 130, 100),
         )
 
     def test_plan_that_arrives_after_a_lease_is_ignored(self):
-        plan = self.planner_ledger.told(0, self.poor.digest(0, 'p', {}, {'k': 80}))
-        self.assertFalse(self.poor.planned(LEASE, 'p', plan))
+        plan = self.planner_ledger.process_digest(0, self.poor.digest(0, 'p', {}, {'k': 80}))
+        self.assertFalse(self.poor.apply_plan(LEASE, 'p', plan))
 
     def test_older_plan_does_not_replace_newer_one(self):
         self.lend()
         plans = [
-            self.planner_ledger.told(1, self.poor.digest(1, 'p', {}, {'k': wanted})) for wanted in (80, 10)
+            self.planner_ledger.process_digest(1, self.poor.digest(1, 'p', {}, {'k': wanted}))
+            for wanted in (80, 10)
         ]
-        taken = [self.poor.planned(2, 'p', plan) for plan in reversed(plans)]
-        self.assertEqual((taken, self.poor.may(3, 'k')), ([True, False], 110))
+        taken = [self.poor.apply_plan(2, 'p', plan) for plan in reversed(plans)]
+        self.assertEqual((taken, self.poor.spendable(3, 'k')), ([True, False], 110))
 
     def test_outdated_digest_is_not_answered(self):
         first, second = [self.poor.digest(0, 'p', {}, {}) for _ in range(2)]
-        self.assertIsNotNone(self.planner_ledger.told(0, second))
-        self.assertIsNone(self.planner_ledger.told(1, first))
+        self.assertIsNotNone(self.planner_ledger.process_digest(0, second))
+        self.assertIsNone(self.planner_ledger.process_digest(1, first))
 
     def test_leased_budget_is_not_leased_again_before_it_is_released(self):
         self.lend()
         third = forwarder_ledger(life='third')
         meet(third, self.planner_ledger, 1, wants={'k': 80})
-        self.assertEqual(third.may(2, 'k'), OWN)
+        self.assertEqual(third.spendable(2, 'k'), OWN)
 
     def test_budget_is_leased_again_after_borrower_confirms_smaller_lease(self):
         self.lend()
@@ -95,7 +97,7 @@
         meet(self.poor, self.planner_ledger, 1, wants={})
         meet(self.poor, self.planner_ledger, 2, wants={})
         meet(third, self.planner_ledger, 3, wants={'k': 80})
-        self.assertEqual((self.poor.may(4, 'k'), third.may(4, 'k')), (100, 130))
+        self.assertEqual((self.poor.spendable(4, 'k'), third.spendable(4, 'k')), (100, 130))
 
     def test_borrowers_get_equal_shares(self):
         self.lend(amount=40)
@@ -103,13 +105,13 @@
         for now in (1, 2, 3, 4):
             meet(third, self.planner_ledger, now, wants={'k': 80})
             meet(self.poor, self.planner_ledger, now, wants={'k': 80})
-        self.assertEqual((third.may(5, 'k'), self.poor.may(5, 'k')), (120, 120))
+        self.assertEqual((third.spendable(5, 'k'), self.poor.spendable(5, 'k')), (120, 120))
 
     def test_deposit_that_expires_before_the_lease_is_not_leased(self):
         self.lend()
-        end = shorter(GIFT) - longer(LEASE)
+        end = min_elapsed(GIFT) - max_elapsed(LEASE)
         plans = [
-            self.planner_ledger.told(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases']
+            self.planner_ledger.process_digest(at, self.poor.digest(at, 'p', {}, {'k': 80}))['leases']
             for at in (end, end + 1)
         ]
         self.assertEqual(plans, [{'k': 30}, {}])
@@ -118,18 +120,18 @@
         self.lend()
         fresh = PlannerLedger('b2', LEASE, GIFT)
         meet(self.poor, fresh, 1, wants={'k': 80})
-        self.assertEqual(self.poor.may(2, 'k'), OWN)
+        self.assertEqual(self.poor.spendable(2, 'k'), OWN)
 
     def test_deposits_with_earlier_life_of_planner_stay_in_force(self):
         self.lend(amount=30)
         fresh = PlannerLedger('b2', LEASE, GIFT)
         meet(self.rich, fresh, 1)
         meet(self.rich, fresh, 2, spare={'k': 80})
-        self.assertEqual(self.rich.may(3, 'k'), 50)  # at most half of its own is deposited with one planner
+        self.assertEqual(self.rich.spendable(3, 'k'), 50)  # half is deposited at most
 
     def test_restarted_forwarder_assumes_largest_deposits(self):
         fresh = ForwarderLedger(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
-        self.assertEqual((fresh.may(GIFT, 'k'), fresh.may(GIFT + 1, 'k')), (50, 100))
+        self.assertEqual((fresh.spendable(GIFT, 'k'), fresh.spendable(GIFT + 1, 'k')), (50, 100))
 
     def test_restarted_forwarder_deposits_nothing_until_old_deposits_expire(self):
         fresh = ForwarderLedger(0, 'rich2', ['p'], all_of(OWN), LEASE, GIFT)
@@ -140,13 +142,13 @@
 
     def test_plan_with_wrong_seq_or_forwarder_is_ignored(self):
         digest = self.poor.digest(0, 'p', {}, {})
-        plan = self.planner_ledger.told(0, digest)
+        plan = self.planner_ledger.process_digest(0, digest)
         for wrong in ({'seq': 99}, {'forwarder': 'rich'}):
             with self.subTest(wrong=wrong):
-                self.assertFalse(self.poor.planned(0, 'p', dict(plan, **wrong)))
+                self.assertFalse(self.poor.apply_plan(0, 'p', dict(plan, **wrong)))
 
     def test_clock_drift_bounds(self):
-        self.assertEqual((longer(20), shorter(60), shorter(1)), (22, 54, 0))
+        self.assertEqual((max_elapsed(20), min_elapsed(60), min_elapsed(1)), (22, 54, 0))
 
     def test_deposits_shorter_than_two_leases_are_rejected(self):
         with self.assertRaises(ValueError):
@@ -169,22 +171,22 @@
 
     def test_planner_leases_its_own_budget_in_whole_units(self):
         meet(self.poor, self.planner_ledger, wants={'k': 25})
-        self.assertEqual(self.poor.may(1, 'k'), OWN + 20)  # whole units only
+        self.assertEqual(self.poor.spendable(1, 'k'), OWN + 20)  # whole units only
 
     def test_planner_leases_no_budget_of_its_own_after_start(self):
         fresh = PlannerLedger('b2', LEASE, GIFT, 0, Budgets(k=30), Budgets(k=5))
-        end = longer(LEASE) + longer(5)
+        end = max_elapsed(LEASE) + max_elapsed(5)
         meet(self.poor, fresh, end, wants={'k': 30})
-        before = self.poor.may(end, 'k')
+        before = self.poor.spendable(end, 'k')
         meet(self.poor, fresh, end + 1, wants={'k': 30})
-        self.assertEqual((before, self.poor.may(end + 1, 'k')), (OWN, OWN + 30))
+        self.assertEqual((before, self.poor.spendable(end + 1, 'k')), (OWN, OWN + 30))
 
     def test_lease_is_charged_for_its_tail(self):
         meet(self.poor, self.planner_ledger, wants={'k': 30})
         third, lent = ForwarderLedger(-GIFT - 13, 'third', ['p'], all_of(OWN), LEASE, GIFT, Budgets(k=5)), []
-        for now in (longer(LEASE) + longer(5), longer(LEASE) + longer(5) + 1):
+        for now in (max_elapsed(LEASE) + max_elapsed(5), max_elapsed(LEASE) + max_elapsed(5) + 1):
             meet(third, self.planner_ledger, now, wants={'k': 30})
-            lent.append(third.may(now, 'k') - OWN)
+            lent.append(third.spendable(now, 'k') - OWN)
         self.assertEqual(lent, [0, 30])
 
     def test_cached_snapshot_leases_nothing_twice(self):
@@ -194,7 +196,7 @@
         meet(third, self.planner_ledger, 1, wants={'k': 30})
         self.planner_ledger.set_own_budget(Budgets(k=50))
         meet(third, self.planner_ledger, 2, wants={'k': 30})
-        self.assertEqual((self.poor.may(3, 'k'), third.may(3, 'k')), (OWN + 30, OWN + 20))
+        self.assertEqual((self.poor.spendable(3, 'k'), third.spendable(3, 'k')), (OWN + 30, OWN + 20))
 
     def test_smaller_lease_is_confirmed_only_when_it_covers_open_requests(self):
         meet(self.poor, self.planner_ledger, wants={'k': 30})
@@ -214,7 +216,7 @@
 class DepositFromArrival(PlannerLedger):
     """Counts a deposit from its arrival."""
 
-    def receive(self, now, holder, digest):
+    def record_deposits(self, now, holder, digest):
         for key, amount in digest['gifts'].items():
             holder.deposits[key] = [*holder.deposits.get(key, ()), Deposit(now + self.deposit_term, amount)]
 
@@ -231,7 +233,7 @@
     """Lends deposits that expire before the lease does."""
 
     def pool(self, now, key, until):
-        return super().pool(now, key, until - longer(self.lease))
+        return super().pool(now, key, until - max_elapsed(self.lease))
 
 
 class IgnoresCharges(PlannerLedger):
@@ -258,8 +260,8 @@
 class LeaseFromArrival(ForwarderLedger):
     """Counts a lease from the arrival of its plan."""
 
-    def planned(self, now, planner, plan):
-        good = super().planned(now, planner, plan)
+    def apply_plan(self, now, planner, plan):
+        good = super().apply_plan(now, planner, plan)
         if good:
             account = self.account(planner)
             account.leases = {
@@ -279,8 +281,8 @@
 class ForgetsDepositsWithEarlierLife(ForwarderLedger):
     """Forgets deposits with earlier lives of a planner."""
 
-    def planned(self, now, planner, plan):
-        good = super().planned(now, planner, plan)
+    def apply_plan(self, now, planner, plan):
+        good = super().apply_plan(now, planner, plan)
         del self.accounts[planner][:-1]
         return good
 
--- a/tests/plan/test_verdicts.py
+++ b/tests/plan/test_verdicts.py
@@ -17,7 +17,7 @@
     Row,
     Seen,
 )
-from lilacdyke.plan.ledger import longer, shorter
+from lilacdyke.plan.ledger import max_elapsed, min_elapsed
 from lilacdyke.plan.verdicts import VerdictTracker
 
 SPAN = 1_000
@@ -45,7 +45,7 @@
     """Return a planner's view after these reports: [(seat, site, report)]."""
     made = VerdictTracker(SPAN)
     for seat, site, told in reports:
-        made.told(now, seat, site, 'life', 1, told)
+        made.add_report(now, seat, site, 'life', 1, told)
     return made
 
 
@@ -118,7 +118,7 @@
         made = verdict_tracker(fleet(c3='silent'))
         before = negatives(made)
         for seat in range(6):
-            made.told(10, seat, 'ab'[seat % 2], 'life', 2, report(now=10))
+            made.add_report(10, seat, 'ab'[seat % 2], 'life', 2, report(now=10))
         self.assertEqual(
             (before, negatives(made, 10), made.verdicts(10)[('c3', START), None].kind),
             ({('c3', None): SILENT}, {}, WELL),
@@ -129,7 +129,7 @@
         for turn in range(8):
             now = turn * SPAN // 2
             for seat in range(6):
-                made.told(
+                made.add_report(
                     now,
                     seat,
                     'ab'[seat % 2],
@@ -142,9 +142,9 @@
 
     def test_late_report_of_ended_life_does_not_replace_newer_one(self):
         made = verdict_tracker(fleet())
-        made.told(500, 0, 'a', 'next', 1, report(now=500, c3='silent'))
+        made.add_report(500, 0, 'a', 'next', 1, report(now=500, c3='silent'))
         kept = dict(made.witnesses[0].rows)
-        made.told(100, 0, 'a', 'life', 9, report(now=100))
+        made.add_report(100, 0, 'a', 'life', 9, report(now=100))
         self.assertEqual(made.witnesses[0].rows, kept)
 
 
@@ -167,7 +167,7 @@
     def found(self, rows, tracker_class=VerdictTracker):
         made = tracker_class(SPAN)
         for seat, site, seq, told in rows:
-            made.told(0, seat, site, 'life', seq, told)
+            made.add_report(0, seat, site, 'life', seq, told)
         return negatives(made)
 
     def differs(self, tracker_class=VerdictTracker):
@@ -190,7 +190,7 @@
     def test_planner_that_counts_duplicates_is_detected(self):
         class CountsDuplicates(VerdictTracker):
             def told(self, left, seat, site, life, seq, told):
-                super().told(left, (seat, len(self.witnesses)), site, life, seq, told)
+                super().add_report(left, (seat, len(self.witnesses)), site, life, seq, told)
 
         self.assertTrue(self.differs(CountsDuplicates))
 
@@ -230,15 +230,15 @@
 class ActiveVerdictsTests(unittest.TestCase):
     def word(self, made, now):
         """Return the word on c3, or None."""
-        found = made.words(now, ALL).get(('c3', START))
+        found = made.bounds_by_server(now, ALL).get(('c3', START))
         return found and found[1]
 
     def test_own_newer_evidence_takes_precedence(self):
-        newest = 100 - longer(20)
+        newest = 100 - max_elapsed(20)
         for kind, well in ((SILENT, True), (WELL, False)):
             for own, acts in ((newest - 1, True), (newest, False)):
                 made = ActiveVerdicts(SPAN, lambda: 1.0)
-                made.planned(100, [told(kind, 20)])
+                made.apply_plan(100, [told(kind, 20)])
                 made.observe(own, ('c3', START), not well)
                 made.observe(own, ('c3', START), well)
                 with self.subTest(kind=kind, own=own):
@@ -246,49 +246,50 @@
 
     def test_verdict_fades_and_ends(self):
         made = ActiveVerdicts(SPAN, lambda: 1.0)
-        made.planned(0, [told()])
+        made.apply_plan(0, [told()])
         most = [self.word(made, now)[2] for now in (0, 600, 850)]
         self.assertTrue(1 / 32 == most[0] < most[1] < most[2] < 1)
-        self.assertIsNone(self.word(made, shorter(SPAN)))
+        self.assertIsNone(self.word(made, min_elapsed(SPAN)))
 
     def test_word_for_each_kind_of_verdict(self):
-        until = shorter(SPAN)
+        until = min_elapsed(SPAN)
         for row, word in (
             (told(FULL), (until, 0, 0.5, 0)),
             (told(SLOW, factor=4.0, answer_time=320), (until, 0, 0.25, 320)),
             (told(WELL), (until, 0.5, 1, 0)),
         ):
             made = ActiveVerdicts(SPAN, lambda: 1.0)
-            made.planned(0, [row])
+            made.apply_plan(0, [row])
             self.assertEqual(self.word(made, 0), word)
 
     def test_older_verdict_does_not_replace_newer_one(self):
         made = ActiveVerdicts(SPAN, lambda: 1.0)
-        made.planned(100, [told(WELL)])
-        made.planned(100, [told(SILENT, 50)])
+        made.apply_plan(100, [told(WELL)])
+        made.apply_plan(100, [told(SILENT, 50)])
         self.assertEqual(made.in_effect(101, ('c3', START)).kind, WELL)
 
     def test_verdict_on_unlisted_server_takes_effect_once_it_is_listed(self):
         made = ActiveVerdicts(SPAN, lambda: 1.0)
-        made.planned(0, [told(server='c99')])
+        made.apply_plan(0, [told(server='c99')])
         self.assertEqual(
-            (made.words(0, ALL), list(made.words(10, {**ALL, ('c99', START): 'a'}))), ({}, [('c99', START)])
+            (made.bounds_by_server(0, ALL), list(made.bounds_by_server(10, {**ALL, ('c99', START): 'a'}))),
+            ({}, [('c99', START)]),
         )
-        self.assertEqual(made.words(10, {**ALL, ('c99', START + 1): 'a'}), {})
+        self.assertEqual(made.bounds_by_server(10, {**ALL, ('c99', START + 1): 'a'}), {})
 
     def test_restrained_servers_stay_within_the_limits_most_certain_first(self):
         for count in (3, 8, 20, 60):
             sites = {('c%d' % number, START): 'abc'[number % 3] for number in range(count)}
             made = ActiveVerdicts(SPAN, lambda: 1.0)
             for first, way in ((0, False), (1, True)):  # as if from two planners that contradict each other
-                made.planned(
+                made.apply_plan(
                     0,
                     [
                         told(server='c%d' % number, witnesses=2 + number, way=way)
                         for number in range(first, count, 2)
                     ],
                 )
-            down = [server for server, (held, _) in made.words(0, sites).items() if held.negative]
+            down = [server for server, (held, _) in made.bounds_by_server(0, sites).items() if held.negative]
             self.assertLessEqual(len(down), MAX_RESTRAINED_SHARE * count)
             for site in 'abc':
                 self.assertLessEqual(
@@ -300,7 +301,7 @@
 
     def test_forwarders_return_to_their_own_view_at_different_times(self):
         ends = {ActiveVerdicts(SPAN, Random(seed).random).span for seed in range(40)}
-        self.assertTrue(len(ends) > 20 and max(ends) <= shorter(SPAN))
+        self.assertTrue(len(ends) > 20 and max(ends) <= min_elapsed(SPAN))
 
 
 def history(seed, tracker_class=VerdictTracker, belief=ActiveVerdicts):
@@ -348,13 +349,13 @@
             if kind == 'up':
                 stamps[seat] = (clock[2](now), clock[seat](now))
                 if stamp:
-                    left = min(clock[2](now), stamp[0] + shorter(stamp[1]))
-                    planner.told(left, seat, 'ab'[seat], 'life', sent + 1, told)
+                    left = min(clock[2](now), stamp[0] + min_elapsed(stamp[1]))
+                    planner.add_report(left, seat, 'ab'[seat], 'life', sent + 1, told)
             elif kind == 'ask':
                 made = [verdict.plain(clock[2](now)) for verdict in planner.verdicts(clock[2](now)).values()]
                 in_flight.append((now + rng.choice((5, 50, 900)), 'plan', None, sent, None, made))
             else:
-                held.planned(sent, told)
+                held.apply_plan(sent, told)
         if held.in_effect(clock[3](now), ('c3', START)) is not None and held.received['c3', START].negative:
             longest = max(longest, now - newest)
     return longest
@@ -376,7 +377,7 @@
             """Treats a report as if its evidence were as new as its arrival."""
 
             def told(self, left, seat, site, life, seq, told):
-                super().told(
+                super().add_report(
                     left + 900,
                     seat,
                     site,
@@ -392,7 +393,7 @@
             """Ignores the age that a verdict has in the plan."""
 
             def planned(self, asked, rows):
-                super().planned(asked, [[*row[:7], 0, *row[8:]] for row in rows])
+                super().apply_plan(asked, [[*row[:7], 0, *row[8:]] for row in rows])
 
         class IgnoresSpan(ActiveVerdicts):
             """Ignores the span."""
@@ -413,8 +414,8 @@
         try:
             beliefs.MAX_RESTRAINED_SHARE = 2.0
             made = ActiveVerdicts(SPAN, lambda: 1.0)
-            made.planned(0, [told(server=name) for name in SERVERS])
-            self.assertGreater(len(made.words(0, ALL)), MAX_RESTRAINED_SHARE * len(ALL))
+            made.apply_plan(0, [told(server=name) for name in SERVERS])
+            self.assertGreater(len(made.bounds_by_server(0, ALL)), MAX_RESTRAINED_SHARE * len(ALL))
             verdicts.MIN_WITNESSES = 1
             self.assertNotEqual(negatives(verdict_tracker([(0, 'a', report(c3='silent'))])), {})
         finally:
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -45,7 +45,7 @@
         self.seq += 1
         rows = self.view.report(self.now, planner, self.seq, life)
         if answer:
-            self.view.planned(
+            self.view.apply_plan(
                 self.now,
                 planner,
                 {'seq': self.seq, 'life': life, 'verdicts': [list(row) for row in verdicts]},
@@ -85,36 +85,36 @@
 
     def test_verdict_applies_until_newer_own_evidence(self):
         self.next_report(verdicts=[self.silent_verdict()])
-        word = self.server.word
+        word = self.server.fleet_bounds
         self.assertEqual((word[1:], word[0] > self.now), ((0, 1 / 32, 0), True))
-        self.assertTrue(self.view.out(self.now, self.server))
+        self.assertTrue(self.view.is_down(self.now, self.server))
         self.now += 10
         self.ended('lost')
-        self.assertEqual(self.server.word, word)  # the own evidence agrees with the verdict
+        self.assertEqual(self.server.fleet_bounds, word)  # the own evidence agrees with the verdict
         self.ended('committed', GOAL)
-        self.assertEqual(self.server.word, word)  # a slow answer is no success
+        self.assertEqual(self.server.fleet_bounds, word)  # a slow answer is no success
         self.ended()
-        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
+        self.assertIs(self.server.fleet_bounds, NO_FLEET_BOUNDS)
         self.next_report(verdicts=[self.silent_verdict(age=20)])
-        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
+        self.assertIs(self.server.fleet_bounds, NO_FLEET_BOUNDS)
 
     def test_word_expires_without_plans(self):
         self.next_report(verdicts=[self.silent_verdict()])
         self.now += SPAN
         self.view.refresh_words(0)
-        self.assertEqual((self.server.word, self.view.words), (NO_FLEET_BOUNDS, {}))
+        self.assertEqual((self.server.fleet_bounds, self.view.bounds_by_server), (NO_FLEET_BOUNDS, {}))
 
     def test_restarted_server_is_neither_reported_nor_constrained(self):
         self.server.started = self.now
         self.ended()
         self.assertEqual(self.next_report(verdicts=[self.silent_verdict()]), [])
-        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
+        self.assertIs(self.server.fleet_bounds, NO_FLEET_BOUNDS)
 
     def test_server_removed_from_the_list_has_no_word(self):
         self.next_report(verdicts=[self.silent_verdict()])
         self.node.router.caches.remove(self.server)
-        self.view.look(self.now)
-        self.assertIs(self.server.word, NO_FLEET_BOUNDS)
+        self.view.apply_verdicts(self.now)
+        self.assertIs(self.server.fleet_bounds, NO_FLEET_BOUNDS)
 
     def test_outcomes_unrelated_to_the_server_are_no_evidence(self):
         for how in ('unsent', 'cancelled', 'rejected', 'expired'):
--- a/tests/scale/test_scale.py
+++ b/tests/scale/test_scale.py
@@ -115,18 +115,18 @@
 
     def test_voter_accepts_each_renewal(self):
         answers = []
-        usual = control.Voter.told
+        usual = control.Voter.on_message
 
         def record_answer(self, now, message):
             answer = usual(self, now, message)
             answers.append(answer[0]['yes'])
             return answer
 
-        control.Voter.told = record_answer
+        control.Voter.on_message = record_answer
         try:
             control.voter_message(3, 1)()
         finally:
-            control.Voter.told = usual
+            control.Voter.on_message = usual
         self.assertEqual(set(answers), {True})
         self.assertGreater(len(answers), control.RENEWALS_PER_VALUE)
 
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -108,7 +108,7 @@
         made = node()
         guard = Guard(made.clock, made.count, made.is_open, made.router, made.place.stop_sending_timeout)
         for number in range(9_000):
-            server = mock.Mock(told='draining', state='draining')
+            server = mock.Mock(listed_state='draining', state='draining')
             server.name = 's%d' % number
             guard.update_servers([server])
         self.assertLessEqual(len(guard.not_ready_since), 8_192)
