--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -10,7 +10,7 @@
 import click
 
 from . import __version__
-from .decode import address, page
+from .decode import parse_address, read_config
 from .values import InvalidValueError
 
 
@@ -20,7 +20,7 @@
         click.echo('lilacdyke: no config: give --config or EDGE_CONFIG', err=True)
         sys.exit(2)
     try:
-        return page(path)
+        return read_config(path)
     except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
@@ -30,7 +30,7 @@
     """Return the configuration, with the operators' address from EDGE_OPERATOR if the page has none."""
     try:
         if not node_config.operator and os.environ.get('EDGE_OPERATOR'):
-            node_config.operator = address(os.environ['EDGE_OPERATOR'])
+            node_config.operator = parse_address(os.environ['EDGE_OPERATOR'])
     except InvalidValueError as err:
         click.echo('lilacdyke: EDGE_OPERATOR: %s' % err, err=True)
         sys.exit(2)
@@ -56,7 +56,7 @@
     from .changes import settings
 
     try:
-        return settings.enabled(settings.read(path), node_config.installation)
+        return settings.require_enabled(settings.read(path), node_config.installation)
     except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
@@ -72,8 +72,8 @@
 
     fleet = read_fleet(path)
     try:
-        limits.enabled(fleet, node_config.installation)
-        longest = max(profile.hard for profile in node_config.terms.profiles)
+        limits.require_enabled(fleet, node_config.installation)
+        longest = max(profile.hard_limit for profile in node_config.terms.profiles)
         if longest > fleet.longest_s * 10_000:
             raise InvalidValueError(
                 'longest_s: %g, but the page has requests of %g s' % (fleet.longest_s, longest / 10_000)
@@ -124,7 +124,7 @@
     """Run a node until SIGTERM has drained it."""
     from .net import logs, node
 
-    logs.begin(log_level)
+    logs.configure(log_level)
     early = []  # not empty if SIGHUP arrives before the node handles it
     signal.signal(signal.SIGHUP, lambda *_: early.append(True))
     node_config = with_operator_address(read_page(config))
@@ -141,7 +141,7 @@
     """Run a planner until SIGTERM."""
     from .net import logs
 
-    logs.begin(log_level)
+    logs.configure(log_level)
     fleet = read_fleet(path)
     names = [row.name for row in fleet.planner]
     if name not in names or not fleet.enabled:
--- a/lilacdyke/benchlink/serve.py
+++ b/lilacdyke/benchlink/serve.py
@@ -6,14 +6,14 @@
     STATES,
     InvalidValueError,
     boolean,
-    down,
+    format_seconds,
     hex_bytes,
+    load_report,
+    non_negative_int,
     number,
     optional,
-    report,
-    seconds,
-    up,
-    whole,
+    to_ticks_ceil,
+    to_ticks_floor,
 )
 
 ENDINGS = {
@@ -87,10 +87,14 @@
     def on_ask(self, now, parts):
         """Accept a transaction."""
         tx_id, service, org, key, deadline, estimate, size, flags = parts
-        tx_id, row, limit = whole(tx_id), whole(service), down(number(deadline))
+        tx_id, row, limit = (
+            non_negative_int(tx_id),
+            non_negative_int(service),
+            to_ticks_floor(number(deadline)),
+        )
         optional(number, estimate)
         optional(number, size)
-        tenant, bits = optional(whole, org) or 0, optional(whole, flags) or 0
+        tenant, bits = optional(non_negative_int, org) or 0, optional(non_negative_int, flags) or 0
         terms = self.router.terms
         if row >= len(terms.profiles) or tenant >= max(1, len(terms.tenants)):
             raise InvalidValueError('no such profile or tenant')
@@ -103,12 +107,12 @@
     def on_answer(self, now, parts):
         """Record the end of a hop."""
         tx_id, index, server, outcome, lasted, complete, remark, feedback = parts
-        tx_id, index = whole(tx_id), whole(index)
+        tx_id, index = non_negative_int(tx_id), non_negative_int(index)
         if outcome not in ENDINGS:
             raise InvalidValueError('unknown outcome: %r' % outcome)
-        lasted, complete = down(number(lasted)), boolean(complete)
-        remark = optional(whole, remark) or 0
-        self.check_unused(report, feedback)
+        lasted, complete = to_ticks_floor(number(lasted)), boolean(complete)
+        remark = optional(non_negative_int, remark) or 0
+        self.check_unused(load_report, feedback)
         server = self.server(server)
         tx = self.txs.get(tx_id)
         if tx is None:
@@ -120,7 +124,7 @@
 
     def on_left(self, now, parts):
         """Record that the client has left."""
-        tx_id = whole(*parts)
+        tx_id = non_negative_int(*parts)
         tx = self.txs.get(tx_id)
         if tx is not None:
             self.router.client_gone(now, tx)
@@ -129,7 +133,7 @@
     def on_started(self, now, parts):
         """Record the start of a streamed answer, which ends the router's part in the transaction."""
         tx_id, index, server, lasted = parts
-        tx_id, index, lasted = whole(tx_id), whole(index), number(lasted)
+        tx_id, index, lasted = non_negative_int(tx_id), non_negative_int(index), number(lasted)
         self.server(server)
         tx = self.txs.get(tx_id)
         if tx is None:
@@ -145,17 +149,17 @@
         if outcome not in ENDINGS:
             raise InvalidValueError('unknown outcome: %r' % outcome)
         number(lasted)
-        self.check_unused(report, feedback)
+        self.check_unused(load_report, feedback)
         self.server(server)
 
     def on_reminder(self, now, parts):
         """Check the line of a due wake-up; decisions are pulled at the end of the batch."""
-        whole(*parts)
+        non_negative_int(*parts)
 
     def on_heard(self, now, parts):
         """Check the line of a message from a peer; the router sends none."""
         author, body = parts
-        whole(author)
+        non_negative_int(author)
         self.check_unused(hex_bytes, body)
 
     def emit_decisions(self, now, write):
@@ -165,7 +169,7 @@
 
     def write_send(self, write, hop, timeout):
         """Write the start of a hop."""
-        timeout_s = '' if timeout is None else seconds(timeout)
+        timeout_s = '' if timeout is None else format_seconds(timeout)
         write('ASSIGN\t%d\t%d\t%s\t%s\n' % (self.number, hop.tx.ref, hop.server.name, timeout_s or '-'))
 
     def write_cancel(self, write, hop):
@@ -174,7 +178,7 @@
 
     def write_roll_back(self, write, tx, after):
         """Write the final answer after which the client may safely retry."""
-        write('PUSH_BACK\t%d\t%d\t%s\n' % (self.number, tx.ref, seconds(after) if after else '-'))
+        write('PUSH_BACK\t%d\t%d\t%s\n' % (self.number, tx.ref, format_seconds(after) if after else '-'))
         self.forget(tx.ref, tx)
 
     def write_abandon(self, write, tx):
@@ -188,7 +192,7 @@
 
     def write_wake(self, write, when):
         """Request a wake-up."""
-        write('REMIND\t%d\t%s\t0\n' % (self.number, seconds(when)))
+        write('REMIND\t%d\t%s\t0\n' % (self.number, format_seconds(when)))
 
     def write_log(self, write, text):
         """Write a log line."""
@@ -257,7 +261,7 @@
             self.expect(parts, 1)
             if self.now is not None:
                 raise InvalidValueError('a batch inside a batch')
-            self.now = down(number(parts[0]))
+            self.now = to_ticks_floor(number(parts[0]))
         elif self.now is None:
             if name or parts:
                 raise InvalidValueError('outside a batch')
@@ -266,14 +270,14 @@
             self.answer()
         elif name == 'POOL':
             self.expect(parts, 2)
-            self.pool = [whole(parts[0]), whole(parts[1]), []]
+            self.pool = [non_negative_int(parts[0]), non_negative_int(parts[1]), []]
             self.store_complete_pool()
         elif name == 'ROW':
             self.row(parts)
         elif name == 'ENLIST':
             self.expect(parts, 3)
-            key = whole(parts[0])
-            self.instances[key] = self.active[key] = Instance(key, whole(parts[1]), parts[2])
+            key = non_negative_int(parts[0])
+            self.instances[key] = self.active[key] = Instance(key, non_negative_int(parts[1]), parts[2])
         elif name == 'RETIRE':
             self.expect(parts, 1)
             instance = self.instance(parts[0])
@@ -297,7 +301,7 @@
 
     def instance(self, text):
         """Return a running instance, whose decisions are pulled at the end of the batch."""
-        found = self.instances.get(whole(text))
+        found = self.instances.get(non_negative_int(text))
         if found is None:
             raise InvalidValueError('no such instance: %s' % text)
         self.active[found.number] = found
@@ -319,10 +323,10 @@
                     name,
                     STATES[state],
                     number(weight),
-                    up(started) if started else None,
-                    whole(zone),
-                    whole(cell),
-                    whole(kind),
+                    to_ticks_ceil(started) if started else None,
+                    non_negative_int(zone),
+                    non_negative_int(cell),
+                    non_negative_int(kind),
                 )
             )
         finally:
@@ -342,8 +346,8 @@
         if mode not in LIST_MODES:
             raise InvalidValueError('unknown mode: %r' % mode)
         if mode != 'unavailable':
-            whole(parts[2])
-            records = self.pools.get(whole(parts[3]))
+            non_negative_int(parts[2])
+            records = self.pools.get(non_negative_int(parts[3]))
             if records is None:
                 raise InvalidValueError('a list never sent: %s' % parts[3])
         instance.on_roster(self.now, mode, records)
--- a/lilacdyke/changes/cli.py
+++ b/lilacdyke/changes/cli.py
@@ -9,7 +9,7 @@
 
 import click
 
-from ..decode import address
+from ..decode import parse_address
 from ..values import InvalidValueError
 from . import settings as settings_file
 from .messages import (
@@ -36,7 +36,7 @@
     """Return the settings in this file, or exit with code 2 if it is invalid."""
     try:
         settings = settings_file.read(path)
-        return settings_file.enabled(settings, settings.installation)
+        return settings_file.require_enabled(settings, settings.installation)
     except InvalidValueError as err:
         click.echo('lilacdyke: %s: %s' % (path, err), err=True)
         sys.exit(2)
@@ -70,7 +70,7 @@
 def send_request(process, request, kind):
     """Send a request to a process and return its answer, or exit with code 1 if there is none."""
     try:
-        with socket.create_connection(address(process.address), ANSWER_TIMEOUT_S) as connection:
+        with socket.create_connection(parse_address(process.address), ANSWER_TIMEOUT_S) as connection:
             connection.settimeout(ANSWER_TIMEOUT_S)
             connection.sendall(pack(request))
             return unpack(read_frame(connection), kind)
@@ -101,7 +101,7 @@
     from ..net import logs
     from . import process
 
-    logs.begin(log_level)
+    logs.configure(log_level)
     settings = load_settings(path)
     find_process(settings, path, name)
     try:
--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -5,7 +5,7 @@
 
 from collections import Counter
 
-from ..net.logs import say, warn
+from ..net.logs import log_event, log_warning
 from ..net.sockets import connect
 from ..net.tables import Deadlines
 from ..values import SECOND, InvalidValueError
@@ -85,7 +85,7 @@
         """Register the link to the parent."""
         self.links[link.peer] = link
         self.replica.linked(self.clock(), link.peer, False)
-        say('linked', above=link.peer)
+        log_event('linked', above=link.peer)
         self.settle()
 
     def schedule_redial(self):
@@ -131,7 +131,7 @@
         now = self.clock()
         for link in list(self.links.values()):
             if now >= link.last_received + IDLE_TIMEOUT:
-                warn('link given up', peer=link.peer, why='silent')
+                log_warning('link given up', peer=link.peer, why='silent')
                 link.close()
         for link in [link for link in self.unidentified if now >= link.last_received + HELLO_TIMEOUT]:
             link.close()
--- a/lilacdyke/changes/link.py
+++ b/lilacdyke/changes/link.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from ..net.logs import LOG, warn
+from ..net.logs import LOG, log_warning
 from ..net.sockets import Outgoing, no_delay
 from .messages import (
     BadFrameError,
@@ -46,7 +46,7 @@
         except BadFrameError as err:
             self.host.counts['bad_frames'] += 1
             peer = self.transport.getPeer()
-            warn('link ended', peer=self.peer or '%s:%d' % (peer.host, peer.port), reason=err)
+            log_warning('link ended', peer=self.peer or '%s:%d' % (peer.host, peer.port), reason=err)
             self.close()
         except Exception:
             LOG.exception('fault')
--- a/lilacdyke/changes/node.py
+++ b/lilacdyke/changes/node.py
@@ -6,8 +6,8 @@
 
 from collections import OrderedDict
 
-from ..decode import address
-from ..net.logs import say, warn
+from ..decode import parse_address
+from ..net.logs import log_event, log_warning
 from ..values import SECOND
 from .host import Host
 from .log import CONFIGURATION, PURGE
@@ -52,7 +52,7 @@
     """A node's replica. Its rank selects the relay of the changes file that it dials first."""
 
     def __init__(self, reactor, elapsed, random, name, rank, settings, record=None):
-        relays = [(process.name, address(process.address)) for process in settings.relays]
+        relays = [(process.name, parse_address(process.address)) for process in settings.relays]
         first = rank % max(1, len(relays))
         self.record = record or Record()
         self.replica = Replica(name, tail=1)  # a node has no children
@@ -68,7 +68,7 @@
         self.max_age = int(settings.stale_after_s * SECOND)
         self.stale = None  # result of the last check
 
-    def begin(self):
+    def start(self):
         """Dial a relay, and start checking the age and logging counts."""
         self.host.start()
         self.check_age(0)
@@ -86,7 +86,7 @@
         stale = age is None or age > self.max_age
         if stale != self.stale:
             self.stale = stale
-            (warn if stale else say)(
+            (log_warning if stale else log_event)(
                 'changes stale' if stale else 'changes fresh', age_ms=None if age is None else age // 10
             )
         self.host.deadlines.at(self.host.clock() + AGE_CHECK_INTERVAL, self.check_age, 0)
@@ -94,7 +94,7 @@
     def log_counts(self, _):
         """Log the counts."""
         age = self.age()
-        say(
+        log_event(
             'changes',
             age_ms=None if age is None else age // 10,
             above=self.host.parent_link.peer if self.host.parent_link else None,
--- a/lilacdyke/changes/process.py
+++ b/lilacdyke/changes/process.py
@@ -11,8 +11,8 @@
 
 from twisted.internet.error import CannotListenError
 
-from ..decode import address
-from ..net.logs import say, warn
+from ..decode import parse_address
+from ..net.logs import log_event, log_warning
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..values import SECOND
@@ -36,7 +36,7 @@
         except (DiskError, NotStoredError) as err:
             if not attempts_left:
                 raise
-            warn('disk failed at the start', reason=err)
+            log_warning('disk failed at the start', reason=err)
             time.sleep(START_RETRY_DELAY_S)
 
 
@@ -44,9 +44,9 @@
     """Return the writer of this process. Raise InvalidValueError if its file cannot be read or written."""
     store = retry_disk(lambda: Store(process.folder))
     writer = Writer(
-        replica, settings.keys, lambda line: retry_disk(lambda: store.keep(line)), store.lines
+        replica, settings.keys, lambda line: retry_disk(lambda: store.append_record(line)), store.lines
     )  # stores its epoch
-    writer.keep = store.keep
+    writer.append_record = store.append_record
     return writer
 
 
@@ -55,7 +55,7 @@
     written."""
     is_writer = process.role == 'writer'
     replica = Replica(process.name, process.name if is_writer else None)
-    parents = [(name, address(settings.named(name).address)) for name in process.above]
+    parents = [(name, parse_address(settings.named(name).address)) for name in process.above]
     random = Random(os.urandom(8)).random
     # The rate limit of nodes does not apply to children that are relays.
     relays = frozenset(each.name for each in settings.process)
@@ -78,7 +78,7 @@
     """Log the counts periodically."""
     replica = host.replica
     status = host.status()
-    say(
+    log_event(
         'figures',
         links=len(host.links),
         below=status.below,
@@ -105,15 +105,15 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
     try:
-        host.listen(*address(process.address))
+        host.listen(*parse_address(process.address))
     except CannotListenError as err:
-        warn('cannot listen', reason=err)
+        log_warning('cannot listen', reason=err)
         return 1
     host.start()
     log_counts(host)
-    say('serves', name=name, role=process.role, address=process.address)
+    log_event('serves', name=name, role=process.role, address=process.address)
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
-    say('stopped', **host.counts)
+    log_event('stopped', **host.counts)
     return 0
--- a/lilacdyke/changes/settings.py
+++ b/lilacdyke/changes/settings.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from ..decode import address
+from ..decode import parse_address
 from ..values import InvalidValueError
 from .messages import Name
 from .writer import KeyType
@@ -71,7 +71,7 @@
     """Check one process. Raise InvalidValueError if it is invalid."""
     where = 'process %s: ' % process.name
     try:
-        address(process.address)
+        parse_address(process.address)
     except InvalidValueError as err:
         raise InvalidValueError('%saddress: %s' % (where, err)) from None
     if process.role == 'writer' and (process.above or process.folder is None):
@@ -105,7 +105,7 @@
     return check(settings)
 
 
-def enabled(settings, installation):
+def require_enabled(settings, installation):
     """Return the settings if they are enabled for this installation, else raise InvalidValueError."""
     if not settings.enabled:
         raise InvalidValueError('enabled: is false')
--- a/lilacdyke/changes/store.py
+++ b/lilacdyke/changes/store.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from ..net.logs import warn
+from ..net.logs import log_warning
 from ..values import InvalidValueError
-from .writer import Compacted, EpochBegun, Line, NotStoredError, Put
+from .writer import ChangePut, Compacted, EpochBegun, Line, NotStoredError
 
-LINES = 4_096  # a file of this many lines is compacted at a start
+COMPACT_FROM_LINES = 4_096  # a file of this many lines is compacted at a start
 NAME = 'changes.jsonl'
 MODE = 0o644
 LINE_END = b'\n'
@@ -49,7 +49,7 @@
 
 def compacted(lines):
     """Return one line with the same state if there are many, else the same list."""
-    if len(lines) < LINES:
+    if len(lines) < COMPACT_FROM_LINES:
         return lines
     epoch, configuration, newest = 0, {}, 0
     for line in lines:
@@ -57,7 +57,7 @@
             epoch = max(epoch, line.epoch)
         elif isinstance(line, Compacted):
             epoch, configuration, newest = max(epoch, line.epoch), dict(line.configuration), line.newest
-        elif isinstance(line, Put):
+        elif isinstance(line, ChangePut):
             newest = max(newest, line.change.at)
             if line.change.kind == 'config':
                 configuration.update({item.key: item.value for item in line.change.items})
@@ -125,7 +125,7 @@
         try:
             self.replace(data)
         except OSError as err:
-            warn('file not shortened', path=self.path, reason=err)
+            log_warning('file not shortened', path=self.path, reason=err)
             return
         self.lines, self.length = compacted_lines, len(data)
 
@@ -155,7 +155,7 @@
             os.fsync(self.descriptor)
             self.clean = True
 
-    def keep(self, line):
+    def append_record(self, line):
         """Append a line and sync it to disk. Raise NotStoredError if that fails.
 
         The line is then not in the file; or, if the error says so, it may be there until the next is stored.
--- a/lilacdyke/changes/writer.py
+++ b/lilacdyke/changes/writer.py
@@ -31,7 +31,7 @@
     epoch: int
 
 
-class Put(msgspec.Struct, frozen=True, tag='put'):
+class ChangePut(msgspec.Struct, frozen=True, tag='put'):
     """A line of the writer's file: a change."""
 
     change: Change
@@ -45,7 +45,7 @@
     newest: int
 
 
-Line = EpochBegun | Put | Compacted
+Line = EpochBegun | ChangePut | Compacted
 KeyType = Literal['number', 'text', 'flag']
 
 
@@ -62,19 +62,19 @@
 class Writer:
     """The writer of a replica's own log.
 
-    keys: the type of each configuration key. keep(line): stores a line durably. lines: those stored before
-    this start. epoch: the epoch to begin; by default the next.
+    keys: the type of each configuration key. append_record(line): stores a line durably. lines: those stored
+    before this start. epoch: the epoch to begin; by default the next.
     """
 
-    def __init__(self, replica, keys, keep, lines=(), epoch=None):
-        self.replica, self.keys, self.keep = replica, keys, keep
+    def __init__(self, replica, keys, append_record, lines=(), epoch=None):
+        self.replica, self.keys, self.append_record = replica, keys, append_record
         self.log = replica.log(replica.origin)
         self.replaced = {}  # by sequence: items with the values that a configuration change replaced
         last = self.replay(lines)
         self.epoch = last + 1 if epoch is None else epoch
         if self.epoch <= last:
             raise RefusedError('epoch: %d is not above %d' % (self.epoch, last))
-        keep(EpochBegun(self.epoch))
+        append_record(EpochBegun(self.epoch))
         self.log.begin_epoch(self.epoch)
 
     def replay(self, lines):
@@ -108,7 +108,7 @@
         self.check(kind, items)
         # The clock may have been stepped back: a change is never older than those before it.
         change = Change(self.log.position.sequence + 1, kind, items, max(at, self.log.newest))
-        self.keep(Put(change))
+        self.append_record(ChangePut(change))
         self.record_replaced(change)
         self.replica.put(change)
         return change
--- a/lilacdyke/gate.py
+++ b/lilacdyke/gate.py
@@ -136,7 +136,9 @@
             return False
         if server.origin or warmth == 1:
             return True
-        rate = max(1 / self.terms.nodes, self.usual * server.weight * warmth * self.terms.fall_multiple / 2)
+        rate = max(
+            1 / self.terms.nodes, self.peak_warm_rate * server.weight * warmth * self.terms.fall_multiple / 2
+        )
         gained = 0 if self.handed else rate * (now - server.credit_updated) / self.terms.overload_window
         server.cold_credit, server.credit_updated = min(max(1, rate / 2), server.cold_credit + gained), now
         return server.cold_credit >= 1
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -152,16 +152,16 @@
         self.terms, self.uniform = terms, Random(seed).random
         self.goal = min(profile.goal for profile in terms.profiles)
         self.unit = max(1, self.goal // 32)
-        self.caches, self.origin, self.known = [], None, {}
-        self.hand = {}  # suspensions by name: (start, end), end None while it lasts
+        self.caches, self.origin, self.servers_by_name = [], None, {}
+        self.suspensions = {}  # suspensions by name: (start, end), end None while it lasts
         self.logs = deque()
         # Decaying counts of hops that ended well and badly; whether each cache gets a hop or more per goal.
-        self.good_hops, self.poor, self.gets_hops_often = 1.0, 0.0, True
-        self.usual = 0  # peak of the warm caches' answers per window and unit of weight
+        self.good_hops, self.bad_hops, self.gets_hops_often = 1.0, 0.0, True
+        self.peak_warm_rate = 0  # peak of the warm caches' answers per window and unit of weight
         self.warm_answers, self.window_start = 0, 0  # answers in the current window
         self.total_out = 0  # in-flight hops at ready caches
         self.lag, self.latency_updated = 0, 0  # moving average over reads at all caches
-        self.list_request_at, self.failures = 0 if terms.watched else None, 0
+        self.list_request_at, self.failures = 0 if terms.list_on_request else None, 0
 
     # --- membership -----------------------------------------------------------------------------------
 
@@ -173,7 +173,7 @@
     def list_replaced(self, now, entries):
         """Replace the whole server list; servers that it does not name are gone."""
         named = {entry[0].name for entry in entries}
-        for server in (s for s in self.known.values() if s.name not in named):
+        for server in (s for s in self.servers_by_name.values() if s.name not in named):
             server.state = 'gone'
         self.list_changed(now, entries)
 
@@ -192,7 +192,7 @@
         self.set_timer(self.list_request_at, None)
 
     def list_entry(self, now, server, state, weight, started, zone, cell):
-        since, back = self.hand.get(server.name, (0, 0))
+        since, back = self.suspensions.get(server.name, (0, 0))
         if back and (started is None or started < since):
             started = back  # the list may not know yet that the server restarted while it was suspended
         if started != server.started or server.state == 'gone':
@@ -204,28 +204,30 @@
             server.cold_credit, server.credit_updated = self.uniform(), now
         server.listed_state, server.weight, server.zone, server.cell = state, weight, zone, cell
         server.state = 'banned' if back is None and state == 'ready' else state
-        self.known[server.name] = server
+        self.servers_by_name[server.name] = server
 
     def suspend(self, now, name):
         """Suspend a cache, whatever lists say, until resume(). Return whether it is suspended now."""
-        server = self.known.get(name)
+        server = self.servers_by_name.get(name)
         if self.is_suspended(name) or server is None or server.origin:
             return self.is_suspended(name)
-        self.hand.pop(name, None)
-        if len(self.hand) >= MAX_SUSPENDED:
-            self.hand.pop(next((old for old in self.hand if not self.is_suspended(old)), None), None)
-        if len(self.hand) >= MAX_SUSPENDED:
+        self.suspensions.pop(name, None)
+        if len(self.suspensions) >= MAX_SUSPENDED:
+            self.suspensions.pop(
+                next((old for old in self.suspensions if not self.is_suspended(old)), None), None
+            )
+        if len(self.suspensions) >= MAX_SUSPENDED:
             return False
-        self.hand[name] = (now, None)
+        self.suspensions[name] = (now, None)
         self.list_remembered(now, [self.row(server)])
         return True
 
     def resume(self, now, name):
         """End a suspension; the cache was restarted meanwhile and is cold. Return whether it was known."""
-        server = self.known.get(name)
+        server = self.servers_by_name.get(name)
         if not self.is_suspended(name):
             return server is not None and not server.origin
-        self.hand[name] = (self.hand[name][0], now)
+        self.suspensions[name] = (self.suspensions[name][0], now)
         if server:
             row, server.state = self.row(server), 'gone'
             self.list_remembered(now, [row])
@@ -233,12 +235,12 @@
 
     def is_suspended(self, name):
         """Return whether an operator has suspended the server."""
-        return self.hand.get(name, (0, 0))[1] is None
+        return self.suspensions.get(name, (0, 0))[1] is None
 
     def export_state(self, now):
         """Return plain values, with ages for times, that import_state() takes in the node's next process."""
         return [
-            self.usual,
+            self.peak_warm_rate,
             {
                 s.name: [
                     None if s.started is None else now - s.started,
@@ -246,15 +248,15 @@
                     max(1, s.in_flight_limit - s.out),
                     s.lag,
                 ]
-                for s in self.known.values()
+                for s in self.servers_by_name.values()
             },
         ]
 
     def import_state(self, now, usual, servers):
         """Take over the state of this node's previous process, which stops spending its cold credit."""
-        self.usual = usual
+        self.peak_warm_rate = usual
         for name, (age, cold_credit, in_flight_limit, lag) in servers.items():
-            server = self.known.get(name)
+            server = self.servers_by_name.get(name)
             if server:
                 server.started = None if age is None else now - age
                 server.cold_credit, server.credit_updated, server.in_flight_limit, server.lag = (
@@ -271,8 +273,10 @@
 
     def rebuild_ready(self):
         # A gone server is kept while it has in-flight hops, and dropped when a later list is applied.
-        self.known = {name: s for name, s in self.known.items() if s.state != 'gone' or s.out}
-        ready = [server for server in self.known.values() if server.state == 'ready']
+        self.servers_by_name = {
+            name: s for name, s in self.servers_by_name.items() if s.state != 'gone' or s.out
+        }
+        ready = [server for server in self.servers_by_name.values() if server.state == 'ready']
         self.caches = sorted((s for s in ready if not s.origin), key=lambda s: s.name)
         self.origin = next((s for s in ready if s.origin), None)
         self.total_out = sum(s.out for s in self.caches)
@@ -290,11 +294,11 @@
         if ending == 'committed' and not server.origin and self.capacity_factor(now, server) == 1:
             self.warm_answers += 1
         if server.share < 1 and hop.sent >= server.share_updated and duration < hop.tx.profile.goal // 2:
-            server.share, server.share_updated = min(1, 2 * self.turns(now, server)), now
+            server.share, server.share_updated = min(1, 2 * self.current_share(now, server)), now
         if server.origin or hop.tx.done:
             return
         first = hop.tx.hops[0]
-        if hop.index == 0 and (self.terms.aside or note != 1):
+        if hop.index == 0 and (self.terms.cache_aside or note != 1):
             server.hedge_timer.latencies.add(duration)
         if hop.tx.hedged and (hop.copy or hop is first) and not first.server.origin:
             first.server.hedge_timer.record_race(hop.copy, duration)
@@ -311,9 +315,9 @@
         answered = ending in ('committed', 'missing')
         good = answered and duration < hop.tx.profile.goal // 2
         self.good_hops += good
-        self.poor += not good and ending not in NEUTRAL_ENDINGS
-        if self.good_hops + self.poor > Histogram.DECAY_AFTER:
-            self.good_hops, self.poor = self.good_hops / 2, self.poor / 2
+        self.bad_hops += not good and ending not in NEUTRAL_ENDINGS
+        if self.good_hops + self.bad_hops > Histogram.DECAY_AFTER:
+            self.good_hops, self.bad_hops = self.good_hops / 2, self.bad_hops / 2
         if answered and duration < threshold:
             if server.out + 1 >= server.in_flight_limit / 2:
                 server.in_flight_limit += 1 / server.in_flight_limit
@@ -367,28 +371,28 @@
         Without decay a node could avoid a recovered server for ever, as it gets no new samples from it."""
         return 0.5 ** min(64, (now - since) / (8 * self.goal))  # bounded, since callers divide by it
 
-    def turns(self, now, server):
+    def current_share(self, now, server):
         """Return a server's current share of its reads; a reduced one grows with time."""
         return min(1, server.share / self.decay(now, server.share_updated))
 
     def admitted_share(self, now, server):
         """Return the server's share within the bounds that the fleet sets, if they have not expired."""
         _, lowest, highest, _ = server.fleet_bounds if now < server.fleet_bounds[0] else NO_FLEET_BOUNDS
-        return max(lowest, min(highest, self.turns(now, server)))
+        return max(lowest, min(highest, self.current_share(now, server)))
 
     def halve_share(self, now, server):
         """Halve the share of an overloaded server until it answers quickly again."""
-        server.share, server.share_updated = max(MIN_SHARE, self.turns(now, server) / 2), now
+        server.share, server.share_updated = max(MIN_SHARE, self.current_share(now, server) / 2), now
 
     def failure_ratio(self):
         """Return the share of recent hops that ended late or badly. Hedging presumes that slowness is rare
         and uncorrelated; in a wide overload, copies only add to it."""
-        return self.poor / (self.good_hops + self.poor)
+        return self.bad_hops / (self.good_hops + self.bad_hops)
 
     def record_silence(self, now, server):
         """Count an unanswered hop and set the server aside after SET_ASIDE_AFTER in a row."""
         server.unanswered_hops += 1
-        share = self.turns(now, server)
+        share = self.current_share(now, server)
         if share < 1 or server.unanswered_hops >= SET_ASIDE_AFTER:
             if share == 1:
                 recovery_s = -log(MIN_SHARE, 2) * 8 * self.goal // 10_000
@@ -408,7 +412,7 @@
                 else 0
             )
             # The peak is kept: during a fast deployment no warm cache may be left to measure.
-            self.usual, self.warm_answers, self.window_start = max(self.usual, rate), 0, now
+            self.peak_warm_rate, self.warm_answers, self.window_start = max(self.peak_warm_rate, rate), 0, now
 
     def capacity_factor(self, now, server):
         """Return a server's capacity by its age, from terms.cold_from at its start to 1 when it is warm."""
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -16,7 +16,7 @@
     def apply(self, ground):
         """Put it in place for the run."""
         if self.pick is not None:
-            ground.put(Router, 'pick', self.pick)
+            ground.put(Router, 'choose_cache', self.pick)
         if not self.copies:
             usual = Router.take
 
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -202,7 +202,7 @@
 
     def apply_verdicts(self, now):
         usual(self, now)
-        for server in self.node.router.known.values():
+        for server in self.node.router.servers_by_name.values():
             if (
                 server.fleet_bounds is not NO_FLEET_BOUNDS
                 and server.fleet_bounds[1] > 0
--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -14,7 +14,7 @@
 from ..net.node import Node
 from ..net.phases import Phases
 from ..net.starts import StartTimes
-from ..net.tables import Deadlines, Table
+from ..net.tables import Deadlines, SlotTable
 from ..values import SECOND
 from .reactor import SimReactor
 
@@ -58,7 +58,7 @@
 
 
 def leavers_served(put, uniform):
-    put(ClientConnection, 'left', lambda self: False)
+    put(ClientConnection, 'peer_gone', lambda self: False)
 
 
 def window_ignored(put, uniform):
@@ -77,7 +77,7 @@
     usual = Link.connectionLost
 
     def lost(self, reason=None):
-        self.left = False
+        self.all_sent = False
         usual(self, reason)
 
     put(Link, 'connectionLost', lost)
@@ -139,7 +139,7 @@
 def clock_mistaken(put, uniform):
     put(
         StartTimes,
-        'of',
+        'start_of',
         lambda self, entry, now, last_line_at: (
             started(entry, self.offset - 3_600 * SECOND) if entry.started else None
         ),
@@ -165,15 +165,15 @@
 
 
 def slot_leaked(put, uniform):
-    usual = Table.remove
-    put(Table, 'remove', lambda self, number: usual(self, number) if uniform() > 0.01 else None)
+    usual = SlotTable.remove
+    put(SlotTable, 'remove', lambda self, number: usual(self, number) if uniform() > 0.01 else None)
 
 
 def descriptor_leaked(put, uniform):
     usual = Link.close
 
     def close(self, why):
-        if self.transport is not None and self.left and uniform() < 0.5:
+        if self.transport is not None and self.all_sent and uniform() < 0.5:
             self.pool.forget(self)
         else:
             usual(self, why)
@@ -249,7 +249,7 @@
     usual = Router.give_up
 
     def give_up(self, now, tx, why=None):
-        return ('roll_back',) + (usual(self, now, tx, why)[1], self.hint)
+        return ('roll_back',) + (usual(self, now, tx, why)[1], self.retry_delay)
 
     put(Router, 'give_up', give_up)
 
@@ -266,7 +266,7 @@
 
 
 def hops_unbounded(put, uniform):
-    for name in ('permitted', 'step'):
+    for name in ('permitted', 'next_decision'):
         put(Router, name, under(getattr(Router, name), lambda self, tx: self.terms, 'max_hops', 50))
 
 
@@ -335,47 +335,47 @@
 
 
 def slots_reused(put, uniform):
-    usual = Table.add
+    usual = SlotTable.add
 
     def add(self, what):
         number = usual(self, what)
         index = number & (1 << 20) - 1
-        self.ages[index] = 0
+        self.generations[index] = 0
         return index
 
-    put(Table, 'add', add)
+    put(SlotTable, 'add', add)
 
 
 def ban_lost(put, uniform):
     usual = Router.list_entry
 
     def list_entry(self, now, server, state, *rest):
-        if self.is_suspended(server.name) and self.hand[server.name][0] < now:
-            self.hand.pop(server.name)
+        if self.is_suspended(server.name) and self.suspensions[server.name][0] < now:
+            self.suspensions.pop(server.name)
         usual(self, now, server, state, *rest)
 
     put(Router, 'list_entry', list_entry)
 
 
 def copy_to_suspended(put, uniform):
-    usual = Router.pick
+    usual = Router.choose_cache
 
     def pick(self, now, tx):
-        for server in self.known.values() if tx.hops else ():
+        for server in self.servers_by_name.values() if tx.hops else ():
             if server.state == 'banned':
                 server.state = 'ready'
                 return server
         return usual(self, now, tx)
 
-    put(Router, 'pick', pick)
+    put(Router, 'choose_cache', pick)
 
 
 def back_as_warm(put, uniform):
     usual = Router.resume
 
     def resume(self, now, name):
-        self.hand.pop(name, None)
-        server = self.known.get(name)
+        self.suspensions.pop(name, None)
+        server = self.servers_by_name.get(name)
         if server:
             self.list_remembered(
                 now, [(server, server.listed_state, server.weight, None, server.zone, server.cell)]
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -118,7 +118,7 @@
         stage, rng = self.stage, self.stage.random_source('event %d' % index)
         what = self.targets(event, rng) if event.kind in TARGETS else []
         span = int(event.for_s * 1e6)
-        stage.see('fault', event.kind, ','.join(map(str, what)), stage.clock() + span)
+        stage.record_event('fault', event.kind, ','.join(map(str, what)), stage.clock() + span)
         getattr(self, 'do_' + event.kind)(index, event, what, span, rng)
 
     def numbered(self, what):
@@ -272,7 +272,7 @@
 
     def call_back(self, server):
         for place in self.stage.places:
-            self.stage.see('hand', place.name, 'back', server.name)
+            self.stage.record_event('hand', place.name, 'back', server.name)
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
     def do_away(self, index, event, what, span, rng):
@@ -299,7 +299,7 @@
             kept = [
                 seat for seat in self.stage.load_generator.idle.get(place, ()) if seat.up and not seat.ending
             ]
-            self.stage.see('hand', place.name, 'kept', str(len(kept)))
+            self.stage.record_event('hand', place.name, 'kept', str(len(kept)))
 
     def take_in(self, place, running):
         if place.running is running and not running.leaving:
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -14,7 +14,7 @@
 
 from ..changes import store
 from ..changes.replica import Replica
-from ..changes.writer import NotStoredError, Put, Writer
+from ..changes.writer import ChangePut, NotStoredError, Writer
 from ..plan.book import VoterFile
 from ..values import InvalidValueError
 from . import bentfiles
@@ -89,7 +89,7 @@
 
     def __init__(self, folder):
         self.folder, self.kept, self.unsure = folder, [], []
-        self.limit = mock.patch.object(store, 'LINES', SHORT_FILE)
+        self.limit = mock.patch.object(store, 'COMPACT_FROM_LINES', SHORT_FILE)
         with self.limit:
             self.live((1, 2, 3))
 
@@ -97,7 +97,7 @@
         """One life of the writer."""
         opened = store.Store(self.folder)
         try:
-            writer = Writer(Replica('w', 'w'), KEYS, opened.keep, opened.lines)
+            writer = Writer(Replica('w', 'w'), KEYS, opened.append_record, opened.lines)
             for value in values:
                 self.put(writer, value)
         finally:
@@ -139,7 +139,7 @@
         """The values that a file holds, in order."""
         found = []
         for line in lines:
-            if isinstance(line, Put):
+            if isinstance(line, ChangePut):
                 found.append(int(line.change.items[0].value))
             elif hasattr(line, 'configuration') and line.configuration:
                 found.append(int(line.configuration['limit']))
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/ground.py
@@ -13,7 +13,7 @@
 import msgspec
 from twisted.logger import globalLogBeginner
 
-from ..decode import page
+from ..decode import read_config
 from ..net.node import Node
 from ..plan import limits as fleets
 from ..plan import process as planning
@@ -79,7 +79,7 @@
         self.system = SimulatedSystem(self.reactor, self.process)
         self.write(config)
         before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
-        self.node = Node(page(self.path), self.reactor, self.system)
+        self.node = Node(read_config(self.path), self.reactor, self.system)
         if ground.stage.planner_slots:
             self.node.fleet = FleetMember(
                 self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
@@ -99,7 +99,7 @@
         self.reactor.callFromThread(self.node.reload, self.path)
 
     def kill(self):
-        self.ground.stage.see('counters', self.place.name, self.counts())
+        self.ground.stage.record_event('counters', self.place.name, self.counts())
         self.reactor.kill()
 
     def freeze(self, span):
@@ -119,7 +119,7 @@
             - (len(node.fleet.links) if getattr(node, 'fleet', None) else 0),
             most=self.process.peak_open,
             waits=sum(len(pool.waiting) for pool in node.caches.pools.values()),
-            hops=sum(server.out for server in node.router.known.values()),
+            hops=sum(server.out for server in node.router.servers_by_name.values()),
         )
 
     def ended(self):
@@ -249,13 +249,13 @@
 
     def record(self, kind, *fields):
         """Record an observation of a forwarder."""
-        self.stage.see(kind, *fields)
+        self.stage.record_event(kind, *fields)
 
     def error(self, text):
         """Record an error, with the process that was running."""
         current_reactor = self.world.current_reactor
         name = current_reactor.process.name if current_reactor is not None else 'lab'
-        self.stage.see('error', name, ADDRESS.sub('0x', text)[:300])
+        self.stage.record_event('error', name, ADDRESS.sub('0x', text)[:300])
 
 
 _ACTIVE = []
@@ -299,8 +299,8 @@
                     progress(step / 50)
             for place in stage.places:
                 if place.running is not None:
-                    stage.see('node', place.name, 'hangs')
-                    stage.see('counters', place.name, place.running.counts())
+                    stage.record_event('node', place.name, 'hangs')
+                    stage.record_event('counters', place.name, place.running.counts())
     finally:
         for owner, name, value in reversed(ground.patched):
             setattr(owner, name, value)
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -100,7 +100,7 @@
                     else {}
                 )
                 if words.get('level') in ('error', 'critical'):
-                    self.ground.stage.see('error', self.place.name, line.strip()[:300])
+                    self.ground.stage.record_event('error', self.place.name, line.strip()[:300])
                 if words.get('event') == 'stopped':
                     counters = {name: int(value) for name, value in words.items() if value.isdigit()}
         if not counters:
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -108,16 +108,16 @@
     def on_message(self, begun, start_line, fields, body):
         attempt, self.attempt = self.attempt, None
         if attempt is None:
-            self.load_generator.stage.see('stray', self.node.name, 'an answer to nothing')
+            self.load_generator.stage.record_event('stray', self.node.name, 'an answer to nothing')
             self.transport.abortConnection()
             return
         self.ending = fields.get('connection', '').lower() == 'close'
         if len(body) > LARGE_BODY:
-            self.load_generator.stage.see('begun', attempt.id, begun)
+            self.load_generator.stage.record_event('begun', attempt.id, begun)
         self.load_generator.on_answer(self, attempt, start_line, fields, body)
 
     def on_malformed(self, err):
-        self.load_generator.stage.see('stray', self.node.name, 'not HTTP')
+        self.load_generator.stage.record_event('stray', self.node.name, 'not HTTP')
         self.transport.abortConnection()
 
     def on_close(self):
@@ -262,10 +262,10 @@
         stage.work_of[attempt.id] = tx.work
         now = attempt.sent_at = stage.clock()
         if attempt.crossed_close:
-            stage.see('again', attempt.id)
+            stage.record_event('again', attempt.id)
         else:
             tx.first = now if tx.first is None else tx.first
-            stage.see(
+            stage.record_event(
                 'ask',
                 attempt.id,
                 tx.number,
@@ -308,7 +308,7 @@
         stage, tx, status = self.stage, attempt.tx, int(start_line[1]) if start_line[1].isdigit() else 0
         self.cancel_timers(attempt)
         retry_after = fields.get('retry-after', '')
-        stage.see('answer', attempt.id, status, digest(body), retry_after)
+        stage.record_event('answer', attempt.id, status, digest(body), retry_after)
         if connection.ending or connection.fresh:
             connection.transport.loseConnection()
         else:
@@ -351,7 +351,7 @@
         """
         self.cancel_timers(attempt)
         if attempt.sent_at is not None:
-            self.stage.see('cut', attempt.id)
+            self.stage.record_event('cut', attempt.id)
         attempt.connection = None
         self.retry(attempt.tx, 'refused' if attempt.sent_at is None else 'failed', '')
 
@@ -374,7 +374,7 @@
         if connection is None or connection.attempt is not attempt:
             return
         self.cancel_timers(attempt)
-        self.stage.see('left', attempt.id)
+        self.stage.record_event('left', attempt.id)
         connection.attempt = None
         connection.transport.loseConnection()
         self.finish(attempt.tx, 'left')
@@ -397,13 +397,13 @@
             attempt.crossed_close = True  # closed between requests: send again on a new connection
             self.dispatch(attempt)
             return
-        self.stage.see('cut', attempt.id)
+        self.stage.record_event('cut', attempt.id)
         self.retry(attempt.tx, 'failed', '')
 
     def finish(self, tx, outcome):
         """Record the outcome of a transaction."""
         self.open -= 1
-        self.stage.see('over', tx.number, outcome, self.stage.clock() - tx.since)
+        self.stage.record_event('over', tx.number, outcome, self.stage.clock() - tx.since)
 
     # --- misbehaving clients ----------------------------------------------------------------------------
 
@@ -464,7 +464,7 @@
     def report(self, outcome):
         if not self.reported:
             self.reported = True
-            self.load_generator.stage.see(
+            self.load_generator.stage.record_event(
                 'rude', self.kind, self.node.name, outcome, self.clock() - self.since
             )
 
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -88,7 +88,7 @@
 
     def apply_change(self, version, server):
         """Apply a change and send it on all watches."""
-        self.stage.see('due', self.node, server['name'], server['state'])
+        self.stage.record_event('due', self.node, server['name'], server['state'])
         self.version = version
         if server['state'] == 'gone':
             self.rows.pop(server['name'], None)
@@ -204,12 +204,12 @@
         self.write(json.dumps(page).encode() + b'\n')
 
     def record_told(self, page):
-        see, node = self.agent.stage.see, self.agent.node
+        record_event, node = self.agent.stage.record_event, self.agent.node
         states = {value: key for key, value in LIFECYCLES.items()}
         if page['reset']:
-            see('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
+            record_event('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
         for server in page['instances']:
-            see('told', node, server['instanceId'], states[server['lifecycle']])
+            record_event('told', node, server['instanceId'], states[server['lifecycle']])
 
     def write(self, data):
         if self.watching:
--- a/lilacdyke/lab/parts/model.py
+++ b/lilacdyke/lab/parts/model.py
@@ -73,7 +73,7 @@
         later,
         drop,
         rng,
-        see,
+        record_event,
         started=0,
         origin=False,
     ):
@@ -85,7 +85,7 @@
         self.fall_us = int(1e6 * (scenario.origin.fall_s if origin else scenario.rules.fall_s))
         self.down_us = int(1e6 * (scenario.origin.down_s if origin else scenario.caches.down_s))
         self.error_rate = getattr(kind, 'error_rate', 0.0)
-        self.clock, self.later, self.drop, self.rng, self.see = clock, later, drop, rng, see
+        self.clock, self.later, self.drop, self.rng, self.record_event = clock, later, drop, rng, record_event
         self.started = started  # start time in microseconds of the run; 0: long before it
         self.kept = OrderedDict()  # key -> (version, expiry)
         self.fetching = {}  # key -> jobs waiting for this server's own fetch (mode through)
@@ -171,7 +171,7 @@
         if self.load > 1.15 * self.overload_multiple * capacity + 2 * work and not self.fallen:
             if self.origin or self.capacity_share() < 1:
                 self.fallen = True
-                self.see(
+                self.record_event(
                     'server',
                     self.name,
                     'fell',
@@ -201,7 +201,7 @@
             job.timer = self.later(self.stalled_until - self.clock(), self.finish, job)
             return
         job.timer = None
-        self.see('worked', job.hop, self.clock() - job.began)
+        self.record_event('worked', job.hop, self.clock() - job.began)
         del self.running[job.hop]
         job.state = 'done'
         self.complete(job)
@@ -219,7 +219,7 @@
             self.apply(job)
             return
         if job.miss:
-            self.see('missed', job.hop, int(self.capacity_share() < 1))
+            self.record_event('missed', job.hop, int(self.capacity_share() < 1))
             if self.caches.mode == 'through':
                 self.fetch(job)
                 return
@@ -239,11 +239,11 @@
         dedup_key, now = (fleet.scope(self, job), job.idempotency_key), self.clock()
         first = fleet.first_runs.get(dedup_key) if job.idempotency_key else None
         if first is not None and now - first <= job.window:
-            self.see('repeat', job.hop, job.id, job.idempotency_key)
+            self.record_event('repeat', job.hop, job.id, job.idempotency_key)
             return
         if job.idempotency_key:
             fleet.first_runs[dedup_key] = now
-        self.see('effect', job.hop, job.id, job.idempotency_key)
+        self.record_event('effect', job.hop, job.id, job.idempotency_key)
         if job.write:
             fleet.versions[job.key] = fleet.versions.get(job.key, 0) + 1
             for server in fleet.servers.values():
@@ -270,7 +270,7 @@
             self.store(key)
         for job in jobs:
             job.outcome = 'served' if succeeded else 'error'
-            self.see('effect', job.hop, job.id, job.idempotency_key)
+            self.record_event('effect', job.hop, job.id, job.idempotency_key)
             if not self.hung:
                 job.done(job)
 
@@ -291,14 +291,14 @@
         """Cancel a job, unless the server continues running work."""
         if job.state == 'waiting':
             job.state = 'gone'
-            self.see('dropped', job.hop, 0)
+            self.record_event('dropped', job.hop, 0)
         elif job.state == 'running' and not self.caches.work_goes_on and not self.origin:
             if job.timer is not None:
                 self.drop(job.timer)
             job.state = 'gone'
             del self.running[job.hop]
-            self.see('dropped', job.hop, 1)
-            self.see('worked', job.hop, self.clock() - job.began)
+            self.record_event('dropped', job.hop, 1)
+            self.record_event('worked', job.hop, self.clock() - job.began)
             self.start_waiting()
 
     # --- faults -----------------------------------------------------------------------------------------
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -31,9 +31,9 @@
         server = self.server
         server.connections[self] = None
         self.node = server.stage.ground.node_of(self.transport)
-        server.stage.see('link', server.name, self.node)
+        server.stage.record_event('link', server.name, self.node)
         if server.stage.limit_values:
-            server.stage.see('seats', server.name, len(server.connections))
+            server.stage.record_event('seats', server.name, len(server.connections))
         self.touch()
 
     def touch(self):
@@ -45,7 +45,7 @@
         if start_line[1] in ('/health', '/status/load'):
             self.put(answer(200, b'{}'))
         elif self.job is not None:
-            self.server.stage.see('error', self.node, 'a second request on a busy connection')
+            self.server.stage.record_event('error', self.node, 'a second request on a busy connection')
             self.transport.abortConnection()
         elif 'req-id' not in fields:
             self.put(answer(404))
@@ -106,7 +106,7 @@
         if profile is not None and stage.serve_unknown:
             stage.work_of.setdefault(id_, profile.work_ms * 1_000)
         if profile is None or id_ not in stage.work_of:
-            stage.see('error', connection.node, 'a hop that no client asked for: %s' % id_[:40])
+            stage.record_event('error', connection.node, 'a hop that no client asked for: %s' % id_[:40])
             connection.put(answer(400))
             return
         idempotency_key = fields.get('idempotency-key', '') if profile.effect == 'guarded' else ''
@@ -117,13 +117,15 @@
             connection.put(answer(400))
             return
         if (start_line[0] == 'PUT') != profile.write:
-            stage.see('error', connection.node, 'a method changed on the way: %s' % start_line[0])
+            stage.record_event('error', connection.node, 'a method changed on the way: %s' % start_line[0])
         if profile.write and digest(body) != stage.body_digests.get(
             id_, digest(body) if stage.serve_unknown else None
         ):
-            stage.see('error', connection.node, 'a body changed on the way')
+            stage.record_event('error', connection.node, 'a body changed on the way')
         key = parts[-1]
-        stage.see('hop', number, self.name, id_, idempotency_key, connection.node, begun, int(work), key)
+        stage.record_event(
+            'hop', number, self.name, id_, idempotency_key, connection.node, begun, int(work), key
+        )
         if not connection.used and self.handshake:
             connection.used, work = True, work + self.handshake
         job = Job(number, id_, idempotency_key, key, profile, work, until, None)
@@ -139,7 +141,7 @@
     def reply(self, connection, job):
         """Answer a hop if its connection still waits for it."""
         if job.outcome == 'declined':
-            self.stage.see('refused', job.hop)
+            self.stage.record_event('refused', job.hop)
         if connection.job is not job:
             return
         connection.job = None
@@ -168,7 +170,7 @@
                 self.stage.fleet.versions.get(job.key, 0),
             )
             body += FILL[: max(0, self.size(job.key) - len(body))]
-            self.stage.see('made', job.hop, job.id, digest(body))
+            self.stage.record_event('made', job.hop, job.id, digest(body))
             data, until_close = self.frame_answer(body, headers)
             large = job if len(body) > LARGE_BODY else None
         self.send_answer(connection, data, until_close, large)
@@ -188,7 +190,7 @@
 
     def record_large_answer(self, connection, job):
         if connection.large_job is job and connection.up:
-            self.stage.see('giving', job.hop, job.id)
+            self.stage.record_event('giving', job.hop, job.id)
 
     def piece_interval(self):
         """Return the microseconds between two pieces of a large answer; 0: it is sent at once."""
@@ -243,7 +245,7 @@
     def record_break(self, connection):
         """Record that the server itself ends a connection during or after a large answer."""
         if connection.large_job is not None:
-            self.stage.see('broke', connection.large_job.hop, connection.large_job.id)
+            self.stage.record_event('broke', connection.large_job.hop, connection.large_job.id)
 
     def write_answer(self, connection, data, until_close):
         """Send an answer: at once, or in pieces if it is large and give_ms is set."""
@@ -271,7 +273,7 @@
 
     def record_state(self, what):
         model = self.model
-        self.stage.see(
+        self.stage.record_event(
             'server',
             self.name,
             what,
--- a/lilacdyke/lab/parts/staff.py
+++ b/lilacdyke/lab/parts/staff.py
@@ -58,7 +58,7 @@
 
         def done(status):
             if 200 <= status < 300 and place.running is running:
-                self.stage.see('hand', place.name, what, name)
+                self.stage.record_event('hand', place.name, what, name)
 
         if running is not None and not running.leaving:
             self.send(place, place.operator_address, 'POST', '/v1/' + path, done)
@@ -69,7 +69,7 @@
 
         def done(status):
             if status and place.running is running and not running.leaving:
-                self.stage.see('hand', place.name, what, str(status))
+                self.stage.record_event('hand', place.name, what, str(status))
 
         if running is not None and not running.leaving:
             self.send(place, place.address, 'GET', '/ready', done)
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -54,7 +54,7 @@
         self.clock, self.later, self.drop = ground.clock, ground.later, ground.drop
         self.listen, self.connect, self.random_source = ground.listen, ground.connect, ground.random_source
         self.recorder = Recorder(ground.clock)
-        self.see = self.recorder.see
+        self.record_event = self.recorder.record_event
         self.profiles = {profile.name: profile for profile in scenario.profiles}
         self.work_of, self.body_digests, self.last_number = {}, {}, 0
         self.fleet, self.roster = Fleet(), Roster(self)
@@ -156,13 +156,13 @@
 
     def start_planner(self, planner_slot):
         if planner_slot.running is None and not self.closing:
-            self.see('planner', planner_slot.name, 'up')
+            self.record_event('planner', planner_slot.name, 'up')
             planner_slot.running = self.ground.start_planner(planner_slot)
 
     def kill_planner(self, planner_slot):
         running, planner_slot.running = planner_slot.running, None
         if running is not None:
-            self.see('planner', planner_slot.name, 'killed')
+            self.record_event('planner', planner_slot.name, 'killed')
             running.kill()
 
     def lower(self, name, most):
@@ -171,7 +171,7 @@
         for planner_slot in self.planner_slots:
             if planner_slot.running is not None:
                 planner_slot.running.hup()
-        self.see('limit', name, most)
+        self.record_event('limit', name, most)
 
     @staticmethod
     def loopback_address(role, number):
@@ -192,7 +192,7 @@
             self.later,
             self.drop,
             self.random_source('model ' + name),
-            self.see,
+            self.record_event,
             started,
             origin,
         )
@@ -334,7 +334,7 @@
         for agent in self.agents:
             agent.open()
         for name, most in self.limit_values.items():
-            self.see('limit', name, most)
+            self.record_event('limit', name, most)
         for planner_slot in self.planner_slots:
             self.start_planner(planner_slot)
         for place in self.places:
@@ -347,7 +347,7 @@
         """Start a node's process; it receives clients a moment later."""
         if place.running is not None or self.closing:
             return
-        self.see('node', place.name, 'up')
+        self.record_event('node', place.name, 'up')
         place.running = self.ground.start_node(place, self.page(place))
         self.later(300_000, self.open_node, place, place.running)
 
@@ -364,7 +364,7 @@
         """Kill a node's process; clients are sent there until the death is noticed."""
         running, place.running = place.running, None
         if running is not None:
-            self.see('node', place.name, 'killed')
+            self.record_event('node', place.name, 'killed')
             running.leaving = True
             running.kill()
             place.known = self.agents[place.number].page()
@@ -373,16 +373,16 @@
     def term_node(self, place):
         """Send SIGTERM to a node; new connections arrive for a moment longer."""
         if place.running is not None and not place.running.leaving:
-            self.see('node', place.name, 'term')
+            self.record_event('node', place.name, 'term')
             place.running.leaving = True
             place.running.term()
             self.later(300_000, self.close_node, place)
 
     def exited(self, place, counts):
         """Record that a node's process has exited by itself."""
-        self.see('node', place.name, 'exit')
+        self.record_event('node', place.name, 'exit')
         if counts is not None:
-            self.see('counters', place.name, counts)
+            self.record_event('counters', place.name, counts)
         place.running, place.open = None, False
 
     def close_idle(self):
@@ -400,7 +400,7 @@
         self.closing = True
         for place in self.places:
             if place.running is not None and not place.running.leaving:
-                self.see('node', place.name, 'term')
+                self.record_event('node', place.name, 'term')
                 place.running.leaving = True
                 place.running.term()
 
--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/witness.py
@@ -60,7 +60,7 @@
     def __init__(self, clock):
         self.clock, self.rows = clock, []  # clock: microseconds
 
-    def see(self, kind, *fields):
+    def record_event(self, kind, *fields):
         """One more row, now."""
         self.rows.append((kind, self.clock(), *fields))
 
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -68,7 +68,7 @@
 
     def __init__(self, terms, seed, rank):
         super().__init__(terms, seed)
-        self.hint = min(terms.max_retry_after, self.goal)  # delay suggested to rejected clients; 0: none
+        self.retry_delay = min(terms.max_retry_after, self.goal)  # for rejected clients; 0: none
         # ready: transactions to examine; timers: a heap; next_wake: the latest requested wake-up.
         self.ready, self.timers, self.next_wake, self.timer_count = deque(), [], None, 0
         self.arrived, self.interval = 0, 0  # time of the latest transaction, mean time between two
@@ -204,7 +204,7 @@
             self.set_timer(self.list_request_at, None)
             return ('watch',)
         while self.ready:
-            decision = self.step(now, self.ready[0])
+            decision = self.next_decision(now, self.ready[0])
             if decision:
                 return decision
             self.ready.popleft()
@@ -213,7 +213,7 @@
             return 'wake', self.next_wake
         return None
 
-    def step(self, now, tx):
+    def next_decision(self, now, tx):
         """Return the decision that a transaction needs now, or None."""
         if tx.done:
             return self.cancel(tx)
@@ -256,9 +256,9 @@
         """Send a read to the best untried cache; without one, give up unless this is only a copy."""
         if not (copy or tx.retry_cache or self.pay_for_retry(now, tx)):
             return self.give_up(now, tx, 'no budget for another attempt')
-        server = tx.retry_cache or self.pick(now, tx)
+        server = tx.retry_cache or self.choose_cache(now, tx)
         tx.retry_cache = decision = None
-        spare = 1 if self.terms.aside else 0  # a miss needs a hop to the origin
+        spare = 1 if self.terms.cache_aside else 0  # a miss needs a hop to the origin
         if server and len(tx.hops) < self.terms.max_hops - spare:
             decision = self.send(now, tx, server, copy)
         if not decision:
@@ -276,7 +276,9 @@
 
     def step_single(self, now, tx):
         """Send a write or a non-repeatable request, which is retried only if it did not run or may repeat."""
-        server = tx.retry_cache or (self.origin if self.terms.aside and tx.write else self.pick(now, tx))
+        server = tx.retry_cache or (
+            self.origin if self.terms.cache_aside and tx.write else self.choose_cache(now, tx)
+        )
         tx.retry_cache = None
         decision = server and self.pay_for_retry(now, tx) and self.send(now, tx, server, False)
         return decision or self.give_up(now, tx, 'no server may be asked')
@@ -309,7 +311,7 @@
         tx.held = True
         self.set_timer(self.hold_until(tx), tx)
 
-    def pick(self, now, tx):
+    def choose_cache(self, now, tx):
         """Return the best-ranked untried cache that is neither overloaded nor set aside, or None.
 
         A read that leaves its home cache probably misses and loads the origin, so it takes from the retry
@@ -401,5 +403,5 @@
         ran = [hop for hop in tx.hops if hop.ran]
         self.finish(now, tx)
         if not ran or effect == IDEMPOTENT or effect == JOURNALLED and tx.profile.group == 'all':
-            return 'roll_back', tx, self.hint
+            return 'roll_back', tx, self.retry_delay
         return 'abandon', tx
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -15,7 +15,7 @@
 from .http import ANSWER, BadMessage, Reader, request
 from .local_errors import NO_DESCRIPTOR, connecting_errno, local_errno
 from .sockets import Outgoing, buffered_bytes, connect, no_delay, nothing_unread, send_now
-from .tables import Table
+from .tables import SlotTable
 
 IDLE_FRACTION = 0.6  # fraction of the server's idle timeout after which idle connections are closed
 SETTLE_TIME = 100  # ticks after an answer before its connection carries the next hop
@@ -87,7 +87,7 @@
     @property
     def whole(self):
         """Whether the request's last byte has been sent."""
-        return bool(self.link) and self.link.left
+        return bool(self.link) and self.link.all_sent
 
     @property
     def unread(self):
@@ -108,7 +108,7 @@
         self.sink = None  # client that receives a streamed answer
         self.flow = None  # large request being streamed
         self.exchange, self.unsent = None, b''  # unsent: bytes not yet accepted by the system
-        self.left = True  # whether the system has accepted the hop's last byte
+        self.all_sent = True  # whether the system has accepted the hop's last byte
         # deadline_at: scheduled idle deadline; 0: none
         self.number, self.idle_until, self.deadline_at = None, None, 0
         self.ready_at = 0  # earliest time of the next hop
@@ -132,13 +132,13 @@
         source = exchange.message.source
         data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
-            self.left, self.buffered_at_send = False, len(data)
+            self.all_sent, self.buffered_at_send = False, len(data)
             self.transport.write(data)
             self.flow = Flow(source, self.transport, exchange.message.length is None, source.progressed)
             source.attach(self)
             return
         self.unsent = data[send_now(self.transport, data) :]
-        self.left = not self.unsent
+        self.all_sent = not self.unsent
         self.buffered_at_send = len(data) if len(self.unsent) == len(data) else 0
         if self.unsent:
             self.transport.registerProducer(self, False)
@@ -165,7 +165,7 @@
             self.unsent, data = b'', self.unsent
             self.transport.write(data)
         else:
-            self.left = True
+            self.all_sent = True
             self.transport.unregisterProducer()
 
     def stopProducing(self):
@@ -213,7 +213,7 @@
         message = self.reader.message
         return (
             self.exchange is not None
-            and self.left
+            and self.all_sent
             and message is not None
             and message.length is None
             and ending(message) == 'committed'
@@ -233,7 +233,7 @@
 
     def answered(self, answer):
         """Handle a complete answer."""
-        kept, how = self.left and answer.keep_alive and not self.reader.has_input, ending(answer)
+        kept, how = self.all_sent and answer.keep_alive and not self.reader.has_input, ending(answer)
         if how == 'refused' and not answer.keep_alive and not self.used:
             self.pool.declined()
         self.used = True
@@ -265,7 +265,7 @@
         sink.write_body(data)
         if whole:
             sink.finish_body()
-            if self.left and keep_alive and not self.reader.has_input:
+            if self.all_sent and keep_alive and not self.reader.has_input:
                 self.transport.resumeProducing()
                 self.pool.release(self)
             else:
@@ -305,7 +305,7 @@
 
     def ended(self):
         """Handle an orderly end of the connection, which completes an answer delimited by it."""
-        answer = self.reader.end() if self.left else None
+        answer = self.reader.end() if self.all_sent else None
         if answer and self.sink:
             sink, self.sink = self.sink, None
             sink.finish_body()
@@ -325,7 +325,7 @@
         """
         self.closed_for = self.closed_for or why
         self.pool.forget(self)
-        if self.left:
+        if self.all_sent:
             self.transport.loseConnection()
         else:
             self.transport.abortConnection()
@@ -343,7 +343,7 @@
             self.abort_both()
         if self.exchange:
             # The hop surely did not run only if its last byte was not sent.
-            self.finish('lost' if self.left else 'unreachable')
+            self.finish('lost' if self.all_sent else 'unreachable')
 
 
 class Pool:
@@ -578,15 +578,15 @@
     """All connections to servers, within a budget of descriptors."""
 
     def __init__(
-        self, reactor, deadlines, clock, place, budget, broken, fault, returned, events, call_failed
+        self, reactor, deadlines, clock, config, budget, broken, fault, returned, events, call_failed
     ):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.connect_timeout, self.idle_ticks = place.connect_within, int(place.idle * IDLE_FRACTION)
+        self.connect_timeout, self.idle_ticks = config.connect_within, int(config.idle * IDLE_FRACTION)
         self.budget = budget
         self.broken, self.fault = broken, fault  # called for malformed answers and for internal errors
         self.returned = returned  # called for a server that accepts connections again after refusing them
-        self.pools, self.table, self.dialling = {}, Table(), Table()
-        self.redials = Table()  # pools with a scheduled attempt to connect
+        self.pools, self.table, self.dialling = {}, SlotTable(), SlotTable()
+        self.redials = SlotTable()  # pools with a scheduled attempt to connect
         self.idle_links = {}  # idle connections by number, longest idle first
         self.call_failed = call_failed  # called for local failures
         self.events = events  # log of individual connections (events.py)
--- a/lilacdyke/net/client.py
+++ b/lilacdyke/net/client.py
@@ -166,7 +166,7 @@
 
     def hint(self):
         """Answer `Expect: 100-continue`."""
-        if self.reader.hint():
+        if self.reader.expects_continue():
             self.transport.write(http.CONTINUE)
 
     def cancel_request(self):
@@ -222,7 +222,7 @@
 
     # Closing
 
-    def left(self):
+    def peer_gone(self):
         """Return whether the client has gone, even if that lies unread."""
         return self.phase is None or peer_closed(self.transport)
 
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -7,13 +7,13 @@
 import json
 import re
 
-from ..decode import address, find
-from ..values import STATES, InvalidValueError, up
+from ..decode import get_setting, parse_address
+from ..values import STATES, InvalidValueError, to_ticks_ceil
 from .http import ANSWER, BadMessage, Chunks, Reader
 from .local_errors import local_errno
-from .logs import LOG, warn
+from .logs import LOG, log_warning
 from .sockets import Outgoing, connect, no_delay
-from .tables import Table
+from .tables import SlotTable
 
 # Timeouts in ticks. A hanging watch, one backoff and one prompt call together have to stay below the 6 s
 # after which a change counts as announced (docs/architecture.md).
@@ -41,14 +41,14 @@
     __slots__ = ('name', 'address', 'zone', 'kind', 'cell', 'state', 'weight', 'started')
 
     def __init__(self, row):
-        self.name = find(row, 'instanceId', str)
-        self.address = address(find(row, 'hostPort', str))
-        self.zone = find(row, 'zone', str)
-        self.kind = find(row, 'machineType', str)
-        self.cell = find(row, 'cell', int)
-        self.state = STATES.get(find(row, 'lifecycle', str))
-        self.weight = find(row, 'weight', (int, float))
-        self.started = find(row, 'startedAtMs', (int, float))
+        self.name = get_setting(row, 'instanceId', str)
+        self.address = parse_address(get_setting(row, 'hostPort', str))
+        self.zone = get_setting(row, 'zone', str)
+        self.kind = get_setting(row, 'machineType', str)
+        self.cell = get_setting(row, 'cell', int)
+        self.state = STATES.get(get_setting(row, 'lifecycle', str))
+        self.weight = get_setting(row, 'weight', (int, float))
+        self.started = get_setting(row, 'startedAtMs', (int, float))
         if self.state is None or not self.name or not 0 <= self.weight < 1e9 or not 0 <= self.started < 1e15:
             raise InvalidValueError('malformed entry: %r' % row)
 
@@ -69,8 +69,12 @@
 
 def read_list(tree):
     """Parse a list or a set of changes: (version, whether it is a complete list, entries)."""
-    rows = find(tree, 'instances', list)
-    return find(tree, 'generation', int), find(tree, 'reset', bool), [Entry(row) for row in rows]
+    rows = get_setting(tree, 'instances', list)
+    return (
+        get_setting(tree, 'generation', int),
+        get_setting(tree, 'reset', bool),
+        [Entry(row) for row in rows],
+    )
 
 
 def nesting_change(line):
@@ -155,14 +159,14 @@
 class Discovery:
     """Keeps a watch open, and tracks the version that the node has been given."""
 
-    def __init__(self, reactor, deadlines, clock, place, uniform, node):
+    def __init__(self, reactor, deadlines, clock, config, uniform, node):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.target, self.uniform, self.table = place.discovery, uniform, Table()
+        self.target, self.uniform, self.table = config.discovery, uniform, SlotTable()
         self.node = node
         # If not set, the router decides when to open a watch; retries are made here in either mode.
-        self.pushed = not place.terms.watched
+        self.pushed = not config.terms.list_on_request
         self.backoff, self.max_backoff = (
-            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_sending_timeout * part))) for part in BACKOFF
+            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(config.stop_sending_timeout * part))) for part in BACKOFF
         )
         self.head_timeout = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
         # failures: consecutive; throttled: those rejected for load
@@ -279,7 +283,7 @@
             return
         self.close()
         self.failures += 1
-        warn('watch lost', why=why, failures=self.failures, version=self.version)
+        log_warning('watch lost', why=why, failures=self.failures, version=self.version)
         self.node.list_lost()
         self.throttled += watch.throttled
         wait = min(self.max_backoff, self.backoff << min(self.failures - 1, 8))
@@ -294,4 +298,4 @@
 
     offset: that clock minus Unix time.
     """
-    return up(entry.started / 1000) + offset if entry.started else None
+    return to_ticks_ceil(entry.started / 1000) + offset if entry.started else None
--- a/lilacdyke/net/events.py
+++ b/lilacdyke/net/events.py
@@ -4,7 +4,7 @@
 """
 
 from ..values import SECOND
-from .logs import say
+from .logs import log_event
 
 BURST_SECONDS = 1  # size of the token bucket, in seconds at the full rate
 
@@ -36,4 +36,4 @@
             fields = {'request': request.decode('latin-1'), **fields}
         if self.omitted:
             fields['omitted'], self.omitted = self.omitted, 0
-        say(event, **fields)
+        log_event(event, **fields)
--- a/lilacdyke/net/guard.py
+++ b/lilacdyke/net/guard.py
@@ -112,7 +112,7 @@
         times.append(now)
         while times[0] <= now - terms.overload_window:
             times.popleft()
-        limit = router.usual * server.weight * warmth * terms.fall_multiple + EXTRA_ATTEMPTS
+        limit = router.peak_warm_rate * server.weight * warmth * terms.fall_multiple + EXTRA_ATTEMPTS
         if len(times) > limit:
             self.violated('slow_start', active, server=server.name, sent=len(times), most=round(limit, 1))
             times.clear()
--- a/lilacdyke/net/handover.py
+++ b/lilacdyke/net/handover.py
@@ -20,7 +20,7 @@
 from zope.interface import implementer
 
 from ..values import SECOND, InvalidValueError
-from .logs import LOG, say, warn
+from .logs import LOG, log_event, log_warning
 from .succession import SERVING, UNRESPONSIVE, Succession
 
 VERSION = 1
@@ -80,7 +80,7 @@
             if len(self.buffer) > MAX_LINE:
                 raise InvalidValueError('line too long')
         except (InvalidValueError, ValueError, RecursionError) as err:
-            warn('hand-over not read', reason=err)
+            log_warning('hand-over not read', reason=err)
             self.abort()
         except Exception:
             LOG.exception('fault')
@@ -126,7 +126,7 @@
     def call_timed_out(self, number):
         """Complete a call without a reply, so that operators get their answer within a second."""
         if number in self.pending:
-            warn('call not confirmed by the other process', call=number)
+            log_warning('call not confirmed by the other process', call=number)
             self.pending.pop(number)()
 
     def abort(self):
@@ -179,7 +179,7 @@
 
     def __init__(self, node, reactor, deadlines, clock, folder, limit, spare):
         self.node, self.reactor, self.deadlines, self.clock = node, reactor, deadlines, clock
-        self.socket_prefix = PREFIX % crc32(repr((node.place.name, node.place.listen)).encode())
+        self.socket_prefix = PREFIX % crc32(repr((node.config.name, node.config.listen)).encode())
         self.folder, self.folder_fd = folder, None  # folder_fd: opened only if the path is long
         self.succession = Succession(limit, spare)
         self.predecessor, self.successor, self.port = None, None, None
@@ -198,7 +198,7 @@
             found = [name for name in os.listdir(self.folder) if name.startswith(self.socket_prefix)]
             found = [name for name in found if self.is_socket(name)]
         except OSError as err:
-            warn('cannot list the private folder', reason=err)
+            log_warning('cannot list the private folder', reason=err)
             found = []
         found.sort(key=lambda name: (process_start(name.removeprefix(self.socket_prefix)), name))
         self.candidates = found[-MAX_CANDIDATES:]  # the latest process is tried first
@@ -226,7 +226,7 @@
     def search_timed_out(self, _):
         """Start without a predecessor, as the one that was tried hangs or is another program."""
         if self.start_node:
-            warn('no hand-over', why='silent')
+            log_warning('no hand-over', why='silent')
             predecessor, self.predecessor = self.predecessor, None
             if predecessor:
                 predecessor.abort()
@@ -237,7 +237,7 @@
         if not self.start_node or link is not self.predecessor:
             raise InvalidValueError('unexpected state')
         if state['v'] != VERSION or link.fd is None:
-            warn('no hand-over', why='version %s' % state['v'])
+            log_warning('no hand-over', why='version %s' % state['v'])
             self.predecessor = None
             link.abort()
             self.try_next()
@@ -267,7 +267,7 @@
                 self.socket_path(name), SuccessorFactory(self), backlog=8, mode=0o600
             )
         except Exception as err:  # the node still serves, but cannot hand over
-            warn('no hand-over possible', reason=err)
+            log_warning('no hand-over possible', reason=err)
 
     def send_heartbeat(self, _):
         """Send the predecessor a heartbeat now and at every interval."""
@@ -284,14 +284,16 @@
             link.transport.loseConnection()
             return
         self.successor = link
-        say('successor connected', pid=os.getpid())
+        log_event('successor connected', pid=os.getpid())
         link.transport.sendFileDescriptor(fd)
         link.send(v=VERSION, holds=self.node.holds(), beats=True, **self.node.export_state())
 
     def successor_serving(self):
         """The successor accepts clients; this process drains."""
         self.succession.successor_serving()
-        say('successor serving', open=len(self.node.active_requests), clients=len(self.node.listener.table))
+        log_event(
+            'successor serving', open=len(self.node.active_requests), clients=len(self.node.listener.table)
+        )
         self.report_descriptors(0)
         self.watch_successor(0)
 
@@ -300,7 +302,7 @@
         self.last_heartbeat = self.clock()
         if self.succession.successor == UNRESPONSIVE:
             self.succession.successor_serving()
-            say('successor responsive again')
+            log_event('successor responsive again')
             self.node.update_shares()
 
     def watch_successor(self, _):
@@ -314,7 +316,7 @@
                 and self.succession.successor == SERVING
             ):
                 self.succession.successor_unresponsive()
-                warn('successor unresponsive', for_ms=(self.clock() - self.last_heartbeat) // 10)
+                log_warning('successor unresponsive', for_ms=(self.clock() - self.last_heartbeat) // 10)
                 self.node.update_shares()
             self.deadlines.at(self.clock() + HEARTBEAT_INTERVAL, self.watch_successor, 0)
 
@@ -338,11 +340,11 @@
                 return
             self.predecessor = None
             self.succession.predecessor_gone()
-            say('predecessor gone')
+            log_event('predecessor gone')
         elif link is self.successor:
             self.successor = self.last_heartbeat = None
             self.succession.successor_gone()
-            say('successor gone', accepting=self.succession.accepting)
+            log_event('successor gone', accepting=self.succession.accepting)
         else:
             return
         self.node.update_shares()
--- a/lilacdyke/net/http.py
+++ b/lilacdyke/net/http.py
@@ -269,7 +269,7 @@
         self.reset()
         return message
 
-    def hint(self):
+    def expects_continue(self):
         """Return whether the sender waits for 100 Continue; true at most once per message."""
         asks = self.message and self.message.fields.pop(b'expect', b'').lower() == b'100-continue'
         return bool(asks and not self.buffer)
--- a/lilacdyke/net/listener.py
+++ b/lilacdyke/net/listener.py
@@ -9,12 +9,12 @@
 
 from twisted.internet.protocol import Factory
 
-from ..values import InvalidValueError, down, number
+from ..values import InvalidValueError, number, to_ticks_floor
 from . import http
 from .client import ClientConnection
 from .phases import ASKED, BUSY, CHECK_INTERVAL_FULL, FRESH, FULL, LOOK, NORMAL, STREAMING, Phases
 from .sockets import guard
-from .tables import Table
+from .tables import SlotTable
 
 EVICTION_SHARE = 0.5  # share of the budget in use from which each new connection evicts an idle one
 QUIET_PERIOD = 2_500  # ticks without a new connection after which none is expected
@@ -29,9 +29,9 @@
 
     def __init__(self, node, deadlines, clock, terms, budget, events):
         self.node, self.deadlines, self.clock = node, deadlines, clock
-        self.terms, self.table, self.budget = terms, Table(), budget
+        self.terms, self.table, self.budget = terms, SlotTable(), budget
         self.events = events  # log of individual connections (events.py)
-        self.longest_limit = max(profile.hard for profile in terms.profiles)
+        self.longest_limit = max(profile.hard_limit for profile in terms.profiles)
         self.profiles = {p.name.encode(): row for row, p in enumerate(terms.profiles)}
         self.tenants = {t.name.encode() for t in terms.tenants}
         self.phases = Phases(clock)
@@ -76,7 +76,7 @@
         """Return the answer for a request that has waited too long before it was accepted."""
         self.node.count('turned_away')
         self.events.say('request refused', why='waited too long before accept')
-        return self.node.refusal(keep_alive and not self.node.leaving(), self.node.router.hint)
+        return self.node.refusal(keep_alive and not self.node.leaving(), self.node.router.retry_delay)
 
     def put(self, client, phase, since=None):
         """Move a client's connection to a phase, now or since the given time."""
@@ -235,9 +235,9 @@
         told = message.field(b'req-deadline')
         owner = message.field(b'req-owner')
         try:
-            wait = hard = self.terms.profiles[row].hard
+            wait = hard = self.terms.profiles[row].hard_limit
             if told is not None:
-                wait = min(hard, down(number(told.decode('latin-1'))))
+                wait = min(hard, to_ticks_floor(number(told.decode('latin-1'))))
         except InvalidValueError:
             wait = -1
         if (
--- a/lilacdyke/net/logs.py
+++ b/lilacdyke/net/logs.py
@@ -55,7 +55,7 @@
         return self.counts[event] <= self.MOST
 
 
-def begin(level):
+def configure(level):
     """Log to standard error in this format: this package from `level` on, other libraries from warning on."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
@@ -64,11 +64,11 @@
     LOG.setLevel(level.upper())
 
 
-def say(event, level=logging.INFO, **fields):
+def log_event(event, level=logging.INFO, **fields):
     """Log an event with its fields."""
     LOG.log(level, event, extra={'fields': fields})
 
 
-def warn(event, **fields):
+def log_warning(event, **fields):
     """Log an event at level warning, for operators to look at."""
-    say(event, logging.WARNING, **fields)
+    log_event(event, logging.WARNING, **fields)
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -12,9 +12,9 @@
 
 from twisted.internet.error import CannotListenError
 
-from ..decode import page
+from ..decode import read_config
 from ..logic import Router, Server
-from ..values import SECOND, InvalidValueError, seconds
+from ..values import SECOND, InvalidValueError, format_seconds
 from . import http
 from .caches import CACHE_STATUSES, Caches
 from .discovery import Discovery, read_list
@@ -22,11 +22,11 @@
 from .guard import Guard
 from .listener import Listener
 from .local_errors import errno_name
-from .logs import LOG, say, warn
+from .logs import LOG, log_event, log_warning
 from .sockets import Reactor, time_unread
 from .starts import StartTimes
 from .system import System
-from .tables import Deadlines, Table
+from .tables import Deadlines, SlotTable
 
 # away: an operator has taken the node out of rotation; it still serves the clients that come.
 STARTING, SERVING, OUT_OF_ROTATION, DRAINING, STOPPED = 'starting', 'serving', 'away', 'draining', 'stopped'
@@ -72,29 +72,29 @@
 class Node:
     """A node from its start to its exit."""
 
-    def __init__(self, place, reactor, system=System, lines_per_second=0):
-        self.place, self.reactor, self.system, self.elapsed = place, reactor, system, system.elapsed
+    def __init__(self, config, reactor, system=System, lines_per_second=0):
+        self.config, self.reactor, self.system, self.elapsed = config, reactor, system, system.elapsed
         reactor.call_failed = self.call_failed
         self.phase = STARTING
         self.zero = self.elapsed() - 1  # the node's clock starts at one second
         # Unix time is read once, for server lists, so that later steps of the wall clock have no effect.
         self.starts = StartTimes(self.clock() - int(system.wall() * SECOND))
         self.wall_offset = system.wall() - self.elapsed()  # changes when the wall clock is stepped
-        self.uniform = Random(place.seed).random
-        self.router = Router(place.terms, place.seed, place.rank)
-        self.guard = Guard(self.clock, self.count, self.is_open, self.router, place.stop_sending_timeout)
+        self.uniform = Random(config.seed).random
+        self.router = Router(config.terms, config.seed, config.rank)
+        self.guard = Guard(self.clock, self.count, self.is_open, self.router, config.stop_sending_timeout)
         self.servers, self.entries = {}, {}  # by name: the router's objects; the latest list entries
-        self.active_requests, self.attempts = Table(), Table()
+        self.active_requests, self.attempts = SlotTable(), SlotTable()
         self.ids = set()  # Req-Ids of the active requests
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.events = EventLog(self.clock, lines_per_second)
         budget = self.descriptor_share(self.descriptors() - RESERVED_DESCRIPTORS)
-        self.listener = Listener(self, self.deadlines, self.clock, place.terms, budget, self.events)
+        self.listener = Listener(self, self.deadlines, self.clock, config.terms, budget, self.events)
         self.caches = Caches(
             reactor,
             self.deadlines,
             self.clock,
-            place,
+            config,
             budget,
             self.broken,
             self.fault,
@@ -102,7 +102,7 @@
             self.events,
             self.call_failed,
         )
-        self.discovery = Discovery(reactor, self.deadlines, self.clock, place, self.uniform, self)
+        self.discovery = Discovery(reactor, self.deadlines, self.clock, config, self.uniform, self)
         self.operator_server = None
         self.out_of_rotation, self.away_since = False, 0  # by operators; since when
         self.handover, self.exit_code = None, 0  # links to the node's other processes, if it can hand over
@@ -119,7 +119,7 @@
 
     def descriptors(self):
         """Return how many file descriptors this process may use."""
-        return min(self.place.sockets, self.system.descriptors() or self.place.sockets)
+        return min(self.config.sockets, self.system.descriptors() or self.config.sockets)
 
     # --- lifecycle --------------------------------------------------------------------------------------
 
@@ -129,12 +129,12 @@
         If it has an operators' address, first look in `folder` for a running process of this node to take
         over from.
         """
-        if self.place.operator:
+        if self.config.operator:
             from .operator import OperatorServer  # imported only where it is used
 
             self.operator_server = OperatorServer(self, self.deadlines, self.clock)
-            self.operator_server.listen(self.reactor, *self.place.operator)
-        if self.place.operator and folder:
+            self.operator_server.listen(self.reactor, *self.config.operator)
+        if self.config.operator and folder:
             from .handover import Handover
 
             self.handover = Handover(
@@ -157,7 +157,7 @@
         try:
             self.begin(state, fd)
         except CannotListenError as err:
-            warn('cannot listen', reason=err)
+            log_warning('cannot listen', reason=err)
             self.phase, self.exit_code = STOPPED, 1
             self.reactor.stop()
         except Exception:
@@ -174,13 +174,13 @@
         state, fd: the predecessor's state and listening socket, or None.
         """
         try:
-            self.discovery.version, _, entries = read_list(state.get('list') if state else self.place.known)
+            self.discovery.version, _, entries = read_list(state.get('list') if state else self.config.known)
             self.remember(entries)
         except InvalidValueError as err:
-            warn('remembered list not read', reason=err)
+            log_warning('remembered list not read', reason=err)
         if state:
             self.import_state(state)
-        self.listener.listen(self.reactor, *self.place.listen, *([fd] if fd is not None else []))
+        self.listener.listen(self.reactor, *self.config.listen, *([fd] if fd is not None else []))
         if state:
             self.serve()
         if self.discovery.pushed:
@@ -203,10 +203,10 @@
         if self.handover:
             self.update_shares()
             self.handover.announce_serving()
-        say(
+        log_event(
             'serving',
-            node=self.place.name,
-            address='%s:%d' % self.place.listen,
+            node=self.config.name,
+            address='%s:%d' % self.config.listen,
             servers=len(self.servers),
             descriptors=self.descriptors(),
         )
@@ -246,7 +246,7 @@
             self.phase = DRAINING
             if not self.handed:  # otherwise the successor listens on the same socket
                 self.listener.disable_deferred_accept()
-            say(
+            log_event(
                 'draining',
                 signal=signum,
                 open=len(self.active_requests),
@@ -277,11 +277,11 @@
         if self.phase == STOPPED:
             return
         try:
-            where = page(path).discovery
+            where = read_config(path).discovery
         except InvalidValueError as err:
-            warn('page not read', reason=err)
+            log_warning('page not read', reason=err)
             return
-        say('page read', discovery='%s:%d' % where, moved=self.discovery.move(where))
+        log_event('page read', discovery='%s:%d' % where, moved=self.discovery.move(where))
 
     def drain_step(self, since):
         """Close idle connections, and exit once no client is left or the drain's time is over."""
@@ -307,7 +307,7 @@
         ):
             self.phase = STOPPED
             self.discovery.close()
-            say('stopped', open=len(self.active_requests), **self.counts)
+            log_event('stopped', open=len(self.active_requests), **self.counts)
             self.reactor.stop()
         else:
             self.deadlines.at(now + ARRIVAL_GRACE // 20, self.drain_step, since)
@@ -319,7 +319,7 @@
         self.out_of_rotation = True
         if self.phase == SERVING:
             self.phase, self.away_since = OUT_OF_ROTATION, self.clock()
-            say('away', open=len(self.active_requests), clients=len(self.listener.table))
+            log_event('away', open=len(self.active_requests), clients=len(self.listener.table))
             self.deadlines.at(self.away_since + ARRIVAL_GRACE, self.close_idle_clients, self.away_since)
         return self.phase in (OUT_OF_ROTATION, DRAINING)
 
@@ -328,7 +328,7 @@
         self.out_of_rotation = False
         if self.phase == OUT_OF_ROTATION:
             self.phase = SERVING
-            say('active')
+            log_event('active')
         return self.phase == SERVING or self.handed
 
     def close_idle_clients(self, since):
@@ -349,7 +349,7 @@
         """Log and apply a suspension or its end if it succeeded. Return `done`."""
         if done:
             self.caches.tidy()
-            say(event, server=name, caches=len(self.router.caches))
+            log_event(event, server=name, caches=len(self.router.caches))
             self.settle()
         return done
 
@@ -415,9 +415,9 @@
         usual, servers = self.router.export_state(self.clock())
         hand = {
             name: [since - self.starts.offset, back and back - self.starts.offset]
-            for name, (since, back) in self.router.hand.items()
+            for name, (since, back) in self.router.suspensions.items()
         }
-        listed = [entry.row() for name, entry in self.entries.items() if name in self.router.known]
+        listed = [entry.row() for name, entry in self.entries.items() if name in self.router.servers_by_name]
         return {
             'away': self.out_of_rotation,
             'hand': hand,
@@ -435,15 +435,15 @@
             self.out_of_rotation = state['away'] is True
             offset = self.clock_offset_from(state)
             for name, (since, back) in state['hand'].items():
-                self.router.hand[name] = (since + offset, back and back + offset)
+                self.router.suspensions[name] = (since + offset, back and back + offset)
             self.router.list_remembered(
-                self.clock(), [self.router.row(s) for s in self.router.known.values()]
+                self.clock(), [self.router.row(s) for s in self.router.servers_by_name.values()]
             )
             self.router.import_state(self.clock(), state['usual'], state['servers'])
-            for name, server in self.router.known.items():
+            for name, server in self.router.servers_by_name.items():
                 self.starts.adopt(name, server.started)
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            warn('hand-over not read', reason=repr(err))
+            log_warning('hand-over not read', reason=repr(err))
 
     def clock_offset_from(self, state):
         """Return the offset that converts a predecessor's times to this node's clock.
@@ -485,7 +485,7 @@
         self.deadlines.at(limit, self.limit_due, active.number)
         self.cap_deadline(active)
         for attempt in active.attempts:
-            if not self.place.terms.may_cancel:
+            if not self.config.terms.may_cancel:
                 self.deadlines.at(limit, self.attempt_limit_due, attempt.number)
         self.settle()
 
@@ -499,7 +499,7 @@
             if (
                 attempt.exchange
                 and not attempt.exchange.whole
-                and (attempt.exchange.message.source or not self.place.terms.may_cancel)
+                and (attempt.exchange.message.source or not self.config.terms.may_cancel)
             ):
                 # The rest of its body will not arrive or need not be sent, so it never ran.
                 attempt.exchange.cut('unsent')
@@ -510,7 +510,7 @@
 
         They may not once the client is gone, even if that has not been read from its socket yet.
         """
-        return self.active_requests.get(active.number) is active and not active.client.left()
+        return self.active_requests.get(active.number) is active and not active.client.peer_gone()
 
     def forget(self, active, answered=True):
         """Remove a request that has its answer or needs none, and return its client.
@@ -616,7 +616,7 @@
         active.attempts.remove(attempt)
         now = self.clock()
         open_ = self.active_requests.get(active.number) is active
-        if open_ and how == 'unsent' and active.client.left():
+        if open_ and how == 'unsent' and active.client.peer_gone():
             active.client.drop_disconnected()
             open_ = False
         final = how in ('committed', 'rejected')  # rejected: the request is at fault, not the server
@@ -643,20 +643,20 @@
     def broken(self, server, err):
         """Count and log a malformed answer of a server."""
         self.count('broken_answers')
-        warn('answer not read', server=server.name, reason=err)
+        log_warning('answer not read', server=server.name, reason=err)
 
     def call_failed(self, call, number):
         """Count and log a failed system call, which is a fault of this machine and not of a server."""
         name = errno_name(number)
         self.count('failed_%s_%s' % (call, name))
-        warn('call failed: %s %s' % (call, name))
+        log_warning('call failed: %s %s' % (call, name))
 
     def returned(self, server):
         """Treat a server that accepts connections again as restarted, until the list says otherwise."""
         if server.state == 'ready' and not server.origin:
             now = self.clock()
             self.count('returned')
-            say('server returned', server=server.name)
+            log_event('server returned', server=server.name)
             self.router.list_remembered(
                 now, [(server, 'ready', server.weight, now, server.zone, server.cell)]
             )
@@ -713,7 +713,9 @@
         """Apply a list of discovery, or changes to one."""
         now, rows = self.clock(), [self.entry(entry) for entry in entries]
         (self.router.list_replaced if whole else self.router.list_changed)(now, rows)
-        for server in [server for server in self.servers.values() if server.name not in self.router.known]:
+        for server in [
+            server for server in self.servers.values() if server.name not in self.router.servers_by_name
+        ]:
             # The router has forgotten it, so none of its hops is in flight. Without this, memory would grow
             # with every server there ever was.
             del self.servers[server.name]
@@ -722,7 +724,7 @@
             self.caches.forget(server)
         self.guard.update_servers(self.servers.values() if whole else [row[0] for row in rows])
         self.caches.tidy()
-        say('list', whole=whole, entries=len(rows), caches=len(self.router.caches))
+        log_event('list', whole=whole, entries=len(rows), caches=len(self.router.caches))
         self.serve()
         self.settle()
 
@@ -734,11 +736,11 @@
         """Return a list entry as the row that the router takes, and record it."""
         server = self.servers.get(entry.name)
         if server is None:
-            server = self.servers[entry.name] = Server(entry.name, entry.kind == self.place.origin_kind)
+            server = self.servers[entry.name] = Server(entry.name, entry.kind == self.config.origin_kind)
         self.caches.listed(server, entry.address)
         self.entries[entry.name] = entry
-        zone = self.place.zones.get(entry.zone, entry.zone)  # one missing in the settings matches no other
-        start = self.starts.of(entry, self.clock(), self.discovery.last_line_at)
+        zone = self.config.zones.get(entry.zone, entry.zone)  # one missing in the settings matches no other
+        start = self.starts.start_of(entry, self.clock(), self.discovery.last_line_at)
         return (server, entry.state, entry.weight, start, zone, entry.cell)
 
     def list_lost(self):
@@ -803,7 +805,7 @@
         attempt.exchange.on_partial = lambda: self.partial_answer(attempt)
         attempt.exchange.done.addCallback(self.attempt_ended, attempt.number).addErrback(self.fault)
         # In all other cases the attempt ends with its request.
-        if hop.tx.limit is not None and (until < limit or not self.place.terms.may_cancel):
+        if hop.tx.limit is not None and (until < limit or not self.config.terms.may_cancel):
             self.deadlines.at(until, self.attempt_limit_due, attempt.number)
 
     @staticmethod
@@ -832,7 +834,7 @@
     @staticmethod
     def refusal(keep_alive, after, status=503):
         """Return the answer that says that a retry is safe. after: the delay in ticks, or none."""
-        more = 'Retry-After: %s\r\n' % seconds(after) if after else ''
+        more = 'Retry-After: %s\r\n' % format_seconds(after) if after else ''
         return http.answer(status, keep_alive, 'try again\n', more)
 
     def do_abandon(self, tx):
@@ -854,7 +856,7 @@
 
     def do_log(self, text):
         """Log a warning of the router."""
-        warn(text)
+        log_warning(text)
 
     def wake_due(self, _):
         self.settle()
@@ -871,12 +873,12 @@
         by, self.wall_offset = ahead - self.wall_offset, ahead
         if abs(by) > STEP_SECONDS:
             self.count('clock_steps')
-            warn('wall clock stepped', by_ms=int(by * 1_000))
+            log_warning('wall clock stepped', by_ms=int(by * 1_000))
         self.deadlines.at(self.clock() + SECOND, self.check_wall_clock, 0)
 
     def figures(self, _):
         """Log the counters since the start."""
-        say(
+        log_event(
             'figures',
             open=len(self.active_requests),
             clients=len(self.listener.table),
@@ -887,7 +889,7 @@
         self.deadlines.at(self.clock() + FIGURES_INTERVAL, self.figures, 0)
 
 
-def serve(place, path, fleet=None, early=(), changes=None, lines_per_second=0):
+def serve(config, path, fleet=None, early=(), changes=None, lines_per_second=0):
     """Run a node until it has drained, and return its exit code.
 
     path: of its page, for SIGHUP; fleet, changes: the contents of these files, or None; early: not empty if
@@ -899,9 +901,9 @@
 
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
-    reactor.shared = place.operator is not None
+    reactor.shared = config.operator is not None
     installReactor(reactor)
-    node = Node(place, reactor, lines_per_second=lines_per_second)
+    node = Node(config, reactor, lines_per_second=lines_per_second)
     if fleet:
         from ..plan.fleet import FleetMember  # imported only where it is used
 
@@ -909,8 +911,8 @@
     if changes:
         from ..changes.node import NodeChanges  # imported only where it is used
 
-        node.changes = NodeChanges(reactor, node.elapsed, node.uniform, place.name, place.rank, changes)
-        node.changes.begin()
+        node.changes = NodeChanges(reactor, node.elapsed, node.uniform, config.name, config.rank, changes)
+        node.changes.start()
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda n, _: reactor.callFromThread(node.drain, n))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reload, path))
@@ -919,7 +921,7 @@
     try:
         node.start(os.environ.get('TMPDIR'))
     except CannotListenError as err:
-        warn('cannot listen', reason=err)
+        log_warning('cannot listen', reason=err)
         return 1
     gc.collect()
     gc.freeze()  # objects made at the start live forever, so the garbage collector can skip them
--- a/lilacdyke/net/operator.py
+++ b/lilacdyke/net/operator.py
@@ -11,7 +11,7 @@
 from .http import BadMessage, Reader
 from .logs import LOG
 from .sockets import no_delay
-from .tables import Table
+from .tables import SlotTable
 
 # Times are in ticks of 0.1 ms.
 MAX_CALLERS = 12  # without an answer at once; the oldest is closed when another connects
@@ -55,7 +55,7 @@
             if message:
                 self.received = True
                 self.server.called(message, self.reply)
-            elif self.reader.hint():
+            elif self.reader.expects_continue():
                 self.transport.write(http.CONTINUE)
         except BadMessage as err:
             self.reply(err.status, str(err))
@@ -89,7 +89,7 @@
 
     def __init__(self, node, deadlines, clock):
         self.node, self.deadlines, self.clock = node, deadlines, clock
-        self.table, self.port = Table(), None
+        self.table, self.port = SlotTable(), None
         self.waiting = {}  # connections without an answer by number, oldest first
 
     @property
--- a/lilacdyke/net/starts.py
+++ b/lilacdyke/net/starts.py
@@ -22,7 +22,7 @@
         self.offset = offset
         self.known = {}  # by name: (start as in the list, start by the node's clock)
 
-    def of(self, entry, now, last_line_at):
+    def start_of(self, entry, now, last_line_at):
         """Return a server's start by the node's clock, or None if it started long ago.
 
         The result stays the same while the list's value does. last_line_at: when discovery was last heard
--- a/lilacdyke/net/tables.py
+++ b/lilacdyke/net/tables.py
@@ -12,35 +12,35 @@
 INDEX_BITS = 20  # low bits of a number: the slot; the bits above: its generation
 
 
-class Table:
+class SlotTable:
     """Objects by handle numbers that are never reused."""
 
-    __slots__ = ('rows', 'ages', 'free')
+    __slots__ = ('rows', 'generations', 'free')
 
     def __init__(self):
-        self.rows, self.ages, self.free = [], [], []
+        self.rows, self.generations, self.free = [], [], []
 
     def add(self, item):
         """Put an object into a free slot and return its number."""
         if not self.free:
             self.free.append(len(self.rows))
             self.rows.append(None)
-            self.ages.append(0)
+            self.generations.append(0)
         index = self.free.pop()
         self.rows[index] = item
-        return self.ages[index] << INDEX_BITS | index
+        return self.generations[index] << INDEX_BITS | index
 
     def get(self, number):
         """Return the object with this number, or None if it has been removed."""
         index = number & (1 << INDEX_BITS) - 1
-        return self.rows[index] if self.ages[index] == number >> INDEX_BITS else None
+        return self.rows[index] if self.generations[index] == number >> INDEX_BITS else None
 
     def remove(self, number):
         """Remove the object with this number, if it is still here, and free its slot."""
         if self.get(number) is not None:
             index = number & (1 << INDEX_BITS) - 1
             self.rows[index] = None
-            self.ages[index] += 1
+            self.generations[index] += 1
             self.free.append(index)
 
     def __len__(self):
--- a/lilacdyke/plan/fleet.py
+++ b/lilacdyke/plan/fleet.py
@@ -4,7 +4,7 @@
 on any failure the node continues with its own part, or with none if another process holds the seat.
 """
 
-from ..net.logs import LOG, say, warn
+from ..net.logs import LOG, log_event, log_warning
 from ..net.sockets import connect
 from .forwarder import Forwarder
 from .lease import Lease
@@ -24,11 +24,11 @@
     def __init__(self, node, fleet):
         self.node, self.fleet_file, self.deadlines, self.clock = node, fleet, node.deadlines, node.clock
         now, planner_names = self.clock(), [row.name for row in fleet.planner]
-        self.rank = node.place.rank if node.place.rank < fleet.seats else None
+        self.rank = node.config.rank if node.config.rank < fleet.seats else None
         self.seat_budget = fleet.seat_parts(self.rank)
         # Locks on the two halves of the seat: the first covers deposits, the second is passed to a successor.
         self.first_half, self.second_half, self.retry_scheduled = None, None, False
-        self.life = '%s-%x' % (node.place.name, int(node.uniform() * (1 << 48)))
+        self.life = '%s-%x' % (node.config.name, int(node.uniform() * (1 << 48)))
         self.forwarder_ledger = ForwarderLedger(
             now,
             self.life,
@@ -41,7 +41,7 @@
             Budgets(fleet.mosts()),
         )
         self.fleet_limits = node.router.fleet_limits = FleetLimits(
-            now, fleet, self.forwarder_ledger, node.place.terms.profiles
+            now, fleet, self.forwarder_ledger, node.config.terms.profiles
         )
         self.forwarder = Forwarder(
             now, fleet, self.forwarder_ledger, self.needs, self.fleet_limits.used, node.uniform
@@ -49,7 +49,7 @@
         self.view = None
         if fleet.span is not None:
             self.view = self.forwarder.view = View(node, fleet.span, planner_names)
-            self.forwarder.seat, self.fleet_limits.is_down = node.place.rank, self.view.is_down
+            self.forwarder.seat, self.fleet_limits.is_down = node.config.rank, self.view.is_down
         self.canary_lease = None
         if self.view and fleet.tasks is not None:
             self.acquire_canary_lease()
@@ -67,7 +67,7 @@
         predecessor that is still draining or is suspended. Without them only leases may be spent."""
         self.retry_scheduled = False
         if self.rank is None:
-            warn('no seat', rank=self.node.place.rank, seats=self.fleet_file.seats)
+            log_warning('no seat', rank=self.node.config.rank, seats=self.fleet_file.seats)
             return
         before = self.first_half, self.second_half
         self.first_half = self.first_half or self.hold_half('first')
@@ -104,7 +104,9 @@
             else Budgets()
         )
         self.forwarder_ledger.set_seat_budget(self.clock(), own, self.seat_budget, anew)
-        say('seat', seat=self.rank, first=self.first_half is not None, second=self.second_half is not None)
+        log_event(
+            'seat', seat=self.rank, first=self.first_half is not None, second=self.second_half is not None
+        )
 
     def hand_over(self, _=0):
         """Pass the second half of the seat to a successor that serves, once the first half covers all that is
@@ -141,8 +143,8 @@
             self.fleet_file,
             'canary-%s-%d' % (self.view.site, int(2 * self.node.uniform())),
             self.node.uniform,
-            lambda number: say('canary', number=number),
-            lambda number: say('no canary', number=number),
+            lambda number: log_event('canary', number=number),
+            lambda number: log_event('no canary', number=number),
         )
         self.fleet_limits.is_canary = self.canary_lease.held
         self.canary_lease.acquire()
@@ -220,7 +222,7 @@
         """Close a link that the forwarder has given up."""
         link = self.links.pop(name, None)
         if link is not None:
-            say('link given up', planner=name, why=why)
+            log_event('link given up', planner=name, why=why)
             link.end()
             if link.transport is None:
                 link.up.cancel()
@@ -233,7 +235,7 @@
         isolated = self.forwarder.alone(now)
         if isolated is not self.isolated:
             self.isolated = isolated
-            say(
+            log_event(
                 'alone' if isolated else 'with planners',
                 seat=self.rank if self.first_half or self.second_half else 'none',
                 edition=self.forwarder.edition,
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -53,19 +53,29 @@
     lease that a previous life may have promised.
     """
 
-    __slots__ = ('life', 'lease', 'persist', 'highest', 'bound', 'mute', 'promises', 'latest', 'waiting')
+    __slots__ = (
+        'life',
+        'lease',
+        'persist',
+        'highest',
+        'bound',
+        'silent_until',
+        'promises',
+        'latest',
+        'waiting',
+    )
 
     def __init__(self, now, life, lease, persist, bound, before=0):
         self.life, self.lease, self.persist = life, lease, persist
         self.highest = self.bound = bound
-        self.mute = now + startup_silence(max(lease, before))
+        self.silent_until = now + startup_silence(max(lease, before))
         # By task: the promise; the lives that were refused, in order of arrival.
         self.promises, self.waiting = {}, {}
         self.latest = {}  # by (task, life): (last sequence number processed, when this entry may be dropped)
 
     def votes(self, now):
         """Return whether this voter may answer yet."""
-        return self.highest is not None and now > self.mute
+        return self.highest is not None and now > self.silent_until
 
     def promise(self, now, task):
         """Return the task's unexpired promise, or None."""
@@ -193,8 +203,8 @@
         'wanted',
         'verb',
         'sent',
-        'yes',
-        'no',
+        'granted',
+        'denied',
         'number',
         'until',
         'next_round',
@@ -207,7 +217,7 @@
     def __init__(self, now, task, life, voters, lease, uniform):
         self.task, self.life, self.voters, self.lease, self.uniform = task, life, list(voters), lease, uniform
         self.seq, self.wanted, self.outbox = 0, False, []
-        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # the current round
+        self.verb, self.sent, self.granted, self.denied = None, None, {}, set()  # the current round
         self.number, self.until = None, None  # the current lease, or the last one held
         self.next_round, self.failures = now, 0  # when to start the next round
         # The lease number that 'got' reported to the host; the last wake-up requested from it.
@@ -249,18 +259,18 @@
         ):
             return
         if answer['yes']:
-            self.yes[voter] = answer['number']
+            self.granted[voter] = answer['number']
         else:
-            self.no.add(voter)
-            self.yes.pop(voter, None)
-        if len(self.yes) >= self.most:
+            self.denied.add(voter)
+            self.granted.pop(voter, None)
+        if len(self.granted) >= self.most:
             getattr(self, 'most_' + self.verb)(now)
-        elif len(self.voters) - len(self.no) < self.most:
+        elif len(self.voters) - len(self.denied) < self.most:
             self.round_failed(now)
 
     def most_ask(self, now):
         """A majority has promised: have the voters record a number above all of theirs."""
-        self.start_round(CONFIRM, now, max(self.yes.values()) + 1)
+        self.start_round(CONFIRM, now, max(self.granted.values()) + 1)
 
     def most_confirm(self, now):
         """A majority has recorded the number: the lease is held, unless it has expired already."""
@@ -285,7 +295,7 @@
         """Start a round: send the request to all voters."""
         self.number = number if verb == CONFIRM else self.number
         self.send_all(verb, now, number)
-        self.verb, self.sent, self.yes, self.no = verb, now, {}, set()
+        self.verb, self.sent, self.granted, self.denied = verb, now, {}, set()
         self.next_round = now + max(1, self.lease // ROUND_PARTS)
 
     def send_all(self, verb, now, number=0):
@@ -297,7 +307,7 @@
         ]
 
     def end_round(self):
-        self.verb, self.yes, self.no = None, {}, set()
+        self.verb, self.granted, self.denied = None, {}, set()
 
     def round_failed(self, now):
         """Handle a round without a majority: release what was promised and retry after a randomized, growing
--- a/lilacdyke/plan/limits.py
+++ b/lilacdyke/plan/limits.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
-from ..decode import address as decode_address
-from ..values import InvalidValueError, down
+from ..decode import parse_address as decode_address
+from ..values import InvalidValueError, to_ticks_floor
 from .ledger import Budgets, max_elapsed
 from .sites import Loss, Name, Part
 from .sites import check as check_loss
@@ -56,8 +56,12 @@
 
     def in_grains(self):
         """Return (the limit, the part of it that the seats own)."""
-        most = down(self.most) * GRAINS_PER_UNIT // down(1)
-        floor = most // 2 if self.floor is None else down(self.floor) * GRAINS_PER_UNIT // down(1)
+        most = to_ticks_floor(self.most) * GRAINS_PER_UNIT // to_ticks_floor(1)
+        floor = (
+            most // 2
+            if self.floor is None
+            else to_ticks_floor(self.floor) * GRAINS_PER_UNIT // to_ticks_floor(1)
+        )
         return (
             (most // GRAINS_PER_UNIT * GRAINS_PER_UNIT, floor // GRAINS_PER_UNIT * GRAINS_PER_UNIT)
             if self.concurrent
@@ -98,7 +102,7 @@
 
     @property
     def lease(self):
-        return down(self.lease_s)
+        return to_ticks_floor(self.lease_s)
 
     @property
     def deposit_term(self):
@@ -111,14 +115,14 @@
         if self.verdicts is None:
             return None
         return (
-            down(self.verdicts.span_s)
+            to_ticks_floor(self.verdicts.span_s)
             if self.verdicts.span_s is not None
             else VERDICT_SPAN_LEASES * self.lease
         )
 
     @property
     def task_lease(self):
-        return down(self.tasks.lease_s)
+        return to_ticks_floor(self.tasks.lease_s)
 
     @property
     def voters(self):
@@ -129,7 +133,11 @@
         """Return how long what began under a lease may stay open beyond it: the longest duration of a
         request, plus half a lease until surplus connections are closed."""
         return Budgets(
-            {limit.name: down(self.longest_s) + self.lease // 2 for limit in self.limit if limit.concurrent}
+            {
+                limit.name: to_ticks_floor(self.longest_s) + self.lease // 2
+                for limit in self.limit
+                if limit.concurrent
+            }
         )
 
     def mosts(self):
@@ -238,7 +246,7 @@
         raise InvalidValueError(' '.join(str(err).split())) from None
 
 
-def enabled(fleet, installation):
+def require_enabled(fleet, installation):
     """Return the fleet. Raise InvalidValueError unless it is enabled and names this installation."""
     if not fleet.enabled:
         raise InvalidValueError('enabled: is false')
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from ..net.logs import LOG, warn
+from ..net.logs import LOG, log_warning
 from ..net.sockets import Outgoing, no_delay, waiting
 from .frames import (
     ASK,
@@ -54,7 +54,9 @@
     def protocol_error(self, event, err):
         """Log and count a malformed frame, and close this link."""
         self.count_bad_frame()
-        warn(event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err)
+        log_warning(
+            event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err
+        )
         self.end()
 
     def say(self, kind, fields):
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from ..net.logs import say, warn
+from ..net.logs import log_event, log_warning
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
@@ -61,7 +61,7 @@
     def begin(self, host, port):
         """Start listening. Binding the address keeps a second process of the same planner from starting."""
         self.port = self.reactor.listenTCP(port, self.factory, backlog=1024, interface=host)
-        say(
+        log_event(
             'planner serves',
             planner=self.name,
             address='%s:%d' % (host, port),
@@ -116,7 +116,7 @@
             else ()
         )
         kinds = Counter(verdict.kind for verdict in verdicts)
-        say(
+        log_event(
             'fleet',
             number=number,
             edition=self.planner.edition,
@@ -142,11 +142,11 @@
             if (self.book.voters, previous_lease) != (self.fleet.voters, lease):
                 self.book.write(self.book.bound, self.fleet.voters, max(lease, previous_lease))
         except (VoterFileUnreadableError, OSError) as err:
-            warn('does not vote yet', reason=err)
+            log_warning('does not vote yet', reason=err)
             self.deadlines.at(self.clock() + STORE_RETRY, self.start_voter, 0)
             return
         except InvalidValueError as err:
-            warn('does not vote', reason=err)
+            log_warning('does not vote', reason=err)
             return
         self.voter = Voter(
             self.clock(), self.life, lease, self.persist_bound, self.book.bound, previous_lease
@@ -157,7 +157,7 @@
         try:
             self.book.write(bound, self.book.voters, self.fleet.task_lease)
         except OSError as err:
-            warn('number not kept', reason=err)
+            log_warning('number not kept', reason=err)
             return False
         return True
 
@@ -173,14 +173,14 @@
         except InvalidValueError as err:
             why = err
         if why:
-            warn('fleet file not taken', reason=why)
+            log_warning('fleet file not taken', reason=why)
         else:
-            say('edition', edition=self.planner.edition, **self.planner.mosts)
+            log_event('edition', edition=self.planner.edition, **self.planner.mosts)
 
     def log_counts(self, _):
         """Log a line of counts."""
         now = self.clock()
-        say(
+        log_event(
             'figures',
             links=len(self.factory.links),
             forwarders=len(self.planner.planner_ledger.holders),
@@ -207,10 +207,10 @@
     try:
         planner_process.begin(*address(fleet.planner[index].address))
     except CannotListenError as err:
-        warn('cannot listen', reason=err)
+        log_warning('cannot listen', reason=err)
         return 1
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
-    say('stopped', **planner_process.counts)
+    log_event('stopped', **planner_process.counts)
     return 0
--- a/lilacdyke/plan/site_cli.py
+++ b/lilacdyke/plan/site_cli.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from . import sites
-from .staff import fleet_file, wrong
+from .staff import exit_invalid, fleet_file
 
 
 @click.group()
@@ -73,7 +73,7 @@
     loss = fleet_file(path, 'loss').loss
     unknown = set(lost) - {row.name for row in loss.site}
     if unknown:
-        wrong(path, 'loss: no site %s' % sorted(unknown)[0])
+        exit_invalid(path, 'loss: no site %s' % sorted(unknown)[0])
     found = (
         [sites.outcome(loss, tuple(lost))]
         if lost
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/staff.py
@@ -28,10 +28,10 @@
                 raise InvalidValueError('%s: no such table' % name)
         return settings
     except InvalidValueError as err:
-        wrong(path, err)
+        exit_invalid(path, err)
 
 
-def wrong(path, why):
+def exit_invalid(path, why):
     """Print one line to stderr, and exit with 2."""
     click.echo('lilacdyke: %s: %s' % (path, why), err=True)
     sys.exit(2)
@@ -112,7 +112,7 @@
     """Show the verdict on each server, its evidence, age, weight and effect."""
     rows = [row for row in fleet_file(path).planner if name in (None, row.name)]
     if not rows:
-        wrong(path, 'planner: no %s' % name)
+        exit_invalid(path, 'planner: no %s' % name)
     while True:
         code = query_once(rows, as_json, watch)
         if not watch:
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -18,15 +18,15 @@
 import click
 import msgspec
 
-from ..net.logs import begin, say, warn
+from ..net.logs import configure, log_event, log_warning
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
-from ..values import SECOND, down
+from ..values import SECOND, to_ticks_floor
 from .book import VoterFile
 from .lease import Lease
 from .sites import Name
-from .staff import fleet_file, query_planner, wrong
+from .staff import exit_invalid, fleet_file, query_planner
 
 LEASE_LOST_TERM, LEASE_LOST_KILL, NOT_ACQUIRED = 70, 71, 75
 TERM_PARTS, KILL_PARTS = 4, 12  # SIGTERM and SIGKILL are sent with 1 / PARTS of the lease left
@@ -46,7 +46,7 @@
             reactor, self.deadlines, self.clock, fleet, task, self.uniform, self.got, self.lost
         )
         if wait is not None:
-            self.deadlines.at(self.clock() + down(wait), self.wait_expired, 0)
+            self.deadlines.at(self.clock() + to_ticks_floor(wait), self.wait_expired, 0)
         self.lease.acquire()
 
     def clock(self):
@@ -54,7 +54,7 @@
 
     def got(self, number):
         """Start the command, unless the lease has expired already."""
-        say('lease acquired', task=self.task, number=number)
+        log_event('lease acquired', task=self.task, number=number)
         if self.popen is None and self.code is None and self.lease.held():
             try:
                 self.popen = subprocess.Popen(
@@ -63,13 +63,13 @@
                     start_new_session=True,
                 )
             except OSError as err:
-                warn('cannot run the command', reason=err)
+                log_warning('cannot run the command', reason=err)
                 return self.finish(2)
             self.poll_command(0)
 
     def lost(self, number):
         """Kill the command: the lease has expired or was released."""
-        say('lease ended', task=self.task, number=number)
+        log_event('lease ended', task=self.task, number=number)
         if self.popen is not None and self.code is None:
             self.kill(LEASE_LOST_KILL)
 
@@ -85,7 +85,9 @@
             return self.kill(LEASE_LOST_KILL)
         if left < span // TERM_PARTS and not self.term_sent:
             self.term_sent = True
-            warn('lease is expiring, terminating the command', task=self.task, number=self.lease.number)
+            log_warning(
+                'lease is expiring, terminating the command', task=self.task, number=self.lease.number
+            )
             self.signal(signal.SIGTERM)
         self.deadlines.at(self.clock() + SECOND // POLLS_PER_S, self.poll_command, 0)
 
@@ -129,7 +131,7 @@
 def read(path):
     """Return the fleet file's settings. Exit with status 2 unless it is enabled and has tasks."""
     if not fleet_file(path).enabled:
-        wrong(path, 'enabled: is false')
+        exit_invalid(path, 'enabled: is false')
     return fleet_file(path, 'tasks')
 
 
@@ -146,9 +148,9 @@
     try:
         msgspec.convert(name, Name)
     except msgspec.ValidationError:
-        wrong('task', 'invalid name: %.60r' % name)
+        exit_invalid('task', 'invalid name: %.60r' % name)
     fleet = read(path)
-    begin('info')
+    configure('info')
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -5,7 +5,7 @@
 """
 
 from ..known import NO_FLEET_BOUNDS
-from ..net.logs import say
+from ..net.logs import log_event
 from ..values import SECOND
 from .belief import FAILING, SILENT, ActiveVerdicts, Seen
 
@@ -30,7 +30,7 @@
 
     def __init__(self, node, span, planners):
         self.node, self.clock, self.span = node, node.clock, span
-        self.site = 'z%s' % node.place.terms.zone
+        self.site = 'z%s' % node.config.terms.zone
         self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
         self.seen = Seen(self.clock(), span, self.slow_after)
         self.belief = ActiveVerdicts(span, node.uniform, self.slow_after)
@@ -98,7 +98,7 @@
         return [
             list(server_id)
             for server in router.caches
-            if router.turns(now, server) < 1 and (server_id := self.server_id(server))
+            if router.current_share(now, server) < 1 and (server_id := self.server_id(server))
         ]
 
     # --- verdicts ---------------------------------------------------------------------------------------
@@ -120,12 +120,12 @@
         active_words = self.belief.bounds_by_server(
             now, {server_id: server.zone for server, server_id in idents.items()}
         )
-        for server in self.node.router.known.values():
+        for server in self.node.router.servers_by_name.values():
             held, server.fleet_bounds = active_words.get(idents.get(server), (None, NO_FLEET_BOUNDS))
             self.update_word(
                 now, server.name, held.kind if held else None, bool(held and held.way), server.fleet_bounds[0]
             )
-        for name in self.bounds_by_server.keys() - self.node.router.known.keys():
+        for name in self.bounds_by_server.keys() - self.node.router.servers_by_name.keys():
             self.update_word(now, name, None, False, 0)
         if self.bounds_by_server and not self.refresh_scheduled:
             self.refresh_scheduled = True
@@ -143,7 +143,7 @@
             self.bounds_by_server[name] = (kind, way, until)
         if (previous and previous[:2]) != (kind and (kind, way)) and now >= self.next_log_at:
             self.next_log_at = now + SECOND // LOG_LINES_PER_SECOND
-            say('verdict', server=name, kind=kind or 'none', way=way)
+            log_event('verdict', server=name, kind=kind or 'none', way=way)
 
     def is_down(self, now, server):
         """Return whether the fleet considers a server down."""
--- a/lilacdyke/scale/datapath.py
+++ b/lilacdyke/scale/datapath.py
@@ -28,8 +28,8 @@
         tenants=[],
         nodes=nodes,
         zone=0,
-        aside=False,
-        watched=False,
+        cache_aside=False,
+        list_on_request=False,
         may_hedge=True,
         may_cancel=True,
         max_hops=5,
@@ -117,7 +117,7 @@
 def changed_entry(servers, seed):
     """Milliseconds of processor time for one changed entry of the list."""
     router = bare_router(servers, seed)
-    known, rng = list(router.known.values()), Random(seed)
+    known, rng = list(router.servers_by_name.values()), Random(seed)
 
     def value():
         started = time.process_time()
--- a/lilacdyke/scale/hollow.py
+++ b/lilacdyke/scale/hollow.py
@@ -44,7 +44,7 @@
     """Run hollow nodes for some time, then write their results."""
     from twisted.internet.main import installReactor
 
-    logs.begin('error')
+    logs.configure('error')
     reactor = Reactor()
     installReactor(reactor)
     settings = settings_file.read(path)
@@ -55,7 +55,7 @@
         node = NodeChanges(reactor, System.elapsed, random, 'n%d' % number, number, settings, record)
         nodes.append(node)
         # Spread the starts over a second.
-        reactor.callLater(random(), node.begin)
+        reactor.callLater(random(), node.start)
     started = time.monotonic()
     reactor.callLater(seconds, reactor.stop)
     reactor.run(installSignalHandlers=False)
--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -11,16 +11,16 @@
 class Profile:
     """Profile of a kind of transaction: its effect, goal and limits."""
 
-    __slots__ = ('name', 'effect', 'group', 'window', 'goal', 'late_revenue', 'hard')
+    __slots__ = ('name', 'effect', 'group', 'window', 'goal', 'late_revenue', 'hard_limit')
 
-    def __init__(self, name, effect, group, window, goal, late_revenue, hard=0):
+    def __init__(self, name, effect, group, window, goal, late_revenue, hard_limit=0):
         self.name = name
         self.effect = effect
         self.group = group  # 'all', 'zone' or 'cell': the servers among which journalled repeats are dropped
         self.window = window  # time after the first hop during which they are dropped
         self.goal = goal
         self.late_revenue = late_revenue
-        self.hard = hard  # hard limit of a client's total wait
+        self.hard_limit = hard_limit  # hard limit of a client's total wait
 
 
 class Tenant:
@@ -45,8 +45,8 @@
         'tenants',
         'nodes',
         'zone',
-        'aside',
-        'watched',
+        'cache_aside',
+        'list_on_request',
         'may_hedge',
         'may_cancel',
         'max_hops',
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/ground.py
@@ -61,7 +61,7 @@
         if self.planner_slot.running not in (None, self) or stage.closing:
             return
         if self.popen.poll() is not None and self.planner_slot.running is self:
-            stage.see('planner', self.planner_slot.name, 'died')
+            stage.record_event('planner', self.planner_slot.name, 'died')
             self.ground.bends.get(self.planner_slot.name, {}).pop('dies', None)
             self.planner_slot.running = None
             self.ground.later(300_000, stage.start_planner, self.planner_slot)
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -53,7 +53,7 @@
 
     def begin(self, now, *given):
         usual(self, now, *given)
-        self.mute = now - 1
+        self.silent_until = now - 1
 
     put(Voter, '__init__', begin)
 
@@ -69,7 +69,7 @@
 
 def same_number(put):
     def most_ask(self, now):
-        self.number = max(self.yes.values())
+        self.number = max(self.granted.values())
         self.holds()
 
     put(Seeker, 'most_ask', most_ask)
--- a/lilacdyke/trial/putter.py
+++ b/lilacdyke/trial/putter.py
@@ -12,7 +12,7 @@
 
 from ..changes import cli, settings
 from ..changes.messages import Item, PutAnswer, PutRequest, pack, unpack
-from ..decode import address
+from ..decode import parse_address
 
 PAUSE_S, PATIENCE_S = 0.1, 2.0
 
@@ -33,7 +33,7 @@
 
 def main(path, out, seconds):
     """Put for so long."""
-    where, value = address(settings.read(path).named('w0').address), 0
+    where, value = parse_address(settings.read(path).named('w0').address), 0
     end = time.monotonic() + float(seconds)
     with open(out, 'w', encoding='utf-8') as file:
         while time.monotonic() < end:
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..net.logs import begin
+from ..net.logs import configure
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
@@ -107,7 +107,7 @@
 
 def main(path, name, host, port, history, keeps):
     """Go on until it is killed. keeps: the chance of holding on for long; over 1: until it is lost."""
-    begin('error')
+    configure('error')
     reactor = Reactor()
     worker = Worker(reactor, limits.read(path), name, History(history), float(keeps))
     reactor.connectTCP(host, int(port), worker, timeout=5)
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -21,7 +21,7 @@
 from msgspec.structs import replace
 
 from ..changes import settings, store
-from ..changes.writer import Put
+from ..changes.writer import ChangePut
 from ..lab import loopback
 from ..lab.callsweep import NEEDED
 from ..lab.draw import STEPS_S
@@ -261,7 +261,7 @@
         kept = [row['value'] for row in rows if row['told'] == 'kept']
         refused = {row['value'] for row in rows if row['told'] == 'refused'}
         lines = store.read(settings.read(self.path).named('w0').folder)
-        shown = [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
+        shown = [int(line.change.items[0].value) for line in lines if isinstance(line, ChangePut)]
         missing, extra = set(kept) - set(shown), refused & set(shown)
         if missing or extra or shown != sorted(shown):
             wrong = 'told as kept and not there: %s; told as refused and there: %s' % (
--- a/lilacdyke/values.py
+++ b/lilacdyke/values.py
@@ -15,7 +15,7 @@
     """Raised for a malformed line or value; the message says what is wrong."""
 
 
-def whole(text):
+def non_negative_int(text):
     """Parse a non-negative integer."""
     if not DIGITS.match(text):
         raise InvalidValueError('not a whole number: %r' % text)
@@ -44,25 +44,25 @@
     return None if text == '-' else read(text)
 
 
-def down(seconds):
+def to_ticks_floor(seconds):
     """Convert seconds to units of 0.1 ms, rounded down, for limits that must not be exceeded."""
     scaled = seconds * SECOND
     nearest = round(scaled)
     return nearest if abs(scaled - nearest) < 1e-4 else int(scaled // 1)
 
 
-def up(seconds):
+def to_ticks_ceil(seconds):
     """Convert seconds to units of 0.1 ms, rounded up, for what must not happen early."""
-    return -down(-seconds)
+    return -to_ticks_floor(-seconds)
 
 
-def seconds(ticks):
+def format_seconds(ticks):
     """Format a time in units of 0.1 ms as seconds, exactly."""
     sign, ticks = ('-', -ticks) if ticks < 0 else ('', ticks)
     return '%s%d.%04d' % (sign, ticks // SECOND, ticks % SECOND)
 
 
-def report(text):
+def load_report(text):
     """Parse a load report into a dict of its named values."""
     loads = {}
     for part in text.split(','):
--- a/tests/changes/test_full_disk.py
+++ b/tests/changes/test_full_disk.py
@@ -13,7 +13,7 @@
 
 from lilacdyke.changes import cli, settings, store
 from lilacdyke.changes.messages import Item, PutAnswer, PutRequest, Status, StatusRequest, pack, unpack
-from lilacdyke.changes.writer import Put
+from lilacdyke.changes.writer import ChangePut
 from lilacdyke.scale.fleet_run import free_ports
 from lilacdyke.trial.shim import Board
 
@@ -81,7 +81,7 @@
     def stored_values(self):
         """Return the values in the file, in order."""
         lines = store.read(self.folder)
-        return [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
+        return [int(line.change.items[0].value) for line in lines if isinstance(line, ChangePut)]
 
     def assert_accepted_changes_survive(self, *calls):
         """Put changes before, while and after calls fail, then kill and restart the writer."""
--- a/tests/changes/test_log.py
+++ b/tests/changes/test_log.py
@@ -20,7 +20,7 @@
     frame_reader,
 )
 from lilacdyke.changes.replica import Replica
-from lilacdyke.changes.writer import Compacted, EpochBegun, Put, RefusedError, Writer
+from lilacdyke.changes.writer import ChangePut, Compacted, EpochBegun, RefusedError, Writer
 from lilacdyke.values import InvalidValueError
 
 KEYS = {'limit': 'number', 'banner': 'text', 'open': 'flag'}
@@ -138,7 +138,7 @@
         def fail(line):
             raise OSError('no space')
 
-        writer.keep = fail
+        writer.append_record = fail
         with self.assertRaises(OSError):
             writer.put('config', [('limit', '1')], 1)
         self.assertEqual(self.replica.log('w').position, Position(1, 0))
@@ -180,17 +180,17 @@
     def kept(self, *lines):
         opened = store.Store(self.folder.name)
         for line in lines:
-            opened.keep(line)
+            opened.append_record(line)
         opened.close()
 
     def test_stored_lines_are_read_and_truncated_last_line_is_dropped(self):
-        self.kept(EpochBegun(1), Put(change(1)))
+        self.kept(EpochBegun(1), ChangePut(change(1)))
         with open(self.path, 'ab') as file:
             file.write(b'{"type":"put","chan')
         opened = store.Store(self.folder.name)
         opened.close()
-        self.assertEqual(opened.lines, [EpochBegun(1), Put(change(1))])
-        self.kept(Put(change(2)))
+        self.assertEqual(opened.lines, [EpochBegun(1), ChangePut(change(1))])
+        self.kept(ChangePut(change(2)))
         self.assertEqual(len(store.read(self.folder.name)), 3)
 
     def test_malformed_line_is_reported_with_its_number(self):
@@ -207,7 +207,7 @@
     def test_long_file_is_compacted_to_the_same_state(self):
         lines = [
             EpochBegun(1),
-            *(Put(change(number, value=str(number), at=number)) for number in range(1, 6_000)),
+            *(ChangePut(change(number, value=str(number), at=number)) for number in range(1, 6_000)),
         ]
         compacted_lines = store.compacted(lines)
         self.assertEqual(compacted_lines, [Compacted(1, {'limit': '5999'}, 5_999)])
@@ -295,11 +295,11 @@
 
     def test_file_must_be_enabled_for_this_installation(self):
         loaded = self.read(self.TEXT)
-        self.assertIs(settings.enabled(loaded, 'here'), loaded)
+        self.assertIs(settings.require_enabled(loaded, 'here'), loaded)
         for text, name in (
             (self.TEXT, 'there'),
             (self.TEXT, None),
             (self.TEXT.replace('true', 'false'), 'here'),
         ):
             with self.assertRaises(InvalidValueError):
-                settings.enabled(self.read(text), name)
+                settings.require_enabled(self.read(text), name)
--- a/tests/changes/test_search.py
+++ b/tests/changes/test_search.py
@@ -68,9 +68,9 @@
 
 def persists_late(self, kind, items, at):
     """Send a change before it is stored, at the next put."""
-    kept, self.keep = self.keep, self.late.append
+    kept, self.append_record = self.append_record, self.late.append
     change = real_put(self, kind, items, at)
-    self.keep = kept
+    self.append_record = kept
     for line in self.late[:-1]:
         kept(line)
     del self.late[:-1]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,7 +6,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from lilacdyke.decode import place
+from lilacdyke.decode import parse_config
 from lilacdyke.logic import Hop, Router, Server
 from lilacdyke.net.node import Node
 from lilacdyke.net.system import System
@@ -26,8 +26,8 @@
         tenants=[],
         nodes=2,
         zone=0,
-        aside=False,
-        watched=False,
+        cache_aside=False,
+        list_on_request=False,
         may_hedge=True,
         may_cancel=True,
         max_hops=5,
@@ -47,7 +47,7 @@
 
 def router(caches=3, origin=False, seed=1, **other):
     """Return a router with this many warm caches, and an origin if asked for."""
-    made = Router(terms(aside=origin, **other), seed, 0)
+    made = Router(terms(cache_aside=origin, **other), seed, 0)
     for number in range(caches):
         add_server(made, 'c%d' % number)
     if origin:
@@ -272,7 +272,7 @@
     """Return a node on a reactor of its own, which is also its clock; not started."""
     reactor = MemoryReactorClock()
     reactor.listenTCP = Port
-    return Node(place(page(**other)), reactor, Machine(reactor))
+    return Node(parse_config(page(**other)), reactor, Machine(reactor))
 
 
 def starting(**other):
--- a/tests/plan/test_fleet.py
+++ b/tests/plan/test_fleet.py
@@ -85,10 +85,10 @@
             self.assertNotIn('\n', str(found.exception))
 
     def test_fleet_must_be_enabled_for_this_installation(self):
-        limits.enabled(read(), 'here')
+        limits.require_enabled(read(), 'here')
         for text, place in ((TEXT, None), (TEXT, 'there'), (TEXT.replace('true', 'false'), 'here')):
             with self.subTest(place=place), self.assertRaises(InvalidValueError):
-                limits.enabled(read(text), place)
+                limits.require_enabled(read(text), place)
 
     def test_parts_add_up_to_at_most_the_limit(self):
         for seats in (1, 3, 7, 40):
--- a/tests/plan/test_leases.py
+++ b/tests/plan/test_leases.py
@@ -218,20 +218,20 @@
 
     def __init__(self, now, *given):
         super().__init__(now, *given)
-        self.mute = now - 1
+        self.silent_until = now - 1
 
 
 class MajorityOfAnswers(Seeker):
     """Takes a majority of the voters that answered for a majority of all."""
 
-    most = property(lambda self: max(1, (len(self.yes) + len(self.no)) // 2 + 1))
+    most = property(lambda self: max(1, (len(self.granted) + len(self.denied)) // 2 + 1))
 
 
 class UnconfirmedNumber(Seeker):
     """Uses the highest recorded number without a confirmation round."""
 
     def most_ask(self, now):
-        self.number = max(self.yes.values())
+        self.number = max(self.granted.values())
         self.holds()
 
 
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -19,10 +19,10 @@
         self.server = caches[3]
         router = SimpleNamespace(
             caches=caches,
-            known={server.name: server for server in caches},
+            servers_by_name={server.name: server for server in caches},
             goal=GOAL,
             over=lambda now, tx: False,
-            turns=lambda now, server: server.share,
+            current_share=lambda now, server: server.share,
         )
         self.node = SimpleNamespace(
             clock=lambda: self.now,
@@ -31,7 +31,7 @@
             starts=StartTimes(0),
             deadlines=SimpleNamespace(at=lambda when, call, given: None),
             entries={server.name: SimpleNamespace(name=server.name, started=0) for server in caches},
-            place=SimpleNamespace(terms=SimpleNamespace(zone=0)),
+            config=SimpleNamespace(terms=SimpleNamespace(zone=0)),
         )
         self.view, self.seq = View(self.node, SPAN, ['p0', 'p1']), 0
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -6,7 +6,7 @@
 
 from lilacdyke.benchlink.serve import Adapter
 from lilacdyke.decode import decode
-from lilacdyke.values import InvalidValueError, down, number, seconds, up
+from lilacdyke.values import InvalidValueError, format_seconds, number, to_ticks_ceil, to_ticks_floor
 
 from .helpers import SETTINGS
 
@@ -94,10 +94,13 @@
             decode(json.dumps(site))
 
     def test_seconds_are_rounded_down_or_up(self):
-        self.assertEqual((down(0.00019), up(0.00011), down(0.3), up(0.3)), (1, 2, 3000, 3000))
+        self.assertEqual(
+            (to_ticks_floor(0.00019), to_ticks_ceil(0.00011), to_ticks_floor(0.3), to_ticks_ceil(0.3)),
+            (1, 2, 3000, 3000),
+        )
 
     def test_seconds_are_formatted_exactly(self):
-        self.assertEqual((seconds(12_345), seconds(-1)), ('1.2345', '-0.0001'))
+        self.assertEqual((format_seconds(12_345), format_seconds(-1)), ('1.2345', '-0.0001'))
 
     def test_numbers_must_be_finite(self):
         with self.assertRaises(InvalidValueError):
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -421,7 +421,7 @@
         self.assertEqual(
             (origin.value().count(b'z'), tx.limit, tx.hops[0].weight), (99_997, made.clock() + 20_000, 1)
         )
-        self.assertTrue(origin.protocol.left)
+        self.assertTrue(origin.protocol.all_sent)
 
     def test_server_lost_during_body_is_not_retried(self):
         made = node()
@@ -447,7 +447,7 @@
 
     def test_client_disconnect_during_body_without_cancellation(self):
         made = node()
-        made.place.terms.may_cancel = False
+        made.config.terms.may_cancel = False
         wire = asked(made, PUT + 'abc')
         origin = carried(made)
         lost(wire)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -92,7 +92,7 @@
         made = node()
         server = made.servers['c0']
         server.started = made.clock()
-        made.router.usual = 1.0
+        made.router.peak_warm_rate = 1.0
         with (
             mock.patch.object(Router, 'cold_budget_allows', lambda *given: True),
             self.assertLogs('lilacdyke', 'ERROR'),
@@ -106,7 +106,7 @@
 class Limits(unittest.TestCase):
     def test_records_of_servers_are_bounded(self):
         made = node()
-        guard = Guard(made.clock, made.count, made.is_open, made.router, made.place.stop_sending_timeout)
+        guard = Guard(made.clock, made.count, made.is_open, made.router, made.config.stop_sending_timeout)
         for number in range(9_000):
             server = mock.Mock(listed_state='draining', state='draining')
             server.name = 's%d' % number
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -86,48 +86,48 @@
 
     def test_cache_far_above_mean_load_is_skipped(self):
         node, tx, _, second = self.state(5)
-        self.assertIs(node.pick(0, tx), second)
+        self.assertIs(node.choose_cache(0, tx), second)
 
     def test_cache_near_mean_load_is_kept(self):
         node, tx, first, _ = self.state(4)
-        self.assertIs(node.pick(0, tx), first)
+        self.assertIs(node.choose_cache(0, tx), first)
 
     def test_read_stays_with_its_home_without_budget(self):
         node, tx, first, _ = self.state(5)
         node.retry_budget = 0
-        self.assertIs(node.pick(0, tx), first)
+        self.assertIs(node.choose_cache(0, tx), first)
 
     def test_read_is_rejected_when_all_caches_are_full(self):
         node, tx, *_ = self.state(0)
         for cache in node.caches:
             cache.out, cache.in_flight_limit = 1, 1.0
-        self.assertIsNone(node.pick(0, tx))
+        self.assertIsNone(node.choose_cache(0, tx))
 
     def test_set_aside_cache_gets_reduced_traffic(self):
         node, tx, first, second = self.state(0)
         first.share, node.uniform = MIN_SHARE, lambda: 0.5
-        self.assertIs(node.pick(0, tx), second)
+        self.assertIs(node.choose_cache(0, tx), second)
 
     def test_reduced_share_holds_when_all_caches_are_set_aside(self):
         node, tx, *_ = self.state(0)
         node.uniform = lambda: 0.5
         for cache in node.caches:
             cache.share = MIN_SHARE
-        self.assertIsNone(node.pick(0, tx))
+        self.assertIsNone(node.choose_cache(0, tx))
 
     def test_write_avoids_a_set_aside_cache(self):
         node, _, *_ = self.state(0)
         node.uniform, write = lambda: 0.5, taken(node, KEPT, write=True)
         first, second = node.ranked(0, write)[:2]
         first.share = MIN_SHARE
-        self.assertIs(node.pick(0, write), second)
+        self.assertIs(node.choose_cache(0, write), second)
 
     def test_writes_respect_in_flight_limits_under_overload(self):
         node, *_ = self.state(0)
-        node.good_hops, node.poor, write = 1, 9, taken(node, KEPT, write=True)
+        node.good_hops, node.bad_hops, write = 1, 9, taken(node, KEPT, write=True)
         for cache in node.caches:
             cache.out, cache.in_flight_limit = 1, 1.0
-        self.assertIsNone(node.pick(0, write))
+        self.assertIsNone(node.choose_cache(0, write))
 
 
 class HedgeDelay(unittest.TestCase):
@@ -177,7 +177,7 @@
 
     def test_overload_adds_nothing_to_the_retry_budget(self):
         node = router(4)
-        node.retry_budget, node.good_hops, node.poor = 0, 10, 10
+        node.retry_budget, node.good_hops, node.bad_hops = 0, 10, 10
         taken(node)
         self.assertEqual(node.retry_budget, 0)
 
@@ -258,7 +258,7 @@
     def test_cold_cache_rate_is_bounded_by_the_warm_rate(self):
         node = router(2)
         fresh = add_server(node, 'f', started=0)
-        node.usual = 40
+        node.peak_warm_rate = 40
         sent = 0
         while node.cold_budget_allows(0, fresh):
             fresh.cold_credit -= 1
@@ -271,14 +271,14 @@
         for seed in range(300):
             node = router(2, nodes=300, seed=seed)
             fresh = add_server(node, 'f', started=0)
-            node.usual = 0.25
+            node.peak_warm_rate = 0.25
             first += node.cold_budget_allows(10_000, fresh)
         self.assertTrue(0 < first < 300 * 0.25 * 0.28 * 3)
 
     def test_cold_budget_remains_without_warm_caches(self):
         node = router(2)
         fresh = add_server(node, 'f', started=0)
-        node.usual, fresh.cold_credit = 40, 0
+        node.peak_warm_rate, fresh.cold_credit = 40, 0
         for cache in node.caches:
             cache.started = 0
         self.assertTrue(node.cold_budget_allows(5000, fresh))
@@ -327,14 +327,14 @@
     def test_expired_transaction_without_hops_is_rolled_back(self):
         node = router(1)
         tx = taken(node)
-        self.assertEqual(node.step(20_000, tx)[0], 'roll_back')
+        self.assertEqual(node.next_decision(20_000, tx)[0], 'roll_back')
 
     def test_request_that_waited_too_long_is_rolled_back_unsent(self):
         decisions = []
         for now in (2_500, 2_501):  # a goal is 5,000
             node = router(1)
             tx = node.take(now, 0, 'k', 20_000, False, 0)
-            decisions.append(node.step(now, tx)[0])
+            decisions.append(node.next_decision(now, tx)[0])
         self.assertEqual(decisions, ['send', 'roll_back'])
 
     def test_reads_that_waited_add_nothing_to_the_retry_budget(self):
@@ -374,7 +374,7 @@
 
     def test_retry_after_an_error_is_free_unless_overloaded(self):
         node = router(3)
-        for node.poor, want in ((0, 'send'), (1, 'roll_back')):
+        for node.bad_hops, want in ((0, 'send'), (1, 'roll_back')):
             tx, node.retry_budget = taken(node), 0
             ended(node, tx, node.caches[0], 'error').failed = True
             self.assertEqual(node.step_read(0, tx, False)[0], want)
@@ -388,7 +388,7 @@
 
     def test_fewer_refused_reads_are_retried_under_overload(self):
         node, answers = router(3), []
-        for node.good_hops, node.poor in ((8, 2), (4, 6)):
+        for node.good_hops, node.bad_hops in ((8, 2), (4, 6)):
             node.uniform, tx = lambda: 0.5, taken(node)
             ended(node, tx, node.caches[0], 'refused', ran=False)
             answers.append(node.pay_for_retry(0, tx))
@@ -419,13 +419,13 @@
         """One of hundreds of nodes may have no transaction for a cache for a minute."""
         node = router(2)
         node.caches[0].share = MIN_SHARE
-        self.assertEqual(node.turns(8 * node.goal * 5, node.caches[0]), 1)
+        self.assertEqual(node.current_share(8 * node.goal * 5, node.caches[0]), 1)
 
     def test_share_recovers_after_an_hour(self):
         """The decay factor of an old observation stays above zero, since the share is divided by it."""
         node = router(2)
         node.caches[0].share = MIN_SHARE
-        self.assertEqual(node.turns(36_000_000, node.caches[0]), 1)
+        self.assertEqual(node.current_share(36_000_000, node.caches[0]), 1)
 
     def test_share_is_halved_at_the_lowest_in_flight_limit(self):
         node = router(2)
@@ -452,18 +452,18 @@
 
     def test_lost_connection_does_not_count_as_load(self):
         node = router(2)
-        server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.poor
+        server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.bad_hops
         node.hop_ended(10, out(node, taken(node), server), 'lost', 10, False, 0)
-        self.assertEqual((server.unanswered_hops, server.in_flight_limit, node.poor), (1, limit, poor))
+        self.assertEqual((server.unanswered_hops, server.in_flight_limit, node.bad_hops), (1, limit, poor))
 
     def test_spoilt_answer_only_shows_that_the_server_is_alive(self):
         node = router(2)
-        server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.poor
+        server, limit, poor = node.caches[0], node.caches[0].in_flight_limit, node.bad_hops
         server.unanswered_hops = SET_ASIDE_AFTER - 1
         hop = out(node, taken(node), server)
         node.hop_ended(10, hop, 'spoilt', 10, False, 0)
         self.assertEqual(
-            (server.unanswered_hops, server.in_flight_limit, node.poor, hop.ran), (0, limit, poor, True)
+            (server.unanswered_hops, server.in_flight_limit, node.bad_hops, hop.ran), (0, limit, poor, True)
         )
 
     def test_in_flight_limit_falls_after_several_slow_answers(self):
@@ -561,7 +561,7 @@
     def test_busy_node_sends_less_under_overload(self):
         """One hop from each node to each cache can keep an origin behind them down."""
         node = router(3)
-        node.interval, node.poor, tx = node.goal // 6, 1, taken(node)
+        node.interval, node.bad_hops, tx = node.goal // 6, 1, taken(node)
         node.lag = node.caches[0].lag = node.goal
         self.assertFalse(node.accepts_read(0, tx, node.caches[0], 0.9))
 
@@ -579,21 +579,21 @@
 
     def test_read_is_timed_out_at_its_goal_under_overload(self):
         node = router(3)
-        node.poor, tx = 10, taken(node)
+        node.bad_hops, tx = 10, taken(node)
         self.assertEqual(node.send(100, tx, node.caches[0], False)[2], node.goal - 100)
 
     def test_fetch_is_not_timed_out_under_overload(self):
         node = router(3, origin=True)
-        node.poor, tx = 10, taken(node)
+        node.bad_hops, tx = 10, taken(node)
         self.assertIsNone(node.send(100, tx, node.origin, False)[2])
 
 
 class ServerList(unittest.TestCase):
     def test_list_is_requested_at_start(self):
-        self.assertEqual(router(0, watched=True).decide(0), ('watch',))
+        self.assertEqual(router(0, list_on_request=True).decide(0), ('watch',))
 
     def test_list_retry_backoff_is_capped(self):
-        node = router(0, watched=True)
+        node = router(0, list_on_request=True)
         node.uniform, waits = lambda: 0.5, []
         for _ in range(12):
             node.list_failed(0)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,7 +18,7 @@
 from lilacdyke.net.logs import KeyValueFormatter, RateLimitFilter
 from lilacdyke.net.node import DRAINING, SERVING, STARTING, STOPPED
 from lilacdyke.net.sockets import AcceptFilter
-from lilacdyke.net.tables import Deadlines, Table
+from lilacdyke.net.tables import Deadlines, SlotTable
 from lilacdyke.values import InvalidValueError
 
 from .helpers import (
@@ -79,7 +79,7 @@
 
 class Slots(unittest.TestCase):
     def test_get_with_stale_number_after_slot_reuse(self):
-        table = Table()
+        table = SlotTable()
         first = table.add('a')
         table.remove(first)
         second = table.add('b')
@@ -88,7 +88,7 @@
         )
 
     def test_remove_twice_frees_slot_once(self):
-        table = Table()
+        table = SlotTable()
         number = table.add('a')
         table.remove(number)
         table.remove(number)
@@ -616,7 +616,7 @@
         made = node(known={'generation': 4, 'reset': True, 'instances': [entry('c0'), entry('c1')]})
         wire, cache = sent(made)
         cache.protocol.dataReceived(said(400))
-        self.assertEqual((status(wire), self.ended(made), made.router.poor), (400, ['rejected'], 0))
+        self.assertEqual((status(wire), self.ended(made), made.router.bad_hops), (400, ['rejected'], 0))
 
     def test_idle_connections_close_early_when_server_lacks_slots(self):
         for more, rests in (('Srv-Declined: 1\r\nConnection: close\r\n', 0.1), ('Srv-Declined: 1\r\n', 9)):
@@ -770,10 +770,10 @@
 
     def test_partly_sent_request_is_aborted_without_cancellation(self):
         made = node()
-        made.place.terms.may_cancel = False
+        made.config.terms.may_cancel = False
         wire = asked(made)
         cache = connection_up(made, stuck=True)
-        cache.protocol.left = False  # partly sent
+        cache.protocol.all_sent = False  # partly sent
         lost(wire)
         self.assertEqual((cache.aborted, len(made.attempts)), (True, 0))
 
@@ -1026,7 +1026,7 @@
         sent(made)
         for number in range(5, 8):
             made.listed(True, [Entry(entry('c%d' % number)), Entry(entry('o', 'origin'))])
-            counts.append((len(made.servers), len(made.caches.pools), len(made.router.known)))
+            counts.append((len(made.servers), len(made.caches.pools), len(made.router.servers_by_name)))
             if number == 6:
                 made.reactor.pump([0.1] * 21)  # the hop's limit
         self.assertEqual(counts, [(3, 3, 3), (3, 3, 3), (2, 2, 2)])
@@ -1181,8 +1181,8 @@
 
     def test_fault_in_one_transaction_does_not_affect_others(self):
         made = node()
-        step, dials = made.router.step, len(made.reactor.tcpClients)
-        made.router.step = lambda now, tx: step(now, tx) if tx.key == 'k' else {}['fault']
+        step, dials = made.router.next_decision, len(made.reactor.tcpClients)
+        made.router.next_decision = lambda now, tx: step(now, tx) if tx.key == 'k' else {}['fault']
         bad = asked(made, 'GET /read/bad HTTP/1.1\r\nHost: x\r\nReq-Id: %d\r\n\r\n')
         asked(made)
         served = len(made.reactor.tcpClients) - dials
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,6 +1,6 @@
 """The operators' HTTP server, suspended cache servers, and nodes taken out of rotation."""
 
-from lilacdyke.decode import place
+from lilacdyke.decode import parse_config
 from lilacdyke.logic import Server
 from lilacdyke.net.node import DRAINING, OUT_OF_ROTATION, SERVING
 from lilacdyke.net.operator import CALL_TIMEOUT, MAX_CALLERS, OperatorServer
@@ -72,7 +72,7 @@
         self.assertIsNone(node().operator_server)
         self.assertIsInstance(operator_node()[0].operator_server, OperatorServer)
         with self.assertRaises(InvalidValueError):
-            place(page(operator='door:1'))
+            parse_config(page(operator='door:1'))
 
 
 class SuspendedServers(Quiet):
@@ -82,11 +82,11 @@
         self.assertTrue(made.suspend(0, first.name))
         tx = taken(made, key='k')
         self.assertFalse(made.permitted(0, tx, first))
-        self.assertIs(made.pick(0, tx), second)
+        self.assertIs(made.choose_cache(0, tx), second)
 
     def test_lists_do_not_resume_server(self):
         made = router(2)
-        server = made.known['c0']
+        server = made.servers_by_name['c0']
         made.suspend(5, 'c0')
         for state in ('ready', 'draining', 'gone', 'ready'):
             made.list_replaced(9, [(server, state, 1, None, 0, 0)])
@@ -105,7 +105,7 @@
     def test_unknown_server_is_refused_and_deleted_one_can_be_resumed(self):
         made = router(2)
         made.suspend(5, 'c0')
-        made.list_replaced(6, [(made.known['c1'], 'ready', 1, None, 0, 0)])
+        made.list_replaced(6, [(made.servers_by_name['c1'], 'ready', 1, None, 0, 0)])
         self.assertEqual(
             (made.suspend(7, 'x'), made.resume(7, 'x'), made.resume(7, 'c0'), made.resume(8, 'c0')),
             (False, False, True, False),
@@ -113,7 +113,7 @@
 
     def test_resumed_server_is_cold_despite_old_list(self):
         made = router(2)
-        server = made.known['c0']
+        server = made.servers_by_name['c0']
         made.suspend(500, 'c0')
         server.unanswered_hops = 3
         made.resume(900, 'c0')
@@ -127,7 +127,7 @@
 
     def test_resumed_server_drains_if_listed_so(self):
         made = router(2)
-        server = made.known['c0']
+        server = made.servers_by_name['c0']
         made.suspend(5, 'c0')
         made.list_changed(6, [(server, 'draining', 1, None, 0, 0)])
         made.resume(7, 'c0')
@@ -144,7 +144,7 @@
         )
         made.resume(6, 's7')
         self.assertEqual(
-            (made.suspend(7, 's1099'), made.is_suspended('s0'), len(made.hand)), (True, True, 1_024)
+            (made.suspend(7, 's1099'), made.is_suspended('s0'), len(made.suspensions)), (True, True, 1_024)
         )
 
     def test_attempt_waiting_for_connection_is_not_sent(self):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,7 +8,7 @@
 from click.testing import CliRunner
 
 from lilacdyke.__main__ import main
-from lilacdyke.decode import place
+from lilacdyke.decode import parse_config
 from lilacdyke.values import InvalidValueError
 
 from .helpers import SETTINGS, page
@@ -21,14 +21,14 @@
 
 class Pages(unittest.TestCase):
     def test_valid_page(self):
-        config = place(page())
+        config = parse_config(page())
         self.assertEqual(
             (config.listen, config.seed, config.origin_kind, config.idle, config.connect_within),
             (('127.0.0.1', 9000), 0x8C1F, 'origin', 150_000, 2_500),
         )
 
     def test_tick_leaves_time_to_connect_within_repeat_window(self):
-        self.assertEqual(place(page()).terms.tick, 2_550)
+        self.assertEqual(parse_config(page()).terms.tick, 2_550)
 
     def test_error_names_invalid_key(self):
         limits = dict(SETTINGS['limits'], connIdleS='soon')
@@ -47,7 +47,7 @@
         }
         for text, expected in cases.items():
             with self.subTest(expected=expected), self.assertRaisesRegex(InvalidValueError, expected):
-                place(text)
+                parse_config(text)
 
 
 class Shapes(unittest.TestCase):
@@ -81,7 +81,7 @@
             limits={'probing': False},
         )
         for text, zones in ((pool, 3), (planner_slot, 1), (files, 4)):
-            self.assertEqual(len(place(text).zones), zones)
+            self.assertEqual(len(parse_config(text).zones), zones)
 
     def test_mixed_shape_is_refused_with_key(self):
         unprobed = {'probing': False}
@@ -101,7 +101,7 @@
                 self.subTest(key=key),
                 self.assertRaisesRegex(InvalidValueError, '(shapes|form): %s: ' % key),
             ):
-                place(self.page_with_keys(**mix))
+                parse_config(self.page_with_keys(**mix))
 
 
 class Commands(unittest.TestCase):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -135,7 +135,7 @@
                 successor.handover.announce_serving = lambda: None
                 successor.begin_unless_stopped(dict(received, v=1), None)
                 self.assertIn(successor.phase, ('serving', 'away'))
-                self.assertIn('c0', successor.router.known)
+                self.assertIn('c0', successor.router.servers_by_name)
 
     def test_call_succeeds_once_other_process_confirms(self):
         caller = Wire()
@@ -211,7 +211,7 @@
         self.addCleanup(self.folder.cleanup)
         self.made = unstarted_node(operator='127.0.0.1:9001')
         self.made.reactor.connectUNIX = lambda *given, **named: None
-        name = PREFIX % crc32(repr((self.made.place.name, self.made.place.listen)).encode())
+        name = PREFIX % crc32(repr((self.made.config.name, self.made.config.listen)).encode())
         with socket.socket(socket.AF_UNIX) as predecessor:
             predecessor.bind(os.path.join(self.folder.name, name + '1'))
         self.made.start(self.folder.name)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -93,8 +93,8 @@
         """Return the age, in seconds, of a server of age age_s at a node whose clock is ahead by ahead_s."""
         times = StartTimes(self.NOW - int((self.UNIX_S + ahead_s) * SECOND))
         listed = Entry(entry('c0', startedAtMs=(self.UNIX_S - age_s) * 1_000))
-        first = times.of(listed, self.NOW, last_line_at)
-        self.assertEqual(times.of(listed, self.NOW + SECOND, self.NOW), first)  # listed again
+        first = times.start_of(listed, self.NOW, last_line_at)
+        self.assertEqual(times.start_of(listed, self.NOW + SECOND, self.NOW), first)  # listed again
         return (self.NOW - first) / SECOND
 
     def test_age_is_as_listed_if_clock_is_right(self):
@@ -122,7 +122,7 @@
         successor.reactor.advance(5)
         successor.starts.offset += int(HOUR * SECOND)  # it started after a step of the wall clock
         successor.import_state(predecessor.export_state())
-        since, back = successor.router.hand['c0']
+        since, back = successor.router.suspensions['c0']
         self.assertIsNone(back)
         self.assertAlmostEqual(successor.clock() - since, 5 * SECOND, delta=10)
 
--- a/tests/trial/test_soak.py
+++ b/tests/trial/test_soak.py
@@ -9,7 +9,7 @@
 
 from lilacdyke.changes.messages import Change, Item
 from lilacdyke.changes.store import Store
-from lilacdyke.changes.writer import EpochBegun, Put
+from lilacdyke.changes.writer import ChangePut, EpochBegun
 from lilacdyke.trial import soak
 
 SECONDS, NODES = 8.0, 3
@@ -36,9 +36,9 @@
     def judged(self, kept, told):
         with tempfile.TemporaryDirectory() as folder:
             store = Store(folder)
-            store.keep(EpochBegun(1))
+            store.append_record(EpochBegun(1))
             for value in kept:
-                store.keep(Put(Change(value, 'config', [Item('limit', str(value))], value)))
+                store.append_record(ChangePut(Change(value, 'config', [Item('limit', str(value))], value)))
             store.close()
             writing = SimpleNamespace(
                 told=os.path.join(folder, 'told.jsonl'), path=os.path.join(folder, 'changes.toml')
