--- a/lilacdyke/__main__.py
+++ b/lilacdyke/__main__.py
@@ -195,7 +195,7 @@
 main.add_command(
     LazyGroup('lab', '.lab.cli', 'Run fleets of nodes against stand-ins, in simulated time or on loopback.')
 )
-main.add_command(LazyGroup('fleet', '.plan.staff', 'Query the planners of a fleet.'))
+main.add_command(LazyGroup('fleet', '.plan.status_cli', 'Query the planners of a fleet.'))
 main.add_command(LazyGroup('site', '.plan.site_cli', 'Plan for the loss of a whole site.'))
 main.add_command(LazyGroup('task', '.plan.tasks', 'Run tasks that one process does for the whole fleet.'))
 main.add_command(
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -13,10 +13,10 @@
     def __init__(self, about, pick=None, copies=True):
         self.about, self.pick, self.copies = about, pick, copies
 
-    def apply(self, ground):
+    def apply(self, environment):
         """Put it in place for the run."""
         if self.pick is not None:
-            ground.put(Router, 'choose_cache', self.pick)
+            environment.put(Router, 'choose_cache', self.pick)
         if not self.copies:
             usual = Router.take
 
@@ -25,7 +25,7 @@
                 tx.hedgeable = False
                 return tx
 
-            ground.put(Router, 'take', take)
+            environment.put(Router, 'take', take)
 
 
 def able(router, now, tx):
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -5,8 +5,8 @@
 """
 
 from ..known import NO_FLEET_BOUNDS
-from ..plan import belief, verdicts
-from ..plan.belief import ActiveVerdicts, Seen
+from ..plan import active_verdicts, verdicts
+from ..plan.active_verdicts import ActiveVerdicts, Seen
 from ..plan.fleet import FleetMember
 from ..plan.forwarder import Forwarder
 from ..plan.ledger import ForwarderLedger, PlannerLedger
@@ -172,8 +172,8 @@
 
 
 def harm_unbounded(put, uniform):
-    put(belief, 'MAX_RESTRAINED_SHARE', 1.0)
-    put(belief, 'MAX_RESTRAINED_SITE_SHARE', 1.0)
+    put(active_verdicts, 'MAX_RESTRAINED_SHARE', 1.0)
+    put(active_verdicts, 'MAX_RESTRAINED_SITE_SHARE', 1.0)
 
 
 def own_eyes_ignored(put, uniform):
--- a/lilacdyke/lab/broken_nodes.py
+++ b/lilacdyke/lab/broken_nodes.py
@@ -13,7 +13,7 @@
 from ..net.discovery import Discovery, started
 from ..net.node import Node
 from ..net.phases import Phases
-from ..net.starts import StartTimes
+from ..net.start_times import StartTimes
 from ..net.tables import Deadlines, SlotTable
 from ..values import SECOND
 from .reactor import SimReactor
--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -12,7 +12,7 @@
 import attrs
 from msgspec.structs import replace
 
-from . import draw, ground, runs
+from . import draw, environment, runs
 from .callfaults import ERRNOS, SOCKET_CALLS, CallFault, CallFaults
 from .judges import GUARDED, judge
 from .scenario import Caches, Clients, Event, Kind, Limits, Load, Origin, Rules, Scenario, check
@@ -146,7 +146,7 @@
 def play(point):
     """Play the scenario with a point's fault; the breaches that nothing excuses, as text."""
     made, seen = scenario(), {}
-    stage = ground.play(made, SEED, bent(point, seen))
+    stage = environment.play(made, SEED, bent(point, seen))
     found = judge(made, stage.recorder.rows)
     return [repr(broken) for broken in found if not excused(point, seen.get('rule'), broken)]
 
@@ -154,7 +154,7 @@
 def counted():
     """How many calls of each kind, and readings of the wall clock, a run without faults makes."""
     seen = {}
-    ground.play(scenario(), SEED, bent(None, seen))
+    environment.play(scenario(), SEED, bent(None, seen))
     found = {call: seen['calls'][call] for call in PLAYED if seen['calls'][call]}
     return {**found, WALL: seen['machine'].wall_readings}
 
--- a/lilacdyke/lab/cli.py
+++ b/lilacdyke/lab/cli.py
@@ -130,7 +130,7 @@
 @click.option('--ground', type=click.Choice(['simulated', 'loopback']), default='simulated')
 def run(name, seed, record, as_json, baseline, ground):
     """Run one scenario, check it and print its figures."""
-    from . import runs, witness
+    from . import recorder, runs
 
     chosen = load_scenario(name)
     patch = None
@@ -155,7 +155,7 @@
     if record:
         from .scenario import plain
 
-        witness.save(
+        recorder.save(
             record, {'scenario': plain(chosen), 'seed': outcome.seed, 'ground': ground}, outcome.rows
         )
     if as_json:
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/environment.py
@@ -68,24 +68,24 @@
 class NodeProcess:
     """Simulated node process."""
 
-    def __init__(self, ground, place, config):
-        self.ground, self.place, self.leaving = ground, place, False
-        self.path = os.path.join(ground.folder, place.name + '.json')
-        limits = ground.scenario.limits
-        self.process = Process(ground.network, place.name, place.address[0], limits.sockets)
+    def __init__(self, environment, place, config):
+        self.environment, self.place, self.leaving = environment, place, False
+        self.path = os.path.join(environment.folder, place.name + '.json')
+        limits = environment.scenario.limits
+        self.process = Process(environment.network, place.name, place.address[0], limits.sockets)
         self.reactor = SimReactor(
-            ground.world, self.process, self.ended, (limits.turn_us, limits.event_us), ground.error
+            environment.world, self.process, self.ended, (limits.turn_us, limits.event_us), environment.error
         )
         self.system = SimulatedSystem(self.reactor, self.process)
         self.write(config)
-        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
+        before, environment.world.current_reactor = environment.world.current_reactor, self.reactor
         self.node = Node(read_config(self.path), self.reactor, self.system)
-        if ground.stage.planner_slots:
+        if environment.stage.planner_slots:
             self.node.fleet = FleetMember(
-                self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
+                self.node, fleets.check(msgspec.convert(environment.stage.fleet_file(), fleets.Fleet))
             )
         self.node.start()
-        ground.world.current_reactor = before
+        environment.world.current_reactor = before
 
     def write(self, config):
         with open(self.path, 'w', encoding='utf-8') as file:
@@ -99,11 +99,11 @@
         self.reactor.callFromThread(self.node.reload, self.path)
 
     def kill(self):
-        self.ground.stage.record_event('counters', self.place.name, self.counts())
+        self.environment.stage.record_event('counters', self.place.name, self.counts())
         self.reactor.kill()
 
     def freeze(self, span):
-        self.reactor.freeze(self.ground.world.now + span)
+        self.reactor.freeze(self.environment.world.now + span)
 
     def counts(self):
         """Return the node's counters and the resources that it still holds."""
@@ -124,31 +124,31 @@
 
     def ended(self):
         """Record that the process has exited by itself."""
-        self.ground.stage.exited(self.place, self.counts())
+        self.environment.stage.exited(self.place, self.counts())
 
 
 class SimulatedPlanner:
     """Simulated planner process."""
 
-    def __init__(self, ground, planner_slot):
-        self.ground = ground
-        self.process = Process(ground.network, planner_slot.name, planner_slot.address[0])
+    def __init__(self, environment, planner_slot):
+        self.environment = environment
+        self.process = Process(environment.network, planner_slot.name, planner_slot.address[0])
         self.reactor = SimReactor(
-            ground.world,
+            environment.world,
             self.process,
-            cost=(ground.scenario.limits.turn_us, ground.scenario.limits.event_us),
-            on_error=ground.error,
+            cost=(environment.scenario.limits.turn_us, environment.scenario.limits.event_us),
+            on_error=environment.error,
         )
-        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
-        life = '%s-%d' % (planner_slot.name, ground.stage.number())
+        before, environment.world.current_reactor = environment.world.current_reactor, self.reactor
+        life = '%s-%d' % (planner_slot.name, environment.stage.number())
         self.planner_process = planning.PlannerProcess(
             self.file(), planner_slot.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
         )
         self.planner_process.begin(*planner_slot.address)
-        ground.world.current_reactor = before
+        environment.world.current_reactor = before
 
     def file(self):
-        return fleets.check(msgspec.convert(self.ground.stage.fleet_file(), fleets.Fleet))
+        return fleets.check(msgspec.convert(self.environment.stage.fleet_file(), fleets.Fleet))
 
     def hup(self):
         self.reactor.callFromThread(self.planner_process.planner.reload, self.file())
@@ -157,24 +157,24 @@
         self.reactor.kill()
 
     def freeze(self, span):
-        self.reactor.freeze(self.ground.world.now + span)
+        self.reactor.freeze(self.environment.world.now + span)
 
 
 class ErrorHandler(logging.Handler):
     """Records errors that nodes log."""
 
-    def __init__(self, ground):
+    def __init__(self, environment):
         super().__init__(logging.ERROR)
-        self.ground = ground
+        self.environment = environment
 
     def emit(self, record):
         text = record.getMessage()
         if record.exc_info and record.exc_info[1] is not None:
             text += ': %s: %s' % (type(record.exc_info[1]).__name__, record.exc_info[1])
-        self.ground.error(text)
+        self.environment.error(text)
 
 
-class Ground:
+class Environment:
     """Simulated environment of one run."""
 
     simulated, epoch_ms, installation = True, EPOCH_MS, 'lab'
@@ -271,30 +271,30 @@
 def play(scenario, seed, patch=None, progress=None):
     """Run a scenario in the simulated environment and return its Stage with all recorded rows.
 
-    patch: called with the Ground before anything is built.
+    patch: called with the Environment before anything is built.
     progress: called with the completed fraction of the run.
     """
     if not _ACTIVE:
         globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
-    log, ground = logging.getLogger('lilacdyke'), Ground(scenario, seed)
-    handler, level, propagates = ErrorHandler(ground), log.level, log.propagate
+    log, environment = logging.getLogger('lilacdyke'), Environment(scenario, seed)
+    handler, level, propagates = ErrorHandler(environment), log.level, log.propagate
     log.addHandler(handler)
     log.propagate = False
     log.setLevel(logging.ERROR)
-    _ACTIVE.append(ground)
+    _ACTIVE.append(environment)
     try:
-        with tempfile.TemporaryDirectory() as ground.folder:
+        with tempfile.TemporaryDirectory() as environment.folder:
             if scenario.planning.span_s:
-                eyes.open_up(ground.put, ground.record)
+                eyes.open_up(environment.put, environment.record)
             if patch is not None:
-                patch(ground)
-            ground.stage = stage = Stage(scenario, seed, ground)
+                patch(environment)
+            environment.stage = stage = Stage(scenario, seed, environment)
             stop, leave, end = stage.end_times
-            ground.later(stop, stage.stop_clients)
-            ground.later(leave, stage.finish)
+            environment.later(stop, stage.stop_clients)
+            environment.later(leave, stage.finish)
             stage.begin()
             for step in range(1, 51):
-                ground.world.run(end * step // 50)
+                environment.world.run(end * step // 50)
                 if progress is not None:
                     progress(step / 50)
             for place in stage.places:
@@ -302,7 +302,7 @@
                     stage.record_event('node', place.name, 'hangs')
                     stage.record_event('counters', place.name, place.running.counts())
     finally:
-        for owner, name, value in reversed(ground.patched):
+        for owner, name, value in reversed(environment.patched):
             setattr(owner, name, value)
         _ACTIVE.pop()
         log.removeHandler(handler)
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -1,7 +1,7 @@
 """Troubles: what each kind of event does to the parts of a run, and how it is taken back.
 
-Owns the timeline. Those that need the network or a machine's clock exist only on simulated ground; elsewhere
-they are left out and said so. Must never know how nodes are built, nor tell them anything.
+Owns the timeline. Those that need the network or a machine's clock exist only in the simulated environment;
+elsewhere they are left out and said so. Must never know how nodes are built, nor tell them anything.
 """
 
 import errno
@@ -89,8 +89,8 @@
             self.stage.later(int(event.at_s * 1e6), self.play, index, event)
 
     def plays(self, kind):
-        """Whether this ground has such a trouble."""
-        return self.stage.ground.simulated and kind not in RELAYS or kind not in NETWORK + RELAYS
+        """Whether this environment has such a trouble."""
+        return self.stage.environment.simulated and kind not in RELAYS or kind not in NETWORK + RELAYS
 
     def targets(self, event, rng):
         """The numbers it meets: those named, or drawn from those there are."""
@@ -317,7 +317,7 @@
 
     @property
     def network(self):
-        return self.stage.ground.network
+        return self.stage.environment.network
 
     def do_cut(self, index, event, what, span, rng):
         """Sites are cut off from the others, without a word; each is whole within."""
@@ -350,7 +350,7 @@
 
     def do_delay(self, index, event, what, span, rng):
         """Bytes to and from them travel longer: size in milliseconds."""
-        slower = self.stage.ground.slower
+        slower = self.stage.environment.slower
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
             slower[host] = int(event.size * 1_000)
@@ -494,8 +494,8 @@
     def do_late_planner(self, index, event, what, span, rng):
         """Bytes to and from them travel longer, in order: size in seconds."""
         hosts = [planner_slot.address[0] for planner_slot in self.planners(what)]
-        self.stage.ground.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
-        self.stage.later(span, lambda: [self.stage.ground.slower.pop(host, None) for host in hosts])
+        self.stage.environment.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
+        self.stage.later(span, lambda: [self.stage.environment.slower.pop(host, None) for host in hosts])
 
     def do_planner_clock(self, index, event, what, span, rng):
         """Its clock is up to a part in twenty fast or slow."""
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -15,7 +15,7 @@
 from ..changes import store
 from ..changes.replica import Replica
 from ..changes.writer import ChangePut, NotStoredError, Writer
-from ..plan.book import VoterFile
+from ..plan.voter_file import VoterFile
 from ..values import InvalidValueError
 from . import bentfiles
 from .callfaults import ERRNOS, FILE_CALLS, CallFault, CallFaults
@@ -157,13 +157,13 @@
 
     def run(self):
         """What happens under faults."""
-        book = VoterFile(self.folder, 'p0')
+        voter_file = VoterFile(self.folder, 'p0')
         with contextlib.suppress(InvalidValueError):
-            book.read()
+            voter_file.read()
             for bound in (1_001, 2_001, 3_001):
                 self.most = bound
                 with contextlib.suppress(OSError):
-                    book.write(bound, ['p0'], 1)
+                    voter_file.write(bound, ['p0'], 1)
                     self.told = bound
 
     def broken(self):
--- a/lilacdyke/lab/loopback.py
+++ b/lilacdyke/lab/loopback.py
@@ -23,9 +23,9 @@
 from ..net.system import System
 from . import stage as staging
 from .judges import judge
+from .recorder import digest
 from .runs import Outcome
 from .service import figures
-from .witness import digest
 
 SLACK_MS = 400.0  # minimum tolerance of the rules for scheduling delays of a real machine
 MAX_ROWS, TRIMMED_ROWS = 60_000, 20_000  # for `up`: limit of rows, and how many are dropped at a time
@@ -44,20 +44,20 @@
 
     def freeze(self, span):
         self.signal(signal.SIGSTOP)
-        self.ground.later(span, self.signal, signal.SIGCONT)
+        self.environment.later(span, self.signal, signal.SIGCONT)
 
 
 class NodeProcess(ChildProcess):
     """Real node process."""
 
-    def __init__(self, ground, place, page):
-        self.ground, self.place, self.leaving, self.process = ground, place, False, None
-        self.path = os.path.join(ground.folder, place.name + '.json')
-        self.log = os.path.join(ground.folder, '%s-%d.log' % (place.name, ground.stage.number()))
+    def __init__(self, environment, place, page):
+        self.environment, self.place, self.leaving, self.process = environment, place, False, None
+        self.path = os.path.join(environment.folder, place.name + '.json')
+        self.log = os.path.join(environment.folder, '%s-%d.log' % (place.name, environment.stage.number()))
         self.write(page)
         with open(self.log, 'wb') as log:
             self.popen = subprocess.Popen(
-                [*ground.program(place.name), 'serve', '--config', self.path, *self.fleet_arguments()],
+                [*environment.program(place.name), 'serve', '--config', self.path, *self.fleet_arguments()],
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
@@ -71,13 +71,13 @@
 
     def fleet_arguments(self):
         """Write the fleet file and return the arguments that name it; none without planners."""
-        if not self.ground.stage.planner_slots:
+        if not self.environment.stage.planner_slots:
             return []
         path = self.path[:-5] + '-fleet.toml'
         write_fleet(
             path,
-            self.ground.stage.fleet_file(
-                lambda planner_slot: self.ground.planner_for(self.place, planner_slot)
+            self.environment.stage.fleet_file(
+                lambda planner_slot: self.environment.planner_for(self.place, planner_slot)
             ),
         )
         return ['--fleet', path]
@@ -85,9 +85,9 @@
     def poll_exit(self):
         """Poll for the end of the process."""
         if self.popen.poll() is None:
-            self.ground.later(100_000, self.poll_exit)
+            self.environment.later(100_000, self.poll_exit)
         elif self.place.running is self:
-            self.ground.stage.exited(self.place, self.counts())
+            self.environment.stage.exited(self.place, self.counts())
 
     def counts(self):
         """Return the counters of the process's last log line, or None; record the errors it logged."""
@@ -100,7 +100,7 @@
                     else {}
                 )
                 if words.get('level') in ('error', 'critical'):
-                    self.ground.stage.record_event('error', self.place.name, line.strip()[:300])
+                    self.environment.stage.record_event('error', self.place.name, line.strip()[:300])
                 if words.get('event') == 'stopped':
                     counters = {name: int(value) for name, value in words.items() if value.isdigit()}
         if not counters:
@@ -118,16 +118,17 @@
 class Planning(ChildProcess):
     """Real planner process."""
 
-    def __init__(self, ground, planner_slot):
-        self.ground, self.planner_slot = ground, planner_slot
-        self.path = os.path.join(ground.folder, planner_slot.name + '.toml')
+    def __init__(self, environment, planner_slot):
+        self.environment, self.planner_slot = environment, planner_slot
+        self.path = os.path.join(environment.folder, planner_slot.name + '.toml')
         self.write()
         with open(
-            os.path.join(ground.folder, '%s-%d.log' % (planner_slot.name, ground.stage.number())), 'wb'
+            os.path.join(environment.folder, '%s-%d.log' % (planner_slot.name, environment.stage.number())),
+            'wb',
         ) as log:
             self.popen = subprocess.Popen(
                 [
-                    *ground.program(planner_slot.name),
+                    *environment.program(planner_slot.name),
                     'plan',
                     '--file',
                     self.path,
@@ -141,7 +142,7 @@
 
     def write(self):
         """Write its fleet file."""
-        write_fleet(self.path, self.ground.stage.fleet_file(self.ground.planner_at))
+        write_fleet(self.path, self.environment.stage.fleet_file(self.environment.planner_at))
 
     def hup(self):
         self.write()
@@ -168,7 +169,7 @@
             port.stopListening()
 
 
-class Ground:
+class Environment:
     """Real environment of one run."""
 
     simulated = False
@@ -267,24 +268,24 @@
     """
     from twisted.logger import globalLogBeginner
 
-    from .ground import on_log_event
+    from .environment import on_log_event
 
     globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
     reactor = Reactor()
-    ground = (build or Ground)(scenario, seed, reactor)
-    with tempfile.TemporaryDirectory() as ground.folder:
-        ground.stage = stage = staging.Stage(scenario, seed, ground)
+    environment = (build or Environment)(scenario, seed, reactor)
+    with tempfile.TemporaryDirectory() as environment.folder:
+        environment.stage = stage = staging.Stage(scenario, seed, environment)
         stage.serve_unknown = serve_unknown
-        watching = around and around(ground.folder)
+        watching = around and around(environment.folder)
         stop, leave, end = stage.end_times
         if seconds is not None:
             extra = int(seconds * 1e6) + staging.SETTLE_US - stop
             stop, leave, end = stop + extra, leave + extra, end + extra
-        ground.later(stop, stage.stop_clients)
-        ground.later(leave, stage.finish)
-        ground.later(end, reactor.stop)
+        environment.later(stop, stage.stop_clients)
+        environment.later(leave, stage.finish)
+        environment.later(end, reactor.stop)
         if watch is not None:
-            ground.later(1_000_000, each_second, ground, watch)
+            environment.later(1_000_000, each_second, environment, watch)
         stage.begin()
         try:
             reactor.run()
@@ -293,16 +294,16 @@
                 if part.running is not None:
                     part.running.kill()
             if watching:
-                ground.still = watching.longest()
-        if histories := ground.histories():
+                environment.still = watching.longest()
+        if histories := environment.histories():
             stage.recorder.rows = sorted([*stage.recorder.rows, *histories], key=lambda row: row[1])
     return stage
 
 
-def each_second(ground, watch):
+def each_second(environment, watch):
     """Call `watch` now and once a second."""
-    watch(ground.stage)
-    ground.later(1_000_000, each_second, ground, watch)
+    watch(environment.stage)
+    environment.later(1_000_000, each_second, environment, watch)
 
 
 def one(scenario, seed=None, rows=False):
@@ -383,7 +384,7 @@
         for column in ('node', 'address', 'requests/s'):
             top.add_column(column, justify='left' if column != 'requests/s' else 'right')
         for place in stage.places:
-            address = '%s:%d' % (place.address[0], stage.ground.port(place.address[1]))
+            address = '%s:%d' % (place.address[0], stage.environment.port(place.address[1]))
             top.add_row(place.name, address if place.running else 'down', str(nodes[place.name]))
         below = RichTable(box=None)
         for column in ('server', 'kind', 'hops/s', 'running', 'waiting', 'cached', 'capacity'):
@@ -432,7 +433,7 @@
                 address = stage.places[0].address
                 live.console.print(
                     'try: curl -i http://%s:%d/%s/k1 -H "Req-Id: mine1"'
-                    % (address[0], stage.ground.port(address[1]), profile)
+                    % (address[0], stage.environment.port(address[1]), profile)
                 )
             table.update(stage)
 
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -11,7 +11,7 @@
 
 import click
 
-from . import ground
+from . import environment
 from .judges import COLD_CHANCE, Case, cold_spells, judge, windows
 from .scenario import (
     Bound,
@@ -54,7 +54,7 @@
 
 def played(given, seed):
     """Play and judge: (rows, stage, what was broken)."""
-    stage = ground.play(given, seed)
+    stage = environment.play(given, seed)
     return stage.recorder.rows, stage, judge(given, stage.recorder.rows)
 
 
--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -27,10 +27,10 @@
         made = self.drawn(seed, self.kinds, self.most)
         return check(self.fit(made)) if self.fit else made
 
-    def apply(self, ground):
+    def apply(self, environment):
         """Break the nodes of a run."""
-        uniform = ground.random_source('mutant').random
-        self.build(ground.put, uniform)
+        uniform = environment.random_source('mutant').random
+        self.build(environment.put, uniform)
 
 
 MUTANTS = {
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -105,7 +105,7 @@
         started = server['started']
         return {
             'instanceId': server['name'],
-            'hostPort': self.stage.ground.seen_as(self.number, server['address']),
+            'hostPort': self.stage.environment.seen_as(self.number, server['address']),
             'zone': server['zone'],
             'machineType': server['kind'],
             'cell': server['cell'],
--- a/lilacdyke/lab/parts/servers.py
+++ b/lilacdyke/lab/parts/servers.py
@@ -30,7 +30,7 @@
         super().connectionMade()
         server = self.server
         server.connections[self] = None
-        self.node = server.stage.ground.node_of(self.transport)
+        self.node = server.stage.environment.node_of(self.transport)
         server.stage.record_event('link', server.name, self.node)
         if server.stage.limit_values:
             server.stage.record_event('seats', server.name, len(server.connections))
--- a/lilacdyke/lab/report.py
+++ b/lilacdyke/lab/report.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from . import witness
+from . import recorder
 from .judges import judge
 from .scenario import Scenario
 from .service import figures
@@ -40,7 +40,7 @@
     """One record, read."""
 
     def __init__(self, path):
-        head, rows = witness.load(path)
+        head, rows = recorder.load(path)
         scenario = msgspec.convert(head['scenario'], Scenario, strict=False)
         if not rows:
             raise ValueError('%s: a record without rows' % path)
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -12,11 +12,11 @@
 import time
 from concurrent.futures import ProcessPoolExecutor, as_completed
 
-from . import ground
+from . import environment
 from . import scenario as scenarios
 from .judges import judge
+from .recorder import digest
 from .service import figures
-from .witness import digest
 
 
 class Outcome:
@@ -39,7 +39,7 @@
     begun = time.perf_counter()
     gc.disable()  # a run makes few cycles, and many objects that stay until its end
     try:
-        stage = ground.play(scenario, seed, patch, progress)
+        stage = environment.play(scenario, seed, patch, progress)
     finally:
         gc.enable()
     seen = stage.recorder.rows
@@ -52,7 +52,7 @@
         hash=digest(seen) if hashed else '',
         wall=wall,
         rows=seen if rows else None,
-        events=stage.ground.world.done,
+        events=stage.environment.world.done,
     )
 
 
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -1,6 +1,6 @@
 """One run of a scenario: its nodes, servers, clients, discovery agents and planners.
 
-Assigns names, addresses and zones, and starts and ends the run. The environment (ground.py simulated,
+Assigns names, addresses and zones, and starts and ends the run. The environment (environment.py simulated,
 loopback.py real) provides the clock, timers, ports, connections and processes. Makes no decision for a node.
 """
 
@@ -12,8 +12,8 @@
 from .parts.model import Fleet, Model
 from .parts.servers import CacheServer
 from .parts.staff import Operators
+from .recorder import Recorder
 from .scenario import Kind
-from .witness import Recorder
 
 NODE_PORT, AGENT_PORT, OPERATOR_PORT, PLANNER_PORT = 8000, 8500, 8100, 8200
 EPOCH_MS = 1_700_000_000_000  # Unix time at which simulated runs begin
@@ -45,15 +45,19 @@
 
 
 class Stage:
-    """All parts of one run. ground: ground.Ground or loopback.Ground."""
+    """All parts of one run. environment: environment.Environment or loopback.Environment."""
 
     log1p = staticmethod(log1p)
 
-    def __init__(self, scenario, seed, ground):
-        self.scenario, self.seed, self.ground = scenario, seed, ground
-        self.clock, self.later, self.drop = ground.clock, ground.later, ground.drop
-        self.listen, self.connect, self.random_source = ground.listen, ground.connect, ground.random_source
-        self.recorder = Recorder(ground.clock)
+    def __init__(self, scenario, seed, environment):
+        self.scenario, self.seed, self.environment = scenario, seed, environment
+        self.clock, self.later, self.drop = environment.clock, environment.later, environment.drop
+        self.listen, self.connect, self.random_source = (
+            environment.listen,
+            environment.connect,
+            environment.random_source,
+        )
+        self.recorder = Recorder(environment.clock)
         self.record_event = self.recorder.record_event
         self.profiles = {profile.name: profile for profile in scenario.profiles}
         self.work_of, self.body_digests, self.last_number = {}, {}, 0
@@ -65,7 +69,7 @@
         self.zones = [chr(97 + zone % 26) + str(zone // 26 or '') for zone in range(scenario.zones)]
         self.build()
         self.load_generator, self.staff = LoadGenerator(self), Operators(self)
-        self.faults = getattr(ground, 'faults', Faults)(self)
+        self.faults = getattr(environment, 'faults', Faults)(self)
 
     def number(self):
         self.last_number += 1
@@ -73,7 +77,7 @@
 
     def unix_ms(self, when):
         """Convert a time of the run to Unix milliseconds."""
-        return self.ground.epoch_ms + when // 1_000
+        return self.environment.epoch_ms + when // 1_000
 
     # --- setup ------------------------------------------------------------------------------------------
 
@@ -140,7 +144,7 @@
         return {
             **verdicts,
             'enabled': True,
-            'installation': self.ground.installation,
+            'installation': self.environment.installation,
             'edition': self.edition,
             'seats': planning.seats or self.scenario.nodes,
             'lease_s': planning.lease_s,
@@ -157,7 +161,7 @@
     def start_planner(self, planner_slot):
         if planner_slot.running is None and not self.closing:
             self.record_event('planner', planner_slot.name, 'up')
-            planner_slot.running = self.ground.start_planner(planner_slot)
+            planner_slot.running = self.environment.start_planner(planner_slot)
 
     def kill_planner(self, planner_slot):
         running, planner_slot.running = planner_slot.running, None
@@ -251,11 +255,12 @@
         scenario, rules = self.scenario, self.scenario.rules
         agent = self.agents[place.number]
         return {
-            'installation': self.ground.installation,
+            'installation': self.environment.installation,
             'name': place.name,
-            'listen': '%s:%d' % (place.address[0], self.ground.port(place.address[1])),
-            'operator': '%s:%d' % (place.operator_address[0], self.ground.port(place.operator_address[1])),
-            'discovery': '%s:%d' % (agent.address[0], self.ground.port(agent.address[1])),
+            'listen': '%s:%d' % (place.address[0], self.environment.port(place.address[1])),
+            'operator': '%s:%d'
+            % (place.operator_address[0], self.environment.port(place.operator_address[1])),
+            'discovery': '%s:%d' % (agent.address[0], self.environment.port(agent.address[1])),
             'seed': '%016x' % self.random_source('seed %s %d' % (place.name, self.number())).getrandbits(64),
             'limits': {
                 'cores': 1.0,
@@ -348,7 +353,7 @@
         if place.running is not None or self.closing:
             return
         self.record_event('node', place.name, 'up')
-        place.running = self.ground.start_node(place, self.page(place))
+        place.running = self.environment.start_node(place, self.page(place))
         self.later(300_000, self.open_node, place, place.running)
 
     def open_node(self, place, running):
--- a/lilacdyke/net/node.py
+++ b/lilacdyke/net/node.py
@@ -24,7 +24,7 @@
 from .local_errors import errno_name
 from .logs import LOG, log_event, log_warning
 from .sockets import Reactor, time_unread
-from .starts import StartTimes
+from .start_times import StartTimes
 from .system import System
 from .tables import Deadlines, SlotTable
 
--- a/lilacdyke/net/system.py
+++ b/lilacdyke/net/system.py
@@ -1,6 +1,6 @@
 """The operating system as a node uses it, apart from connections: clocks, limits and machine-wide names.
 
-lilacdyke/lab/ground.py implements the same interface for simulated machines. Connections need no such
+lilacdyke/lab/environment.py implements the same interface for simulated machines. Connections need no such
 interface: sockets.py makes its calls on a transport's socket, and the simulator provides sockets too.
 """
 
--- a/lilacdyke/plan/frames.py
+++ b/lilacdyke/plan/frames.py
@@ -9,7 +9,7 @@
 import msgpack
 
 from ..framing import LENGTH, FrameReader
-from .belief import BINS, KINDS
+from .active_verdicts import BINS, KINDS
 from .leases import VERBS
 
 MAJOR, MINOR = 1, 2
@@ -116,7 +116,7 @@
     optional(whole_number),
     optional(whole_number),
     whole_number,
-)  # server, start time; belief.FIELDS; histogram of times; ages; run
+)  # server, start time; active_verdicts.FIELDS; histogram of times; ages; run
 VERDICT_ROWS = rows(
     name,
     whole_number,
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -17,13 +17,13 @@
 from ..net.system import System
 from ..net.tables import Deadlines
 from ..values import SECOND, InvalidValueError
-from . import book
-from .book import VoterFileUnreadableError
+from . import voter_file
 from .lease import Lease
 from .leases import Voter
 from .limits import FORWARDERS_PER_SEAT, address, read
 from .link import PlannerFactory
 from .planner import Planner
+from .voter_file import VoterFileUnreadableError
 
 COUNTS_INTERVAL = 10 * SECOND  # between two log lines of counts
 STORE_RETRY = SECOND // 2  # delay before a voter's file that could not be read is read again
@@ -49,7 +49,7 @@
             self.fleet_status,
             self.vote,
         )
-        self.voter, self.book = None, None
+        self.voter, self.voter_file = None, None
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         if fleet.tasks is not None and self.name in fleet.voters:
             self.start_voter()
@@ -131,16 +131,16 @@
     def start_voter(self, _=0):
         """Start voting from the stored state of an earlier process. Do not vote, and log a warning, if that
         is missing or if more than one voter has changed since. Retry after a transient disk error."""
-        self.book = book.VoterFile(self.fleet.tasks.folder, self.name)
+        self.voter_file = voter_file.VoterFile(self.fleet.tasks.folder, self.name)
         try:
-            self.book.read()
-            if not book.step(self.book.voters, self.fleet.voters):
+            self.voter_file.read()
+            if not voter_file.step(self.voter_file.voters, self.fleet.voters):
                 raise InvalidValueError(
-                    'voters: more than one has changed; they were %s' % ', '.join(self.book.voters)
+                    'voters: more than one has changed; they were %s' % ', '.join(self.voter_file.voters)
                 )
-            previous_lease, lease = self.book.lease, self.fleet.task_lease
-            if (self.book.voters, previous_lease) != (self.fleet.voters, lease):
-                self.book.write(self.book.bound, self.fleet.voters, max(lease, previous_lease))
+            previous_lease, lease = self.voter_file.lease, self.fleet.task_lease
+            if (self.voter_file.voters, previous_lease) != (self.fleet.voters, lease):
+                self.voter_file.write(self.voter_file.bound, self.fleet.voters, max(lease, previous_lease))
         except (VoterFileUnreadableError, OSError) as err:
             log_warning('does not vote yet', reason=err)
             self.deadlines.at(self.clock() + STORE_RETRY, self.start_voter, 0)
@@ -149,13 +149,13 @@
             log_warning('does not vote', reason=err)
             return
         self.voter = Voter(
-            self.clock(), self.life, lease, self.persist_bound, self.book.bound, previous_lease
+            self.clock(), self.life, lease, self.persist_bound, self.voter_file.bound, previous_lease
         )
 
     def persist_bound(self, bound):
         """Store an upper bound on lease numbers. Return whether it was stored."""
         try:
-            self.book.write(bound, self.book.voters, self.fleet.task_lease)
+            self.voter_file.write(bound, self.voter_file.voters, self.fleet.task_lease)
         except OSError as err:
             log_warning('number not kept', reason=err)
             return False
--- a/lilacdyke/plan/site_cli.py
+++ b/lilacdyke/plan/site_cli.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from . import sites
-from .staff import exit_invalid, fleet_file
+from .status_cli import exit_invalid, fleet_file
 
 
 @click.group()
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/status_cli.py
@@ -12,7 +12,7 @@
 
 from ..values import SECOND, InvalidValueError
 from . import limits
-from .belief import RECOVERED_SHARE, REMAINING_SHARE, SLOW, WELL
+from .active_verdicts import RECOVERED_SHARE, REMAINING_SHARE, SLOW, WELL
 from .frames import ASK, STATUS, BadFrameError, Frames, pack
 
 TIMEOUT = 2.0  # seconds to wait for the answer of a planner
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -23,10 +23,10 @@
 from ..net.system import System
 from ..net.tables import Deadlines
 from ..values import SECOND, to_ticks_floor
-from .book import VoterFile
 from .lease import Lease
 from .sites import Name
-from .staff import exit_invalid, fleet_file, query_planner
+from .status_cli import exit_invalid, fleet_file, query_planner
+from .voter_file import VoterFile
 
 LEASE_LOST_TERM, LEASE_LOST_KILL, NOT_ACQUIRED = 70, 71, 75
 TERM_PARTS, KILL_PARTS = 4, 12  # SIGTERM and SIGKILL are sent with 1 / PARTS of the lease left
@@ -202,12 +202,12 @@
 def voter(path, name, above):
     """Create the voter's number file, once, on the planner's host."""
     fleet = read(path)
-    book = VoterFile(fleet.tasks.folder, name)
-    if name not in fleet.voters or os.path.exists(book.path):
+    voter_file = VoterFile(fleet.tasks.folder, name)
+    if name not in fleet.voters or os.path.exists(voter_file.path):
         click.echo(
             'lilacdyke: %s'
             % (
-                '%s: exists already' % book.path
+                '%s: exists already' % voter_file.path
                 if name in fleet.voters
                 else '%s: tasks: no voter %s' % (path, name)
             ),
@@ -215,7 +215,7 @@
         )
         sys.exit(2)
     try:
-        book.write(above, fleet.voters, fleet.task_lease)
+        voter_file.write(above, fleet.voters, fleet.task_lease)
     except OSError as err:
-        click.echo('lilacdyke: %s: %s' % (book.path, err.strerror), err=True)
+        click.echo('lilacdyke: %s: %s' % (voter_file.path, err.strerror), err=True)
         sys.exit(2)
--- a/lilacdyke/plan/verdicts.py
+++ b/lilacdyke/plan/verdicts.py
@@ -10,7 +10,19 @@
 so a verdict ends no later than `span` after its newest evidence was seen.
 """
 
-from .belief import BIN_UNIT, BINS, FAILING, FIELDS, FULL, MAX_VERDICTS, SERVERS, SILENT, SLOW, WELL, Row
+from .active_verdicts import (
+    BIN_UNIT,
+    BINS,
+    FAILING,
+    FIELDS,
+    FULL,
+    MAX_VERDICTS,
+    SERVERS,
+    SILENT,
+    SLOW,
+    WELL,
+    Row,
+)
 from .ledger import max_elapsed
 
 MIN_HOPS = 4  # least number of hops for a verdict
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -7,7 +7,7 @@
 from ..known import NO_FLEET_BOUNDS
 from ..net.logs import log_event
 from ..values import SECOND
-from .belief import FAILING, SILENT, ActiveVerdicts, Seen
+from .active_verdicts import FAILING, SILENT, ActiveVerdicts, Seen
 
 MAX_UNANSWERED_REPORTS = 8  # reports to one planner that wait for a plan
 SLOW_GOAL_DIVISOR = 4  # answers are slow from 1/SLOW_GOAL_DIVISOR of the shortest goal on
@@ -33,7 +33,7 @@
         self.site = 'z%s' % node.config.terms.zone
         self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
         self.seen = Seen(self.clock(), span, self.slow_after)
-        self.belief = ActiveVerdicts(span, node.uniform, self.slow_after)
+        self.active_verdicts = ActiveVerdicts(span, node.uniform, self.slow_after)
         self.pending_reports = {name: {} for name in planners}  # by planner: reports by digest number
         self.acknowledged = {
             name: (None, {}) for name in planners
@@ -76,7 +76,7 @@
     def observe(self, now, server_id, outcome, lasted, quick):
         """Record one observation. quick: whether it was a fast success."""
         self.seen.ended(now, server_id, outcome, lasted)
-        self.belief.observe(now, server_id, quick)
+        self.active_verdicts.observe(now, server_id, quick)
 
     def report(self, now, planner, seq, life):
         """Return the evidence that has changed since the last report that this planner answered. life: the
@@ -108,7 +108,7 @@
         life, versions = self.pending_reports[planner].pop(plan['seq'], (None, {}))
         self.acknowledged[planner] = (plan['life'], versions if life == plan['life'] else {})
         if plan['verdicts']:
-            self.belief.apply_plan(asked, plan['verdicts'])
+            self.active_verdicts.apply_plan(asked, plan['verdicts'])
         if plan['verdicts'] or self.bounds_by_server:
             self.apply_verdicts(now)
 
@@ -117,7 +117,7 @@
         idents = {
             server: server_id for server in self.node.router.caches if (server_id := self.server_id(server))
         }
-        active_words = self.belief.bounds_by_server(
+        active_words = self.active_verdicts.bounds_by_server(
             now, {server_id: server.zone for server, server_id in idents.items()}
         )
         for server in self.node.router.servers_by_name.values():
--- a/lilacdyke/trial/__init__.py
+++ b/lilacdyke/trial/__init__.py
@@ -1,2 +1,2 @@
-"""The trial ground: real processes of the program with faults between and within them. Never loaded by a node
-or a planner."""
+"""The trial environment: real processes of the program with faults between and within them. Never loaded by a
+node or a planner."""
--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/environment.py
@@ -1,5 +1,5 @@
-"""The trial's ground: the lab's stand-ins on loopback, the program's own processes, and a relay on every link
-between them.
+"""The trial's environment: the lab's stand-ins on loopback, the program's own processes, and a relay on every
+link between them.
 
 Owns the relays, what each process is bent by, and the witness of the machine's own standstills. Must never
 leave a process behind: each asks the kernel to be killed with this one (launch.py).
@@ -51,25 +51,25 @@
     """A planner process that may die by itself, at a step; it is started again a moment later, with nothing
     and no such step."""
 
-    def __init__(self, ground, planner_slot):
-        super().__init__(ground, planner_slot)
+    def __init__(self, environment, planner_slot):
+        super().__init__(environment, planner_slot)
         self.look()
 
     def look(self):
         """Whether it has died."""
-        stage = self.ground.stage
+        stage = self.environment.stage
         if self.planner_slot.running not in (None, self) or stage.closing:
             return
         if self.popen.poll() is not None and self.planner_slot.running is self:
             stage.record_event('planner', self.planner_slot.name, 'died')
-            self.ground.bends.get(self.planner_slot.name, {}).pop('dies', None)
+            self.environment.bends.get(self.planner_slot.name, {}).pop('dies', None)
             self.planner_slot.running = None
-            self.ground.later(300_000, stage.start_planner, self.planner_slot)
+            self.environment.later(300_000, stage.start_planner, self.planner_slot)
         else:
-            self.ground.later(50_000, self.look)
+            self.environment.later(50_000, self.look)
 
 
-class Ground(loopback.Ground):
+class Environment(loopback.Environment):
     """Real processes with faults between them. bends: by a process's name, what launch.py does to it."""
 
     def __init__(self, scenario, seed, reactor, bends=None, mutant=None):
@@ -158,7 +158,7 @@
     made = []
 
     def build(*given):
-        made.append(Ground(*given, bends, mutant))
+        made.append(Environment(*given, bends, mutant))
         return made[0]
 
     stage = loopback.play(scenario, seed, build=build, around=Stillness)
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -34,7 +34,7 @@
         planner_slots = self.stage.planner_slots
         some = rng.sample(planner_slots, rng.randint(1, len(planner_slots))) if planner_slots else []
         return [
-            self.stage.ground.relays[self.stage.places[number].name, planner_slot.name]
+            self.stage.environment.relays[self.stage.places[number].name, planner_slot.name]
             for number in what
             for planner_slot in some
         ]
@@ -117,7 +117,7 @@
 
         self.for_a_while(
             [
-                self.stage.ground.relays[place.name, planner_slot.name]
+                self.stage.environment.relays[place.name, planner_slot.name]
                 for place in places
                 for planner_slot in self.planners(what)
             ],
@@ -132,7 +132,7 @@
 
         self.for_a_while(
             [
-                self.stage.ground.relays[place.name, planner_slot.name]
+                self.stage.environment.relays[place.name, planner_slot.name]
                 for place in self.stage.places
                 for planner_slot in self.planners(what)
             ],
@@ -151,7 +151,7 @@
         self.for_a_while(
             [
                 relay
-                for (name, other), relay in self.stage.ground.relays.items()
+                for (name, other), relay in self.stage.environment.relays.items()
                 if self.apart(name, other, zones)
             ],
             change,
@@ -173,7 +173,7 @@
         self.for_a_while(
             [
                 relay
-                for (name, other), relay in self.stage.ground.relays.items()
+                for (name, other), relay in self.stage.environment.relays.items()
                 if name in here and other in names
             ],
             lambda relay: [setattr(way, 'cut', True) for way in self.ways(relay, event.size)],
@@ -188,7 +188,9 @@
                 way.late = int(event.size * 1_000)
 
         self.for_a_while(
-            [relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span
+            [relay for (_, other), relay in self.stage.environment.relays.items() if other in names],
+            change,
+            span,
         )
 
     def do_starve(self, index, event, what, span, rng):
--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -1,6 +1,6 @@
 """How long a task is without a holder, by what happened; and what voters cost with many seekers.
 
-Owns scripted troubles on the ground of holders.py, and the table. Must never judge.
+Owns scripted troubles in the environment of holders.py, and the table. Must never judge.
 
     python -m lilacdyke.trial.gaps gaps [--times N]
     python -m lilacdyke.trial.gaps load [--seekers N] [--tasks N] [--seconds N] [--lease S]
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -24,9 +24,9 @@
 from ..lab.loopback import write_fleet
 from ..net.sockets import Reactor
 from ..net.system import System
-from ..plan.book import VoterFile
 from ..plan.leases import Seeker, Voter
-from .ground import STILL, Stillness
+from ..plan.voter_file import VoterFile
+from .environment import STILL, Stillness
 from .relay import DOWN, UP, Relay
 
 VOTERS, SEEKERS, LEASE, LENGTH = 3, 4, 0.4, 9.0
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -115,16 +115,20 @@
 
     noisy = False
 
-    def __init__(self, ground, name, here, there, bind=None):
-        self.ground, self.name, self.here, self.there, self.bind = ground, name, here, there, bind
-        self.clock, self.later, self.rng = ground.clock, ground.later, ground.random_source('relay ' + name)
+    def __init__(self, environment, name, here, there, bind=None):
+        self.environment, self.name, self.here, self.there, self.bind = environment, name, here, there, bind
+        self.clock, self.later, self.rng = (
+            environment.clock,
+            environment.later,
+            environment.random_source('relay ' + name),
+        )
         self.ways, self.ends, self.port = (Way(), Way()), {}, None
         self.old = None  # what an ended connection carried upwards first; told again to the next, if so asked
         self.tells_old = False
 
     def open(self):
         if self.port is None:
-            self.port = self.ground.reactor.listenTCP(self.here[1], self, 256, self.here[0])
+            self.port = self.environment.reactor.listenTCP(self.here[1], self, 256, self.here[0])
 
     def refuse(self):
         """Nobody listens; what is open stays."""
@@ -136,7 +140,9 @@
         asked = End(self, UP)
         asked.other = End(self, DOWN)
         asked.other.other = asked
-        self.ground.reactor.connectTCP(*self.there, Onward(asked.other), timeout=5, bindAddress=self.bind)
+        self.environment.reactor.connectTCP(
+            *self.there, Onward(asked.other), timeout=5, bindAddress=self.bind
+        )
         return asked
 
     def opened(self, end):
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -16,7 +16,7 @@
 from ..lab.loopback import real
 from ..lab.service import figures
 from . import draw
-from .ground import STILL, play
+from .environment import STILL, play
 
 TRIES = 3
 SLACK_MS = 150.0  # of judges' bounds in time, on a machine that does not stand still for longer
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -2,8 +2,8 @@
 judged from histories by the invariants.
 
 Owns what a seed draws, the boards of the processes' shims (shim.py), the writer's part, and the verdict.
-Nodes, planners and their links are the trial's (ground.py, faults.py). Must never judge by timing alone: what
-a machine under load makes late is given the slack of the lab's runs on loopback.
+Nodes, planners and their links are the trial's (environment.py, faults.py). Must never judge by timing alone:
+what a machine under load makes late is given the slack of the lab's runs on loopback.
 
     python -m lilacdyke.trial.soak '[SEED, SECONDS, NODES]'    # one run in this process: its verdict
 """
@@ -31,9 +31,9 @@
 from ..lab.scenario import Event, check
 from ..scale.fleet_run import free_ports
 from . import draw
+from .environment import Environment as TrialEnvironment
+from .environment import Stillness
 from .faults import Troubles
-from .ground import Ground as TrialGround
-from .ground import Stillness
 from .shim import Board
 
 # What the timeline is drawn from, with how often; those of the machine come beneath the libraries.
@@ -139,21 +139,21 @@
 
     def do_step(self, index, event, what, span, rng):
         for place in self.places(what):
-            self.stage.ground.machine(place.name).step(event.size)
+            self.stage.environment.machine(place.name).step(event.size)
 
     def do_calls(self, index, event, what, span, rng):
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         if call in NEEDED:
             span = min(span, NEEDED_MOST)
         for place in self.places(what):
-            self.stage.ground.machine(place.name).fail(span, {'call': call, 'errno': number})
+            self.stage.environment.machine(place.name).fail(span, {'call': call, 'errno': number})
 
 
 class Machine:
     """What a process's shim plays now: all faults that overlap, on one board."""
 
-    def __init__(self, ground, path):
-        self.ground, self.board = ground, Board(path)
+    def __init__(self, environment, path):
+        self.environment, self.board = environment, Board(path)
         self.wall_s, self.calls = 0.0, []
 
     def put(self):
@@ -168,15 +168,15 @@
         """These calls fail for so many microseconds."""
         self.calls += rules
         self.put()
-        self.ground.later(span, self.heal, rules)
+        self.environment.later(span, self.heal, rules)
 
     def heal(self, rules):
         self.calls = [rule for rule in self.calls if rule not in rules]
         self.put()
 
 
-class Ground(TrialGround):
-    """The trial's ground with a shim beneath each process."""
+class Environment(TrialEnvironment):
+    """The trial's environment with a shim beneath each process."""
 
     def __init__(self, scenario, seed, reactor, own, seconds):
         super().__init__(scenario, seed, reactor)
@@ -215,24 +215,24 @@
 class Writing:
     """The writer, its relays, and the process that puts changes and notes what it was told."""
 
-    def __init__(self, ground, seconds):
-        self.ground, self.processes = ground, {}
+    def __init__(self, environment, seconds):
+        self.environment, self.processes = environment, {}
         ports = free_ports(1 + RELAYS)
-        self.path = os.path.join(ground.folder, 'changes.toml')
+        self.path = os.path.join(environment.folder, 'changes.toml')
         relays = ''.join(RELAY % (number, ports[1 + number]) for number in range(RELAYS))
         with open(self.path, 'w', encoding='utf-8') as file:
-            file.write(CHANGES % (ports[0], ground.folder, relays))
+            file.write(CHANGES % (ports[0], environment.folder, relays))
         for name in ('w0', *('r%d' % number for number in range(RELAYS))):
             self.start(name)
-        self.told = os.path.join(ground.folder, 'told.jsonl')
+        self.told = os.path.join(environment.folder, 'told.jsonl')
         self.staff = subprocess.Popen(
             [sys.executable, '-m', 'lilacdyke.trial.putter', self.path, self.told, str(seconds)]
         )
 
     def start(self, name):
         command = ('change', 'run', '--file', self.path, '--name', name, '--log-level', 'error')
-        with open(os.path.join(self.ground.folder, name + '.log'), 'ab') as log:
-            self.processes[name] = subprocess.Popen([*self.ground.program(name), *command], stderr=log)
+        with open(os.path.join(self.environment.folder, name + '.log'), 'ab') as log:
+            self.processes[name] = subprocess.Popen([*self.environment.program(name), *command], stderr=log)
 
     def trouble(self, kind, span):
         """The writer is killed, and started anew later, or stands still."""
@@ -240,10 +240,10 @@
         if kind == 'kill_writer':
             writer.kill()
             writer.wait()
-            self.ground.later(span, self.start, 'w0')
+            self.environment.later(span, self.start, 'w0')
         else:
             writer.send_signal(signal.SIGSTOP)
-            self.ground.later(span, writer.send_signal, signal.SIGCONT)
+            self.environment.later(span, writer.send_signal, signal.SIGCONT)
 
     def end(self):
         """End all; (how many were told as kept, what is wrong with the writer's file or None)."""
@@ -279,7 +279,7 @@
     made = []
 
     def build(scenario, seed_, reactor):
-        made.append(Ground(scenario, seed_, reactor, own, seconds))
+        made.append(Environment(scenario, seed_, reactor, own, seconds))
         return made[0]
 
     ended = []
--- a/tests/lab/test_filesweep.py
+++ b/tests/lab/test_filesweep.py
@@ -8,7 +8,7 @@
 
 from lilacdyke.changes import store
 from lilacdyke.lab import filesweep
-from lilacdyke.plan.book import VERSION, VoterFile
+from lilacdyke.plan.voter_file import VERSION, VoterFile
 
 EVERY = 13  # only each so-manieth prefix of a write
 
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -7,7 +7,7 @@
 
 from lilacdyke.lab.network import WINDOW, Network, Process
 from lilacdyke.lab.world import World
-from lilacdyke.net.sockets import quiet, tcp_info
+from lilacdyke.net.sockets import nothing_unread, tcp_info
 
 CLIENT, SERVER = ('127.1.0.1', 0), ('127.2.0.1', 80)
 DELAY = 1_000
@@ -163,9 +163,9 @@
 
     def test_peeking_and_tcp_info_work_on_simulated_sockets(self):
         near, far = self.connected_pair()
-        silent = quiet(Transport(far))
+        silent = nothing_unread(Transport(far))
         near.send(b'ab')
         self.advance(DELAY)
-        unread = quiet(Transport(far)), far.unread
+        unread = nothing_unread(Transport(far)), far.unread
         self.advance(70_000)
         self.assertEqual((silent, unread, tcp_info(far)), (True, (False, 2), (1, 700)))
--- a/tests/lab/test_runs.py
+++ b/tests/lab/test_runs.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from lilacdyke.__main__ import main
-from lilacdyke.lab import draw, hunt, loopback, mutants, report, runs, witness
+from lilacdyke.lab import draw, hunt, loopback, mutants, recorder, report, runs
 from lilacdyke.lab import scenario as scenarios
 
 KEPT = os.path.join(os.path.dirname(__file__), 'kept')
@@ -132,11 +132,11 @@
             summary = json.loads(result.output.splitlines()[-1])
             with open(path, 'rb+') as file:
                 file.truncate(os.path.getsize(path) - 7)  # cuts the last row short
-            _, rows = witness.load(path)
+            _, rows = recorder.load(path)
             report.write(page, [path])
             with open(page, encoding='utf-8') as file:
                 text = file.read()
-        self.assertEqual((result.exit_code, summary['broken'], rows[-1][0] in witness.ROWS), (0, [], True))
+        self.assertEqual((result.exit_code, summary['broken'], rows[-1][0] in recorder.ROWS), (0, [], True))
         self.assertIn('No rule broken', text)
         self.assertEqual(text.count('<img'), 4)
 
--- a/tests/plan/test_book.py
+++ b/tests/plan/test_book.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from lilacdyke.plan import limits, process
-from lilacdyke.plan.book import VoterFile
+from lilacdyke.plan.voter_file import VoterFile
 
 from ..helpers import Machine
 
--- a/tests/plan/test_frames.py
+++ b/tests/plan/test_frames.py
@@ -6,7 +6,7 @@
 import msgpack
 
 from lilacdyke.framing import LENGTH
-from lilacdyke.plan.belief import BINS, SERVERS
+from lilacdyke.plan.active_verdicts import BINS, SERVERS
 from lilacdyke.plan.frames import (
     MAX_AMOUNT,
     MAX_FRAME_BYTES,
--- a/tests/plan/test_verdicts.py
+++ b/tests/plan/test_verdicts.py
@@ -3,9 +3,8 @@
 import unittest
 from random import Random
 
-from lilacdyke.plan import belief as beliefs
-from lilacdyke.plan import verdicts
-from lilacdyke.plan.belief import (
+from lilacdyke.plan import active_verdicts, verdicts
+from lilacdyke.plan.active_verdicts import (
     FAILING,
     FULL,
     MAX_RESTRAINED_SHARE,
@@ -304,7 +303,7 @@
         self.assertTrue(len(ends) > 20 and max(ends) <= min_elapsed(SPAN))
 
 
-def history(seed, tracker_class=VerdictTracker, belief=ActiveVerdicts):
+def history(seed, tracker_class=VerdictTracker, verdicts_class=ActiveVerdicts):
     """Run one random history of two reporting forwarders, a planner and an acting forwarder, whose clocks
     drift and whose messages are delayed and lost. Return the longest time, in ticks of the simulation, for
     which a verdict was in effect after its newest evidence."""
@@ -312,7 +311,7 @@
     rates = [rng.choice((0.976, 1.0, 1.024)) for _ in range(4)]
     offsets = [rng.randrange(5_000) for _ in range(4)]
     clock = [lambda now, n=n: int(now * rates[n]) + offsets[n] for n in range(4)]
-    planner, held = tracker_class(SPAN), belief(SPAN, rng.random)
+    planner, held = tracker_class(SPAN), verdicts_class(SPAN, rng.random)
     seen = {0: Seen(clock[0](0), SPAN), 1: Seen(clock[1](0), SPAN)}
     stamps, in_flight, newest, longest = {}, [], None, 0
     stop = rng.randrange(500, 2_500)  # from then on there is no evidence on c3
@@ -403,23 +402,23 @@
 
         for kinds in (
             {'tracker_class': IgnoresEvidenceAge},
-            {'belief': IgnoresVerdictAge},
-            {'belief': IgnoresSpan},
+            {'verdicts_class': IgnoresVerdictAge},
+            {'verdicts_class': IgnoresSpan},
         ):
             with self.subTest(kinds=kinds):
                 self.assertTrue(self.broken(**kinds))
 
     def test_missing_limits_on_harm_and_witnesses_would_be_detected(self):
-        original, both = beliefs.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES
+        original, both = active_verdicts.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES
         try:
-            beliefs.MAX_RESTRAINED_SHARE = 2.0
+            active_verdicts.MAX_RESTRAINED_SHARE = 2.0
             made = ActiveVerdicts(SPAN, lambda: 1.0)
             made.apply_plan(0, [told(server=name) for name in SERVERS])
             self.assertGreater(len(made.bounds_by_server(0, ALL)), MAX_RESTRAINED_SHARE * len(ALL))
             verdicts.MIN_WITNESSES = 1
             self.assertNotEqual(negatives(verdict_tracker([(0, 'a', report(c3='silent'))])), {})
         finally:
-            beliefs.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES = original, both
+            active_verdicts.MAX_RESTRAINED_SHARE, verdicts.MIN_WITNESSES = original, both
 
 
 if __name__ == '__main__':
--- a/tests/plan/test_view.py
+++ b/tests/plan/test_view.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from lilacdyke.known import NO_FLEET_BOUNDS, Server
-from lilacdyke.net.starts import StartTimes
+from lilacdyke.net.start_times import StartTimes
 from lilacdyke.plan.view import View
 
 SPAN, GOAL = 60_000, 4_000
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,7 +10,7 @@
 from lilacdyke.net.handover import process_start
 from lilacdyke.net.logs import RateLimitFilter
 from lilacdyke.net.sockets import Reactor
-from lilacdyke.net.starts import StartTimes
+from lilacdyke.net.start_times import StartTimes
 from lilacdyke.values import SECOND
 
 from .faulty import OnFaultyMachine
--- a/tests/trial/test_holders.py
+++ b/tests/trial/test_holders.py
@@ -9,14 +9,14 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from lilacdyke.plan.book import VoterFile, step
+from lilacdyke.plan.voter_file import VoterFile, step
 from lilacdyke.trial import holders
 from lilacdyke.values import InvalidValueError
 
 from ..test_upgrade import free
 
 FIXED = (1, 2, 3, 4, 5, 6)
-# One without its book shows only where most voters were restarted: the search finds it (tests/plan/test_leases.py, Blank).
+# One without its file shows only where most voters were restarted: the search finds it (tests/plan/test_leases.py, Blank).
 BROKEN = ('forgetful', 'same-number')
 
 
@@ -145,19 +145,19 @@
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.book = VoterFile(folder.name, 'p0')
+        self.voter_file = VoterFile(folder.name, 'p0')
 
     def test_what_was_written_last_is_read_and_a_half_written_one_beside_it_is_not(self):
-        self.book.write(7, ['p0'], 100)
-        self.book.write(1_000, ['p0', 'p1'], 200)
-        with open(self.book.path + '.new', 'w', encoding='utf-8') as file:
+        self.voter_file.write(7, ['p0'], 100)
+        self.voter_file.write(1_000, ['p0', 'p1'], 200)
+        with open(self.voter_file.path + '.new', 'w', encoding='utf-8') as file:
             file.write('{"vers')
-        found = VoterFile(self.book.folder, 'p0').read()
+        found = VoterFile(self.voter_file.folder, 'p0').read()
         self.assertEqual((found.bound, found.voters, found.lease), (1_000, ['p0', 'p1'], 200))
 
     def test_what_cannot_be_read_is_never_an_empty_one(self):
         with self.assertRaises(InvalidValueError):
-            self.book.read()
+            self.voter_file.read()
         for text in (
             '',
             '{"bound": 1}',
@@ -167,10 +167,10 @@
             'null',
             '\0',
         ):
-            with open(self.book.path, 'w', encoding='utf-8') as file:
+            with open(self.voter_file.path, 'w', encoding='utf-8') as file:
                 file.write(text)
             with self.subTest(text=text), self.assertRaises(InvalidValueError):
-                self.book.read()
+                self.voter_file.read()
 
     def test_voters_change_one_at_a_time(self):
         three, other = ['p0', 'p1', 'p2'], ['p0', 'p1', 'p3']
@@ -180,12 +180,12 @@
         )
 
     def test_a_planner_without_its_file_or_with_a_skipped_step_says_that_it_does_not_vote(self):
-        self.book.write(5, ['p7', 'p8', 'p9'], 100)
-        path = os.path.join(self.book.folder, 'fleet.toml')
+        self.voter_file.write(5, ['p7', 'p8', 'p9'], 100)
+        path = os.path.join(self.voter_file.folder, 'fleet.toml')
         for name in ('p0', 'p1'):
             with open(path, 'w', encoding='utf-8') as file:
                 file.write(
-                    FILE % self.book.folder
+                    FILE % self.voter_file.folder
                     + ''.join(
                         '[[planner]]\nname = "%s"\naddress = "127.0.0.1:%d"\n' % (other, free())
                         for other in ('p0', 'p1')
@@ -200,7 +200,7 @@
             process.kill()
             process.communicate()
             self.assertIn('"does not vote"', line)
-        self.assertEqual(VoterFile(self.book.folder, 'p0').read().bound, 5)
+        self.assertEqual(VoterFile(self.voter_file.folder, 'p0').read().bound, 5)
 
 
 if __name__ == '__main__':
