--- a/lilacdyke/lab/compare.py
+++ b/lilacdyke/lab/compare.py
@@ -70,6 +70,10 @@
     with tarfile.open(fileobj=io.BytesIO(git('archive', commit, 'lilacdyke'))) as archive:
         archive.extractall(folder, filter='data')
     made = Path(folder) / 'lilacdyke'
+    if not (made / 'net' / 'start_times.py').exists():  # the last of the names that this lab calls
+        raise CannotCompare(
+            '%s: its node is from before the renames of 2026-12 and cannot be played by this lab' % commit[:8]
+        )
     if (made / 'net' / 'system.py').exists():
         what = 'node and module'
         shutil.rmtree(made / 'lab', ignore_errors=True)
