--- a/lilacdyke/benchlink/serve.py
+++ b/lilacdyke/benchlink/serve.py
@@ -2,7 +2,19 @@
 
 from .. import decode
 from ..logic import Router, Server
-from ..values import STATES, BadLine, boolean, down, hex_bytes, number, optional, report, seconds, up, whole
+from ..values import (
+    STATES,
+    InvalidValueError,
+    boolean,
+    format_seconds,
+    hex_bytes,
+    load_report,
+    non_negative_int,
+    number,
+    optional,
+    to_ticks_ceil,
+    to_ticks_floor,
+)
 
 ENDINGS = {
     'delivered': 'committed',
@@ -33,10 +45,10 @@
         self.malformed = 0  # load reports and peer messages
 
     def server(self, name):
-        """Return the server of this name; raise BadLine if no list has named it."""
+        """Return the server of this name; raise InvalidValueError if no list has named it."""
         found = self.servers.get(name)
         if found is None:
-            raise BadLine('a server never named: %r' % name)
+            raise InvalidValueError('a server never named: %r' % name)
         return found
 
     def check_unused(self, read, text):
@@ -44,7 +56,7 @@
         counted, and the first is logged."""
         try:
             optional(read, text)
-        except BadLine as err:
+        except InvalidValueError as err:
             self.malformed += 1
             if self.malformed == 1:
                 self.router.logs.append('not read, counted from here on: %.100s' % err)
@@ -75,15 +87,19 @@
     def on_ask(self, now, parts):
         """Accept a transaction."""
         tx_id, service, org, key, deadline, estimate, size, flags = parts
-        tx_id, row, limit = whole(tx_id), whole(service), down(number(deadline))
+        tx_id, row, limit = (
+            non_negative_int(tx_id),
+            non_negative_int(service),
+            to_ticks_floor(number(deadline)),
+        )
         optional(number, estimate)
         optional(number, size)
-        tenant, bits = optional(whole, org) or 0, optional(whole, flags) or 0
+        tenant, bits = optional(non_negative_int, org) or 0, optional(non_negative_int, flags) or 0
         terms = self.router.terms
         if row >= len(terms.profiles) or tenant >= max(1, len(terms.tenants)):
-            raise BadLine('no such profile or tenant')
+            raise InvalidValueError('no such profile or tenant')
         if tx_id in self.txs:
-            raise BadLine('a transaction taken twice: %d' % tx_id)
+            raise InvalidValueError('a transaction taken twice: %d' % tx_id)
         tx = self.router.take(now, row, None if key == '-' else key, limit, bool(bits & WRITE_FLAG), now)
         tx.ref = tx_id
         self.txs[tx_id] = tx
@@ -91,24 +107,24 @@
     def on_answer(self, now, parts):
         """Record the end of a hop."""
         tx_id, index, server, outcome, lasted, complete, remark, feedback = parts
-        tx_id, index = whole(tx_id), whole(index)
+        tx_id, index = non_negative_int(tx_id), non_negative_int(index)
         if outcome not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % outcome)
-        lasted, complete = down(number(lasted)), boolean(complete)
-        remark = optional(whole, remark) or 0
-        self.check_unused(report, feedback)
+            raise InvalidValueError('unknown outcome: %r' % outcome)
+        lasted, complete = to_ticks_floor(number(lasted)), boolean(complete)
+        remark = optional(non_negative_int, remark) or 0
+        self.check_unused(load_report, feedback)
         server = self.server(server)
         tx = self.txs.get(tx_id)
         if tx is None:
             return
         if index >= len(tx.hops) or tx.hops[index].server is not server or not tx.hops[index].out:
-            raise BadLine('no such hop is out: %d of %d' % (index, tx_id))
+            raise InvalidValueError('no such hop is out: %d of %d' % (index, tx_id))
         self.router.hop_ended(now, tx.hops[index], ENDINGS[outcome], lasted, complete, remark)
         self.forget(tx_id, tx)
 
     def on_left(self, now, parts):
         """Record that the client has left."""
-        tx_id = whole(*parts)
+        tx_id = non_negative_int(*parts)
         tx = self.txs.get(tx_id)
         if tx is not None:
             self.router.client_gone(now, tx)
@@ -117,13 +133,13 @@
     def on_started(self, now, parts):
         """Record the start of a streamed answer, which ends the router's part in the transaction."""
         tx_id, index, server, lasted = parts
-        tx_id, index, lasted = whole(tx_id), whole(index), number(lasted)
+        tx_id, index, lasted = non_negative_int(tx_id), non_negative_int(index), number(lasted)
         self.server(server)
         tx = self.txs.get(tx_id)
         if tx is None:
             return
         if index >= len(tx.hops):
-            raise BadLine('no such hop: %d of %d' % (index, tx_id))
+            raise InvalidValueError('no such hop: %d of %d' % (index, tx_id))
         tx.hops[index].dropped = True
         self.router.client_gone(now, tx)
 
@@ -131,19 +147,19 @@
         """Check the line of a finished probe; the router sends none."""
         server, outcome, lasted, feedback = parts
         if outcome not in ENDINGS:
-            raise BadLine('unknown outcome: %r' % outcome)
+            raise InvalidValueError('unknown outcome: %r' % outcome)
         number(lasted)
-        self.check_unused(report, feedback)
+        self.check_unused(load_report, feedback)
         self.server(server)
 
     def on_reminder(self, now, parts):
         """Check the line of a due wake-up; decisions are pulled at the end of the batch."""
-        whole(*parts)
+        non_negative_int(*parts)
 
     def on_heard(self, now, parts):
         """Check the line of a message from a peer; the router sends none."""
         author, body = parts
-        whole(author)
+        non_negative_int(author)
         self.check_unused(hex_bytes, body)
 
     def emit_decisions(self, now, write):
@@ -153,7 +169,7 @@
 
     def write_send(self, write, hop, timeout):
         """Write the start of a hop."""
-        timeout_s = '' if timeout is None else seconds(timeout)
+        timeout_s = '' if timeout is None else format_seconds(timeout)
         write('ASSIGN\t%d\t%d\t%s\t%s\n' % (self.number, hop.tx.ref, hop.server.name, timeout_s or '-'))
 
     def write_cancel(self, write, hop):
@@ -162,7 +178,7 @@
 
     def write_roll_back(self, write, tx, after):
         """Write the final answer after which the client may safely retry."""
-        write('PUSH_BACK\t%d\t%d\t%s\n' % (self.number, tx.ref, seconds(after) if after else '-'))
+        write('PUSH_BACK\t%d\t%d\t%s\n' % (self.number, tx.ref, format_seconds(after) if after else '-'))
         self.forget(tx.ref, tx)
 
     def write_abandon(self, write, tx):
@@ -176,7 +192,7 @@
 
     def write_wake(self, write, when):
         """Request a wake-up."""
-        write('REMIND\t%d\t%s\t0\n' % (self.number, seconds(when)))
+        write('REMIND\t%d\t%s\t0\n' % (self.number, format_seconds(when)))
 
     def write_log(self, write, text):
         """Write a log line."""
@@ -221,7 +237,7 @@
                 parts[2:] = ['\t'.join(parts[2:])]
             try:
                 self.read(name, parts)
-            except BadLine as err:
+            except InvalidValueError as err:
                 self.report_error(parts, '%s: %s' % (name, err))
         if self.now is not None:
             self.errors.write('line %d: input ended inside a batch\n' % self.line)
@@ -240,28 +256,28 @@
         """Handle one line."""
         if self.pool and name != 'ROW':
             self.pool = None
-            raise BadLine('a list ended early')
+            raise InvalidValueError('a list ended early')
         if name == 'TURN':
             self.expect(parts, 1)
             if self.now is not None:
-                raise BadLine('a batch inside a batch')
-            self.now = down(number(parts[0]))
+                raise InvalidValueError('a batch inside a batch')
+            self.now = to_ticks_floor(number(parts[0]))
         elif self.now is None:
             if name or parts:
-                raise BadLine('outside a batch')
+                raise InvalidValueError('outside a batch')
         elif name == 'EOF_BATCH':
             self.expect(parts, 0)
             self.answer()
         elif name == 'POOL':
             self.expect(parts, 2)
-            self.pool = [whole(parts[0]), whole(parts[1]), []]
+            self.pool = [non_negative_int(parts[0]), non_negative_int(parts[1]), []]
             self.store_complete_pool()
         elif name == 'ROW':
             self.row(parts)
         elif name == 'ENLIST':
             self.expect(parts, 3)
-            key = whole(parts[0])
-            self.instances[key] = self.active[key] = Instance(key, whole(parts[1]), parts[2])
+            key = non_negative_int(parts[0])
+            self.instances[key] = self.active[key] = Instance(key, non_negative_int(parts[1]), parts[2])
         elif name == 'RETIRE':
             self.expect(parts, 1)
             instance = self.instance(parts[0])
@@ -275,42 +291,42 @@
             instance = self.instance(parts[0])
             call(instance, self.now, parts[1:])
         else:
-            raise BadLine('unknown verb')
+            raise InvalidValueError('unknown verb')
 
     @staticmethod
     def expect(parts, count):
-        """Raise BadLine unless there are exactly this many values."""
+        """Raise InvalidValueError unless there are exactly this many values."""
         if len(parts) != count:
-            raise BadLine('%d values, not %d' % (len(parts), count))
+            raise InvalidValueError('%d values, not %d' % (len(parts), count))
 
     def instance(self, text):
         """Return a running instance, whose decisions are pulled at the end of the batch."""
-        found = self.instances.get(whole(text))
+        found = self.instances.get(non_negative_int(text))
         if found is None:
-            raise BadLine('no such instance: %s' % text)
+            raise InvalidValueError('no such instance: %s' % text)
         self.active[found.number] = found
         return found
 
     def row(self, parts):
         """Read one row of a pool."""
         if not self.pool:
-            raise BadLine('a row outside a list')
+            raise InvalidValueError('a row outside a list')
         self.pool[1] -= 1
         try:
             self.expect(parts, 7)
             zone, cell, weight, name, started, state, kind = parts
             if state not in STATES:
-                raise BadLine('unknown state: %r' % state)
+                raise InvalidValueError('unknown state: %r' % state)
             started = optional(number, started)
             self.pool[2].append(
                 (
                     name,
                     STATES[state],
                     number(weight),
-                    up(started) if started else None,
-                    whole(zone),
-                    whole(cell),
-                    whole(kind),
+                    to_ticks_ceil(started) if started else None,
+                    non_negative_int(zone),
+                    non_negative_int(cell),
+                    non_negative_int(kind),
                 )
             )
         finally:
@@ -328,12 +344,12 @@
         instance = self.instance(parts[0])
         mode, records = parts[1], ()
         if mode not in LIST_MODES:
-            raise BadLine('unknown mode: %r' % mode)
+            raise InvalidValueError('unknown mode: %r' % mode)
         if mode != 'unavailable':
-            whole(parts[2])
-            records = self.pools.get(whole(parts[3]))
+            non_negative_int(parts[2])
+            records = self.pools.get(non_negative_int(parts[3]))
             if records is None:
-                raise BadLine('a list never sent: %s' % parts[3])
+                raise InvalidValueError('a list never sent: %s' % parts[3])
         instance.on_roster(self.now, mode, records)
 
     def answer(self):
--- a/lilacdyke/changes/host.py
+++ b/lilacdyke/changes/host.py
@@ -5,10 +5,10 @@
 
 from collections import Counter
 
-from ..net.logs import say, warn
+from ..net.logs import log_event, log_warning
 from ..net.sockets import connect
 from ..net.tables import Deadlines
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from .link import Listener, ParentLink
 from .messages import PutAnswer, PutRequest, Status, StatusRequest, TakeBackRequest
 from .replica import HEARTBEAT_INTERVAL
@@ -85,7 +85,7 @@
         """Register the link to the parent."""
         self.links[link.peer] = link
         self.replica.linked(self.clock(), link.peer, False)
-        say('linked', above=link.peer)
+        log_event('linked', above=link.peer)
         self.settle()
 
     def schedule_redial(self):
@@ -131,7 +131,7 @@
         now = self.clock()
         for link in list(self.links.values()):
             if now >= link.last_received + IDLE_TIMEOUT:
-                warn('link given up', peer=link.peer, why='silent')
+                log_warning('link given up', peer=link.peer, why='silent')
                 link.close()
         for link in [link for link in self.unidentified if now >= link.last_received + HELLO_TIMEOUT]:
             link.close()
@@ -164,14 +164,15 @@
             return PutAnswer(refused='%s writes no log' % self.name)
         try:
             change = self.apply_request(request)
-        except BadLine as err:
+        except InvalidValueError as err:
             return PutAnswer(refused=str(err))
         return PutAnswer(self.replica.log(self.replica.origin).position if change else None)
 
     def apply_request(self, request):
-        """Put a change, or take one back, and return the new change. Raise BadLine if it is refused."""
+        """Put a change, or take one back, and return the new change. Raise InvalidValueError if it is
+        refused."""
         if not self.replica.holds_lease(self.clock()):
-            raise BadLine('%s does not hold the lease' % self.name)
+            raise InvalidValueError('%s does not hold the lease' % self.name)
         if isinstance(request, PutRequest):
             items = [(item.key, item.value) for item in request.items]
             change = self.writer.put(request.kind, items, self.wall_ms())
--- a/lilacdyke/known.py
+++ b/lilacdyke/known.py
@@ -17,7 +17,7 @@
 INITIAL_IN_FLIGHT = 32.0  # in-flight limit of a server without any history
 MAX_SUSPENDED = 1_024  # remembered suspensions, ended ones included
 # What the fleet says of a server: valid until, lower and upper bound of its share, expected wait.
-NO_WORD = (0, 0, 1, 0)
+NO_FLEET_BOUNDS = (0, 0, 1, 0)
 
 
 class Histogram:
@@ -109,14 +109,14 @@
         'origin',
         'name_hash',
         'state',
-        'told',
+        'listed_state',
         'weight',
         'started',
         'zone',
         'cell',
         'out',
         'share',
-        'doubt',
+        'unanswered_hops',
         'share_updated',
         'hedge_timer',
         'cold_credit',
@@ -125,17 +125,19 @@
         'limit_cut',
         'lag',
         'latency_updated',
-        'word',
+        'fleet_bounds',
     )
 
     def __init__(self, name, origin):
-        self.name, self.origin, self.word = name, origin, NO_WORD
+        self.name, self.origin, self.fleet_bounds = name, origin, NO_FLEET_BOUNDS
         self.name_hash = crc32(name.encode()) << 32
         self.state, self.weight, self.started, self.zone, self.cell = 'gone', 1, None, 0, 0
-        self.told = 'gone'  # as listed; self.state is 'banned' for a ready server that an operator suspended
+        self.listed_state = (
+            'gone'  # as listed; self.state is 'banned' for a ready server that an operator suspended
+        )
         self.out = 0  # this node's in-flight hops
         self.share = 1  # share of the reads of its keys that it gets; below 1 while set aside
-        self.doubt = 0  # consecutive unanswered hops
+        self.unanswered_hops = 0  # consecutive unanswered hops
         self.share_updated = 0
         self.in_flight_limit, self.limit_cut = INITIAL_IN_FLIGHT, 0  # limit_cut: time of the last decrease
         self.lag, self.latency_updated = 0, 0  # moving average of its latency
@@ -147,31 +149,31 @@
     """All servers that a node knows, with the measurements over them."""
 
     def __init__(self, terms, seed):
-        self.terms, self.chance = terms, Random(seed).random
+        self.terms, self.uniform = terms, Random(seed).random
         self.goal = min(profile.goal for profile in terms.profiles)
         self.unit = max(1, self.goal // 32)
-        self.caches, self.origin, self.known = [], None, {}
-        self.hand = {}  # suspensions by name: (start, end), end None while it lasts
+        self.caches, self.origin, self.servers_by_name = [], None, {}
+        self.suspensions = {}  # suspensions by name: (start, end), end None while it lasts
         self.logs = deque()
         # Decaying counts of hops that ended well and badly; whether each cache gets a hop or more per goal.
-        self.smooth, self.poor, self.often = 1.0, 0.0, True
-        self.usual = 0  # peak of the warm caches' answers per window and unit of weight
+        self.good_hops, self.bad_hops, self.gets_hops_often = 1.0, 0.0, True
+        self.peak_warm_rate = 0  # peak of the warm caches' answers per window and unit of weight
         self.warm_answers, self.window_start = 0, 0  # answers in the current window
         self.total_out = 0  # in-flight hops at ready caches
         self.lag, self.latency_updated = 0, 0  # moving average over reads at all caches
-        self.watch_at, self.failures = 0 if terms.watched else None, 0
+        self.list_request_at, self.failures = 0 if terms.list_on_request else None, 0
 
     # --- membership -----------------------------------------------------------------------------------
 
     def list_changed(self, now, entries):
         """Apply changes to the server list."""
-        self.failures, self.watch_at = 0, None
+        self.failures, self.list_request_at = 0, None
         self.list_remembered(now, entries)
 
     def list_replaced(self, now, entries):
         """Replace the whole server list; servers that it does not name are gone."""
         named = {entry[0].name for entry in entries}
-        for server in (s for s in self.known.values() if s.name not in named):
+        for server in (s for s in self.servers_by_name.values() if s.name not in named):
             server.state = 'gone'
         self.list_changed(now, entries)
 
@@ -179,64 +181,66 @@
         """Apply entries kept from before a restart; they hold until discovery answers."""
         for entry in entries:
             self.list_entry(now, *entry)
-        self.relist()
+        self.rebuild_ready()
 
     def list_failed(self, now):
         """Schedule a retry after a failed call or broken watch: jittered exponential backoff, capped so that
-        requests stay more frequent than terms.ask_within demands."""
+        requests stay more frequent than terms.list_request_within demands."""
         self.failures += 1
-        wait = min(self.terms.ask_within // 4, self.goal << min(self.failures, 8))
-        self.watch_at = now + int(wait * (0.5 + self.chance()))
-        self.alarm(self.watch_at, None)
+        wait = min(self.terms.list_request_within // 4, self.goal << min(self.failures, 8))
+        self.list_request_at = now + int(wait * (0.5 + self.uniform()))
+        self.set_timer(self.list_request_at, None)
 
     def list_entry(self, now, server, state, weight, started, zone, cell):
-        since, back = self.hand.get(server.name, (0, 0))
+        since, back = self.suspensions.get(server.name, (0, 0))
         if back and (started is None or started < since):
             started = back  # the list may not know yet that the server restarted while it was suspended
         if started != server.started or server.state == 'gone':
             # A restarted server is cold, and its history is void.
-            server.share, server.doubt, server.share_updated, server.limit_cut = 1, 0, now, now
+            server.share, server.unanswered_hops, server.share_updated, server.limit_cut = 1, 0, now, now
             server.started = started
-            server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.presence(now, server))
+            server.in_flight_limit = max(MIN_IN_FLIGHT, INITIAL_IN_FLIGHT * self.capacity_factor(now, server))
             server.lag, server.hedge_timer = self.lag, HedgeTimer(self.unit)
-            server.cold_credit, server.credit_updated = self.chance(), now
-        server.told, server.weight, server.zone, server.cell = state, weight, zone, cell
+            server.cold_credit, server.credit_updated = self.uniform(), now
+        server.listed_state, server.weight, server.zone, server.cell = state, weight, zone, cell
         server.state = 'banned' if back is None and state == 'ready' else state
-        self.known[server.name] = server
+        self.servers_by_name[server.name] = server
 
     def suspend(self, now, name):
         """Suspend a cache, whatever lists say, until resume(). Return whether it is suspended now."""
-        server = self.known.get(name)
-        if self.banned(name) or server is None or server.origin:
-            return self.banned(name)
-        self.hand.pop(name, None)
-        if len(self.hand) >= MAX_SUSPENDED:
-            self.hand.pop(next((old for old in self.hand if not self.banned(old)), None), None)
-        if len(self.hand) >= MAX_SUSPENDED:
+        server = self.servers_by_name.get(name)
+        if self.is_suspended(name) or server is None or server.origin:
+            return self.is_suspended(name)
+        self.suspensions.pop(name, None)
+        if len(self.suspensions) >= MAX_SUSPENDED:
+            self.suspensions.pop(
+                next((old for old in self.suspensions if not self.is_suspended(old)), None), None
+            )
+        if len(self.suspensions) >= MAX_SUSPENDED:
             return False
-        self.hand[name] = (now, None)
+        self.suspensions[name] = (now, None)
         self.list_remembered(now, [self.row(server)])
         return True
 
     def resume(self, now, name):
         """End a suspension; the cache was restarted meanwhile and is cold. Return whether it was known."""
-        server = self.known.get(name)
-        if not self.banned(name):
+        server = self.servers_by_name.get(name)
+        if not self.is_suspended(name):
             return server is not None and not server.origin
-        self.hand[name] = (self.hand[name][0], now)
+        self.suspensions[name] = (self.suspensions[name][0], now)
         if server:
             row, server.state = self.row(server), 'gone'
             self.list_remembered(now, [row])
         return True
 
-    def banned(self, name):
+    def is_suspended(self, name):
         """Return whether an operator has suspended the server."""
-        return self.hand.get(name, (0, 0))[1] is None
+        return self.suspensions.get(name, (0, 0))[1] is None
 
-    def legacy(self, now):
-        """Return plain values, with ages for times, that inherit() takes in the node's next process."""
+    def export_state(self, now):
+        """Return plain values, with ages for times, that import_state() takes in the node's next process."""
         return [
-            self.usual,
+            self.peak_warm_rate,
             {
                 s.name: [
                     None if s.started is None else now - s.started,
@@ -244,15 +248,15 @@
                     max(1, s.in_flight_limit - s.out),
                     s.lag,
                 ]
-                for s in self.known.values()
+                for s in self.servers_by_name.values()
             },
         ]
 
-    def inherit(self, now, usual, servers):
+    def import_state(self, now, usual, servers):
         """Take over the state of this node's previous process, which stops spending its cold credit."""
-        self.usual = usual
+        self.peak_warm_rate = usual
         for name, (age, cold_credit, in_flight_limit, lag) in servers.items():
-            server = self.known.get(name)
+            server = self.servers_by_name.get(name)
             if server:
                 server.started = None if age is None else now - age
                 server.cold_credit, server.credit_updated, server.in_flight_limit, server.lag = (
@@ -265,12 +269,14 @@
     @staticmethod
     def row(server):
         """Return a server's entry as in the latest list."""
-        return server, server.told, server.weight, server.started, server.zone, server.cell
+        return server, server.listed_state, server.weight, server.started, server.zone, server.cell
 
-    def relist(self):
+    def rebuild_ready(self):
         # A gone server is kept while it has in-flight hops, and dropped when a later list is applied.
-        self.known = {name: s for name, s in self.known.items() if s.state != 'gone' or s.out}
-        ready = [server for server in self.known.values() if server.state == 'ready']
+        self.servers_by_name = {
+            name: s for name, s in self.servers_by_name.items() if s.state != 'gone' or s.out
+        }
+        ready = [server for server in self.servers_by_name.values() if server.state == 'ready']
         self.caches = sorted((s for s in ready if not s.origin), key=lambda s: s.name)
         self.origin = next((s for s in ready if s.origin), None)
         self.total_out = sum(s.out for s in self.caches)
@@ -284,15 +290,15 @@
     def record_answer(self, now, hop, duration, ending, note):
         """Record an answer: a reduced share doubles once per round trip; feeds the hedge timer."""
         server = hop.server
-        server.doubt = 0
-        if ending == 'committed' and not server.origin and self.presence(now, server) == 1:
+        server.unanswered_hops = 0
+        if ending == 'committed' and not server.origin and self.capacity_factor(now, server) == 1:
             self.warm_answers += 1
         if server.share < 1 and hop.sent >= server.share_updated and duration < hop.tx.profile.goal // 2:
-            server.share, server.share_updated = min(1, 2 * self.turns(now, server)), now
+            server.share, server.share_updated = min(1, 2 * self.current_share(now, server)), now
         if server.origin or hop.tx.done:
             return
         first = hop.tx.hops[0]
-        if hop.index == 0 and (self.terms.aside or note != 1):
+        if hop.index == 0 and (self.terms.cache_aside or note != 1):
             server.hedge_timer.latencies.add(duration)
         if hop.tx.hedged and (hop.copy or hop is first) and not first.server.origin:
             first.server.hedge_timer.record_race(hop.copy, duration)
@@ -308,10 +314,10 @@
         threshold = hop.tx.profile.goal if server.origin else hop.tx.profile.goal // 3
         answered = ending in ('committed', 'missing')
         good = answered and duration < hop.tx.profile.goal // 2
-        self.smooth += good
-        self.poor += not good and ending not in NEUTRAL_ENDINGS
-        if self.smooth + self.poor > Histogram.DECAY_AFTER:
-            self.smooth, self.poor = self.smooth / 2, self.poor / 2
+        self.good_hops += good
+        self.bad_hops += not good and ending not in NEUTRAL_ENDINGS
+        if self.good_hops + self.bad_hops > Histogram.DECAY_AFTER:
+            self.good_hops, self.bad_hops = self.good_hops / 2, self.bad_hops / 2
         if answered and duration < threshold:
             if server.out + 1 >= server.in_flight_limit / 2:
                 server.in_flight_limit += 1 / server.in_flight_limit
@@ -319,7 +325,7 @@
             hop.sent >= server.limit_cut
             and ending != 'unsent'
             and (
-                (min(duration, server.lag) if self.often else duration) >= threshold
+                (min(duration, server.lag) if self.gets_hops_often else duration) >= threshold
                 or ending in ('refused', 'error')
             )
         ):
@@ -349,68 +355,68 @@
 
     def common_wait(self, now):
         """Return the wait to expect at any cache, which fades without new samples."""
-        return self.lag * self.fade(now, self.latency_updated)
+        return self.lag * self.decay(now, self.latency_updated)
 
     def expected_wait(self, now, server):
         """Return the wait to expect at a server: its own average, fading into that of all caches, since one
         of many nodes gets few samples from each. Both fade, or a node that sends little because of an
         overload would learn too late that it is over."""
         common = 0 if server.origin else self.common_wait(now)
-        reported = server.word[3] if now < server.word[0] else 0
-        return max(reported, common + (server.lag - common) * self.fade(now, server.latency_updated))
+        reported = server.fleet_bounds[3] if now < server.fleet_bounds[0] else 0
+        return max(reported, common + (server.lag - common) * self.decay(now, server.latency_updated))
 
-    def fade(self, now, since):
+    def decay(self, now, since):
         """Return the weight of an observation made at this time, in (0, 1].
 
         Without decay a node could avoid a recovered server for ever, as it gets no new samples from it."""
         return 0.5 ** min(64, (now - since) / (8 * self.goal))  # bounded, since callers divide by it
 
-    def turns(self, now, server):
+    def current_share(self, now, server):
         """Return a server's current share of its reads; a reduced one grows with time."""
-        return min(1, server.share / self.fade(now, server.share_updated))
+        return min(1, server.share / self.decay(now, server.share_updated))
 
     def admitted_share(self, now, server):
         """Return the server's share within the bounds that the fleet sets, if they have not expired."""
-        _, lowest, highest, _ = server.word if now < server.word[0] else NO_WORD
-        return max(lowest, min(highest, self.turns(now, server)))
+        _, lowest, highest, _ = server.fleet_bounds if now < server.fleet_bounds[0] else NO_FLEET_BOUNDS
+        return max(lowest, min(highest, self.current_share(now, server)))
 
     def halve_share(self, now, server):
         """Halve the share of an overloaded server until it answers quickly again."""
-        server.share, server.share_updated = max(MIN_SHARE, self.turns(now, server) / 2), now
+        server.share, server.share_updated = max(MIN_SHARE, self.current_share(now, server) / 2), now
 
     def failure_ratio(self):
         """Return the share of recent hops that ended late or badly. Hedging presumes that slowness is rare
         and uncorrelated; in a wide overload, copies only add to it."""
-        return self.poor / (self.smooth + self.poor)
+        return self.bad_hops / (self.good_hops + self.bad_hops)
 
     def record_silence(self, now, server):
         """Count an unanswered hop and set the server aside after SET_ASIDE_AFTER in a row."""
-        server.doubt += 1
-        share = self.turns(now, server)
-        if share < 1 or server.doubt >= SET_ASIDE_AFTER:
+        server.unanswered_hops += 1
+        share = self.current_share(now, server)
+        if share < 1 or server.unanswered_hops >= SET_ASIDE_AFTER:
             if share == 1:
                 recovery_s = -log(MIN_SHARE, 2) * 8 * self.goal // 10_000
                 self.logs.append(
                     'set aside: %s, %d hops unanswered; a trickle tries it, in full in %d s '
-                    'unless silent again' % (server.name, server.doubt, recovery_s)
+                    'unless silent again' % (server.name, server.unanswered_hops, recovery_s)
                 )
             server.share, server.share_updated = MIN_SHARE, now
 
     def update_warm_rate(self, now):
         """Update the peak rate of the warm caches once per window."""
-        if now - self.window_start >= self.terms.fall_window:
-            weight = sum(s.weight for s in self.caches if self.presence(now, s) == 1)
+        if now - self.window_start >= self.terms.overload_window:
+            weight = sum(s.weight for s in self.caches if self.capacity_factor(now, s) == 1)
             rate = (
-                self.warm_answers / weight * self.terms.fall_window / (now - self.window_start)
+                self.warm_answers / weight * self.terms.overload_window / (now - self.window_start)
                 if weight
                 else 0
             )
             # The peak is kept: during a fast deployment no warm cache may be left to measure.
-            self.usual, self.warm_answers, self.window_start = max(self.usual, rate), 0, now
+            self.peak_warm_rate, self.warm_answers, self.window_start = max(self.peak_warm_rate, rate), 0, now
 
-    def presence(self, now, server):
+    def capacity_factor(self, now, server):
         """Return a server's capacity by its age, from terms.cold_from at its start to 1 when it is warm."""
-        if server.started is None or now - server.started >= self.terms.warm_up:
+        if server.started is None or now - server.started >= self.terms.warm_up_time:
             return 1
         cold = self.terms.cold_from
-        return cold + (1 - cold) * max(0, now - server.started) / self.terms.warm_up
+        return cold + (1 - cold) * max(0, now - server.started) / self.terms.warm_up_time
--- a/lilacdyke/lab/baselines.py
+++ b/lilacdyke/lab/baselines.py
@@ -13,19 +13,19 @@
     def __init__(self, about, choose=None, hedging=True):
         self.about, self.choose, self.hedging = about, choose, hedging
 
-    def apply(self, ground):
+    def apply(self, environment):
         """Patch the router for the run."""
         if self.choose is not None:
-            ground.put(Router, 'pick', self.choose)
+            environment.put(Router, 'choose_cache', self.choose)
         if not self.hedging:
             original = Router.take
 
             def take(router, *args):
                 tx = original(router, *args)
-                tx.twice = False
+                tx.hedgeable = False
                 return tx
 
-            ground.put(Router, 'take', take)
+            environment.put(Router, 'take', take)
 
 
 def eligible(router, now, tx):
@@ -34,20 +34,20 @@
     return [
         server
         for server in router.caches
-        if server.state == 'ready' and server not in tried and router.cold_room(now, server)
+        if server.state == 'ready' and server not in tried and router.cold_budget_allows(now, server)
     ]
 
 
 def choose_random(router, now, tx):
     """Choose at random."""
     servers = eligible(router, now, tx)
-    return servers[int(router.chance() * len(servers))] if servers else None
+    return servers[int(router.uniform() * len(servers))] if servers else None
 
 
 def choose_least_in_flight(router, now, tx):
     """Choose the cache with the fewest hops of this node in flight."""
     servers = eligible(router, now, tx)
-    return min(servers, key=lambda server: (server.out, router.chance())) if servers else None
+    return min(servers, key=lambda server: (server.out, router.uniform())) if servers else None
 
 
 def choose_round_robin(router, now, tx):
--- a/lilacdyke/lab/broken_fleets.py
+++ b/lilacdyke/lab/broken_fleets.py
@@ -3,123 +3,127 @@
 The arguments are those of broken_nodes.py.
 """
 
-from ..known import NO_WORD
-from ..plan import belief, verdicts
-from ..plan.belief import Belief, Seen
-from ..plan.fleet import Share
+from ..known import NO_FLEET_BOUNDS
+from ..plan import active_verdicts, verdicts
+from ..plan.active_verdicts import ActiveVerdicts, Seen
+from ..plan.fleet import FleetMember
 from ..plan.forwarder import Forwarder
-from ..plan.ledger import Bank, Purse
+from ..plan.ledger import ForwarderLedger, PlannerLedger
 from ..plan.planner import Planner
-from ..plan.shares import Shares, Spent
-from ..plan.verdicts import Sight, Verdict
+from ..plan.shares import FleetLimits, Usage
+from ..plan.verdicts import Verdict, VerdictTracker
 from ..plan.view import View
 
 
-def part_spent_twice(put, chance):
-    put(Purse, 'given', lambda self, now, key: 0)
+def part_spent_twice(put, uniform):
+    put(ForwarderLedger, 'deposited', lambda self, now, key: 0)
 
 
-def lease_past_its_end(put, chance):
+def lease_past_its_end(put, uniform):
     put(
-        Purse,
-        'borrowed',
+        ForwarderLedger,
+        'leased',
         lambda self, now, key: sum(
             account.leases.get(key, (0, 0))[1] for lives in self.accounts.values() for account in lives[-1:]
         ),
     )
 
 
-def tokens_not_taken(put, chance):
-    put(Shares, 'spend', staticmethod(lambda limit, spent: None))
+def tokens_not_taken(put, uniform):
+    put(FleetLimits, 'spend', staticmethod(lambda limit, spent: None))
 
 
-def bucket_without_bound(put, chance):
+def bucket_without_bound(put, uniform):
     def fill(self, now, may):
         self.tokens += may * max(0, now - self.dated) * 20
         self.dated = now
 
-    put(Spent, 'fill', fill)
+    put(Usage, 'fill', fill)
 
 
-def seat_held_twice(put, chance):
-    usual = Share.take_seat
+def seat_held_twice(put, uniform):
+    usual = FleetMember.lock_seat
 
-    def take_seat(self, ignored):
+    def lock_seat(self, ignored):
         if self.rank is None:  # one more holder than there are seats
             self.rank = 0
-            self.purse.seated(self.clock(), self.told.seat_parts(0), self.told.seat_parts(0), True)
+            self.forwarder_ledger.set_seat_budget(
+                self.clock(), self.fleet_file.seat_parts(0), self.fleet_file.seat_parts(0), True
+            )
         else:
             usual(self, ignored)
 
-    put(Share, 'take_seat', take_seat)
+    put(FleetMember, 'lock_seat', lock_seat)
 
 
-def bank_forgets_leases(put, chance):
-    usual = Bank.plan
+def bank_forgets_leases(put, uniform):
+    usual = PlannerLedger.plan
 
     def plan(self, now, holder):
         for other in self.holders.values():
             other.grants = []
         return usual(self, now, holder)
 
-    put(Bank, 'plan', plan)
+    put(PlannerLedger, 'plan', plan)
 
 
-def waits_for_a_plan(put, chance):
-    usual, heard = Shares.admits, {}
+def waits_for_a_plan(put, uniform):
+    usual, heard = FleetLimits.admit, {}
 
-    def planned(self, now, name, plan):
-        heard[id(self.purse)] = now
+    def apply_plan(self, now, name, plan):
+        heard[id(self.forwarder_ledger)] = now
         return was(self, now, name, plan)
 
-    was = Forwarder.planned
-    put(Forwarder, 'planned', planned)
+    was = Forwarder.apply_plan
+    put(Forwarder, 'apply_plan', apply_plan)
     put(
-        Shares,
-        'admits',
+        FleetLimits,
+        'admit',
         lambda self, now, profile: (
-            usual(self, now, profile) if now < heard.get(id(self.purse), -1 << 40) + self.purse.lease else 429
+            usual(self, now, profile)
+            if now < heard.get(id(self.forwarder_ledger), -1 << 40) + self.forwarder_ledger.lease
+            else 429
         ),
     )
 
 
-def planner_lends_at_once(put, chance):
-    usual = Bank.__init__
+def planner_lends_at_once(put, uniform):
+    usual = PlannerLedger.__init__
 
     def begin(self, *given):
         usual(self, *given)
         self.since -= 1 << 30
 
-    put(Bank, '__init__', begin)
+    put(PlannerLedger, '__init__', begin)
 
 
-def limit_read_once(put, chance):
-    put(Planner, 'reread', lambda self, fleet: None)
-    put(Planner, 'hear', lambda self, edition, mosts: None)
+def limit_read_once(put, uniform):
+    put(Planner, 'reload', lambda self, fleet: None)
+    put(Planner, 'adopt_limits', lambda self, edition, mosts: None)
 
 
-def links_not_counted(put, chance):
-    put(Shares, 'linked', lambda self, now, server, more: None)
+def links_not_counted(put, uniform):
+    put(FleetLimits, 'linked', lambda self, now, server, more: None)
 
 
-def cold_not_asked(put, chance):
-    usual = Shares.allows
-    put(Shares, 'allows', lambda self, now, server, cold: usual(self, now, server, False))
+def cold_not_asked(put, uniform):
+    usual = FleetLimits.allows
+    put(FleetLimits, 'allows', lambda self, now, server, cold: usual(self, now, server, False))
 
 
-def smaller_lease_held(put, chance):
-    usual = Purse.digest
+def smaller_lease_held(put, uniform):
+    usual = ForwarderLedger.digest
     put(
-        Purse,
+        ForwarderLedger,
         'digest',
         lambda self, now, planner, spare, wants, used=(): usual(self, now, planner, spare, wants),
     )
 
 
-def plan_without_age(put, chance):
-    usual = Purse.planned
+def plan_without_age(put, uniform):
+    usual = ForwarderLedger.apply_plan
 
-    def planned(self, now, planner, plan):
+    def apply_plan(self, now, planner, plan):
         good = usual(self, now, planner, plan)
         if good:
             account = self.account(planner)
@@ -128,18 +132,18 @@
             }
         return good
 
-    put(Purse, 'planned', planned)
+    put(ForwarderLedger, 'apply_plan', apply_plan)
 
 
 # --- verdicts ---------------------------------------------------------------------------------------------
 
 
-def age_not_carried(put, chance):
+def age_not_carried(put, uniform):
     usual = Verdict.plain
     put(Verdict, 'plain', lambda self, now: [*usual(self, now)[:7], 0, *usual(self, now)[8:]])
 
 
-def evidence_as_it_came(put, chance):
+def evidence_as_it_came(put, uniform):
     put(Planner, 'left', lambda self, now, digest: now if digest['stamp'] is not None else None)
     usual = Seen.report
     put(
@@ -152,36 +156,36 @@
     )
 
 
-def evidence_twice(put, chance):
-    usual = Sight.told
+def evidence_twice(put, uniform):
+    usual = VerdictTracker.add_report
 
     def told(self, left, seat, site, life, seq, report):
         for part in range(2):
             usual(self, left, 1_000 * part + seat, site if not part else 'z9', life, seq, report)
 
-    put(Sight, 'told', told)
+    put(VerdictTracker, 'add_report', told)
 
 
-def one_witness(put, chance):
-    put(verdicts, 'BOTH', 1)
+def one_witness(put, uniform):
+    put(verdicts, 'MIN_WITNESSES', 1)
 
 
-def harm_unbounded(put, chance):
-    put(belief, 'HARM', 1.0)
-    put(belief, 'HARM_SITE', 1.0)
+def harm_unbounded(put, uniform):
+    put(active_verdicts, 'MAX_RESTRAINED_SHARE', 1.0)
+    put(active_verdicts, 'MAX_RESTRAINED_SITE_SHARE', 1.0)
 
 
-def own_eyes_ignored(put, chance):
-    put(Belief, 'saw', lambda self, now, server, well: None)
+def own_eyes_ignored(put, uniform):
+    put(ActiveVerdicts, 'observe', lambda self, now, server, well: None)
 
 
-def verdict_endless(put, chance):
-    usual = Belief.planned
-    put(Belief, 'planned', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
+def verdict_endless(put, uniform):
+    usual = ActiveVerdicts.apply_plan
+    put(ActiveVerdicts, 'apply_plan', lambda self, asked, rows: usual(self, asked + 2 * self.span, rows))
 
 
-def way_for_all(put, chance):
-    usual = Sight.verdicts
+def way_for_all(put, uniform):
+    usual = VerdictTracker.verdicts
 
     def told(self, now):
         found = usual(self, now)
@@ -189,21 +193,25 @@
             verdict.site = None
         return found
 
-    put(Sight, 'verdicts', told)
+    put(VerdictTracker, 'verdicts', told)
 
 
-def brought_back(put, chance):
-    usual = View.look
+def brought_back(put, uniform):
+    usual = View.apply_verdicts
 
-    def look(self, now):
+    def apply_verdicts(self, now):
         usual(self, now)
-        for server in self.node.router.known.values():
-            if server.word is not NO_WORD and server.word[1] > 0 or server.state == 'banned':
+        for server in self.node.router.servers_by_name.values():
+            if (
+                server.fleet_bounds is not NO_FLEET_BOUNDS
+                and server.fleet_bounds[1] > 0
+                or server.state == 'banned'
+            ):
                 server.state = 'ready'
-        self.node.router.relist()
+        self.node.router.rebuild_ready()
 
-    put(View, 'look', look)
+    put(View, 'apply_verdicts', apply_verdicts)
 
 
-def tries_not_counted(put, chance):
-    put(View, 'out', lambda self, now, server: False)
+def tries_not_counted(put, uniform):
+    put(View, 'is_down', lambda self, now, server: False)
--- a/lilacdyke/lab/callsweep.py
+++ b/lilacdyke/lab/callsweep.py
@@ -11,7 +11,7 @@
 import attrs
 from msgspec.structs import replace
 
-from . import draw, ground, runs
+from . import draw, environment, runs
 from .callfaults import ERRNOS, SOCKET_CALLS, CallFault, CallFaults
 from .judges import GUARD_PREFIX, judge
 from .scenario import Caches, Clients, Event, Kind, Limits, Load, Origin, Rules, Scenario, check
@@ -146,15 +146,15 @@
 def play(point):
     """Play the scenario with a point's fault; return the violations that are not excused, as text."""
     made, seen = scenario(), {}
-    stage = ground.play(made, SEED, inject(point, seen))
-    found = judge(made, stage.witness.rows)
+    stage = environment.play(made, SEED, inject(point, seen))
+    found = judge(made, stage.recorder.rows)
     return [repr(broken) for broken in found if not is_excused(point, seen.get('rule'), broken)]
 
 
 def count_calls():
     """Return the number of calls by kind, and of wall clock readings, in a run without faults."""
     seen = {}
-    ground.play(scenario(), SEED, inject(None, seen))
+    environment.play(scenario(), SEED, inject(None, seen))
     found = {call: seen['calls'][call] for call in SWEPT_CALLS if seen['calls'][call]}
     return {**found, WALL: seen['machine'].wall_readings}
 
--- a/lilacdyke/lab/ground.py
+++ b/lilacdyke/lab/environment.py
@@ -13,11 +13,11 @@
 import msgspec
 from twisted.logger import globalLogBeginner
 
-from ..decode import page
+from ..decode import read_config
 from ..net.node import Node
 from ..plan import limits as fleets
 from ..plan import process as planning
-from ..plan.fleet import Share
+from ..plan.fleet import FleetMember
 from . import eyes
 from .network import Network, Process
 from .reactor import SimReactor
@@ -55,7 +55,7 @@
         owners[self.process.address, name] = self.reactor
         return name
 
-    def let_go(self, name):
+    def release_name(self, name):
         """Release the lock on a name."""
         del self.process.net.held_names[self.process.address, name]
 
@@ -68,24 +68,24 @@
 class NodeProcess:
     """Simulated node process."""
 
-    def __init__(self, ground, place, config):
-        self.ground, self.place, self.leaving = ground, place, False
-        self.path = os.path.join(ground.folder, place.name + '.json')
-        limits = ground.scenario.limits
-        self.process = Process(ground.network, place.name, place.address[0], limits.sockets)
+    def __init__(self, environment, place, config):
+        self.environment, self.place, self.leaving = environment, place, False
+        self.path = os.path.join(environment.folder, place.name + '.json')
+        limits = environment.scenario.limits
+        self.process = Process(environment.network, place.name, place.address[0], limits.sockets)
         self.reactor = SimReactor(
-            ground.world, self.process, self.ended, (limits.turn_us, limits.event_us), ground.error
+            environment.world, self.process, self.ended, (limits.turn_us, limits.event_us), environment.error
         )
         self.system = SimulatedSystem(self.reactor, self.process)
         self.write(config)
-        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
-        self.node = Node(page(self.path), self.reactor, self.system)
-        if ground.stage.offices:
-            self.node.fleet = Share(
-                self.node, fleets.check(msgspec.convert(ground.stage.fleet_file(), fleets.Fleet))
+        before, environment.world.current_reactor = environment.world.current_reactor, self.reactor
+        self.node = Node(read_config(self.path), self.reactor, self.system)
+        if environment.stage.planner_slots:
+            self.node.fleet = FleetMember(
+                self.node, fleets.check(msgspec.convert(environment.stage.fleet_file(), fleets.Fleet))
             )
         self.node.start()
-        ground.world.current_reactor = before
+        environment.world.current_reactor = before
 
     def write(self, config):
         with open(self.path, 'w', encoding='utf-8') as file:
@@ -96,14 +96,14 @@
 
     def hup(self, config):
         self.write(config)
-        self.reactor.callFromThread(self.node.reread, self.path)
+        self.reactor.callFromThread(self.node.reload, self.path)
 
     def kill(self):
-        self.ground.stage.see('counters', self.place.name, self.counts())
+        self.environment.stage.record_event('counters', self.place.name, self.counts())
         self.reactor.kill()
 
     def freeze(self, span):
-        self.reactor.freeze(self.ground.world.now + span)
+        self.reactor.freeze(self.environment.world.now + span)
 
     def counts(self):
         """Return the node's counters and the resources that it still holds."""
@@ -115,75 +115,79 @@
             clients=len(node.listener.table),
             links=node.caches.open,
             descriptors=len(self.process.open)
-            - node.desk.holds
+            - node.operator_server.holds
             - (len(node.fleet.links) if getattr(node, 'fleet', None) else 0),
             most=self.process.peak_open,
             waits=sum(len(pool.waiting) for pool in node.caches.pools.values()),
-            hops=sum(server.out for server in node.router.known.values()),
+            hops=sum(server.out for server in node.router.servers_by_name.values()),
         )
 
     def ended(self):
         """Record that the process has exited by itself."""
-        self.ground.stage.exited(self.place, self.counts())
+        self.environment.stage.exited(self.place, self.counts())
 
 
-class PlannerProcess:
+class SimulatedPlanner:
     """Simulated planner process."""
 
-    def __init__(self, ground, office):
-        self.ground = ground
-        self.process = Process(ground.network, office.name, office.address[0])
+    def __init__(self, environment, planner_slot):
+        self.environment = environment
+        self.process = Process(environment.network, planner_slot.name, planner_slot.address[0])
         self.reactor = SimReactor(
-            ground.world,
+            environment.world,
             self.process,
-            cost=(ground.scenario.limits.turn_us, ground.scenario.limits.event_us),
-            on_error=ground.error,
+            cost=(environment.scenario.limits.turn_us, environment.scenario.limits.event_us),
+            on_error=environment.error,
         )
-        before, ground.world.current_reactor = ground.world.current_reactor, self.reactor
-        life = '%s-%d' % (office.name, ground.stage.number())
-        self.office = planning.Office(
-            self.file(), office.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
+        before, environment.world.current_reactor = environment.world.current_reactor, self.reactor
+        life = '%s-%d' % (planner_slot.name, environment.stage.number())
+        self.planner_process = planning.PlannerProcess(
+            self.file(), planner_slot.number, self.reactor, SimulatedSystem(self.reactor, self.process), life
         )
-        self.office.begin(*office.address)
-        ground.world.current_reactor = before
+        self.planner_process.begin(*planner_slot.address)
+        environment.world.current_reactor = before
 
     def file(self):
-        return fleets.check(msgspec.convert(self.ground.stage.fleet_file(), fleets.Fleet))
+        return fleets.check(msgspec.convert(self.environment.stage.fleet_file(), fleets.Fleet))
 
     def hup(self):
-        self.reactor.callFromThread(self.office.planner.reread, self.file())
+        self.reactor.callFromThread(self.planner_process.planner.reload, self.file())
 
     def kill(self):
         self.reactor.kill()
 
     def freeze(self, span):
-        self.reactor.freeze(self.ground.world.now + span)
+        self.reactor.freeze(self.environment.world.now + span)
 
 
 class ErrorHandler(logging.Handler):
     """Records errors that nodes log."""
 
-    def __init__(self, ground):
+    def __init__(self, environment):
         super().__init__(logging.ERROR)
-        self.ground = ground
+        self.environment = environment
 
     def emit(self, record):
         text = record.getMessage()
         if record.exc_info and record.exc_info[1] is not None:
             text += ': %s: %s' % (type(record.exc_info[1]).__name__, record.exc_info[1])
-        self.ground.error(text)
+        self.environment.error(text)
 
 
-class Ground:
+class Environment:
     """Simulated environment of one run."""
 
     simulated, epoch_ms, installation = True, EPOCH_MS, 'lab'
 
     def __init__(self, scenario, seed):
         self.scenario, self.world = scenario, World(seed)
-        self.later, self.drop, self.chance = self.world.later, self.world.cancel, self.world.chance
+        self.later, self.drop, self.random_source = (
+            self.world.later,
+            self.world.cancel,
+            self.world.random_source,
+        )
         self.slower, self.base_delays = {}, {}
-        self.jitter, self.jitter_share = self.chance('network').random, scenario.net.jitter
+        self.jitter, self.jitter_share = self.random_source('network').random, scenario.net.jitter
         self.network = Network(self.world, self.delay)
         self.stand_in_reactor = SimReactor(self.world, Process(self.network, 'rig', '127.9.0.1'), cost=(0, 0))
         self.stage, self.folder = None, None
@@ -233,8 +237,8 @@
     def start_node(self, place, config):
         return NodeProcess(self, place, config)
 
-    def start_planner(self, office):
-        return PlannerProcess(self, office)
+    def start_planner(self, planner_slot):
+        return SimulatedPlanner(self, planner_slot)
 
     def put(self, owner, name, value):
         """Replace an attribute until the end of the run, in the class that defines it."""
@@ -245,13 +249,13 @@
 
     def record(self, kind, *fields):
         """Record an observation of a forwarder."""
-        self.stage.see(kind, *fields)
+        self.stage.record_event(kind, *fields)
 
     def error(self, text):
         """Record an error, with the process that was running."""
         current_reactor = self.world.current_reactor
         name = current_reactor.process.name if current_reactor is not None else 'lab'
-        self.stage.see('error', name, ADDRESS.sub('0x', text)[:300])
+        self.stage.record_event('error', name, ADDRESS.sub('0x', text)[:300])
 
 
 _ACTIVE = []
@@ -267,38 +271,38 @@
 def play(scenario, seed, patch=None, progress=None):
     """Run a scenario in the simulated environment and return its Stage with all recorded rows.
 
-    patch: called with the Ground before anything is built.
+    patch: called with the Environment before anything is built.
     progress: called with the completed fraction of the run.
     """
     if not _ACTIVE:
         globalLogBeginner.beginLoggingTo([on_log_event], discardBuffer=True, redirectStandardIO=False)
-    log, ground = logging.getLogger('lilacdyke'), Ground(scenario, seed)
-    handler, level, propagates = ErrorHandler(ground), log.level, log.propagate
+    log, environment = logging.getLogger('lilacdyke'), Environment(scenario, seed)
+    handler, level, propagates = ErrorHandler(environment), log.level, log.propagate
     log.addHandler(handler)
     log.propagate = False
     log.setLevel(logging.ERROR)
-    _ACTIVE.append(ground)
+    _ACTIVE.append(environment)
     try:
-        with tempfile.TemporaryDirectory() as ground.folder:
+        with tempfile.TemporaryDirectory() as environment.folder:
             if scenario.planning.span_s:
-                eyes.open_up(ground.put, ground.record)
+                eyes.open_up(environment.put, environment.record)
             if patch is not None:
-                patch(ground)
-            ground.stage = stage = Stage(scenario, seed, ground)
+                patch(environment)
+            environment.stage = stage = Stage(scenario, seed, environment)
             stop, leave, end = stage.end_times
-            ground.later(stop, stage.stop_clients)
-            ground.later(leave, stage.finish)
+            environment.later(stop, stage.stop_clients)
+            environment.later(leave, stage.finish)
             stage.begin()
             for step in range(1, 51):
-                ground.world.run(end * step // 50)
+                environment.world.run(end * step // 50)
                 if progress is not None:
                     progress(step / 50)
             for place in stage.places:
                 if place.running is not None:
-                    stage.see('node', place.name, 'hangs')
-                    stage.see('counters', place.name, place.running.counts())
+                    stage.record_event('node', place.name, 'hangs')
+                    stage.record_event('counters', place.name, place.running.counts())
     finally:
-        for owner, name, value in reversed(ground.patched):
+        for owner, name, value in reversed(environment.patched):
             setattr(owner, name, value)
         _ACTIVE.pop()
         log.removeHandler(handler)
--- a/lilacdyke/lab/faults.py
+++ b/lilacdyke/lab/faults.py
@@ -66,7 +66,7 @@
         times = [0] * 12
         times[10 if slow else 4] = 0 if bad else 1_000
         return {
-            ident: [
+            server_id: [
                 1_000,
                 0 if bad else 1_000,
                 1_000 if bad else 0,
@@ -79,7 +79,7 @@
                 1_000 if bad else 0,
             ]
             for server in self.view.node.router.caches
-            if (ident := self.view.ident(server))
+            if (server_id := self.view.server_id(server))
         }
 
 
@@ -100,12 +100,12 @@
     def plays(self, kind):
         """Return whether this environment supports the kind of fault."""
         return (
-            self.stage.ground.simulated
+            self.stage.environment.simulated
             and kind not in RELAY_FAULTS
             or kind not in SIMULATED_FAULTS + RELAY_FAULTS
         )
 
-    def targets(self, event, chance):
+    def targets(self, event, rng):
         """Return the numbers of the event's targets: those named, or a random sample."""
         if event.what:
             return list(event.what)
@@ -113,12 +113,12 @@
         if kind == 'node':
             pool = [place.number for place in stage.places]
         elif kind == 'planner':
-            pool = [office.number for office in stage.offices]
+            pool = [planner_slot.number for planner_slot in stage.planner_slots]
         elif kind == 'zone':
             pool = list(range(len(stage.zones)))
         else:
             pool = [server.number for server in self.caches()]
-        return sorted(chance.sample(pool, min(event.count, len(pool))))
+        return sorted(rng.sample(pool, min(event.count, len(pool))))
 
     def caches(self):
         """Return the cache servers, without the origin."""
@@ -128,11 +128,11 @@
         """Record an event and apply it."""
         if self.stage.closing:
             return
-        stage, chance = self.stage, self.stage.chance('event %d' % index)
-        what = self.targets(event, chance) if event.kind in TARGETS else []
+        stage, rng = self.stage, self.stage.random_source('event %d' % index)
+        what = self.targets(event, rng) if event.kind in TARGETS else []
         span = int(event.for_s * 1e6)
-        stage.see('fault', event.kind, ','.join(map(str, what)), stage.clock() + span)
-        getattr(self, 'do_' + event.kind)(index, event, what, span, chance)
+        stage.record_event('fault', event.kind, ','.join(map(str, what)), stage.clock() + span)
+        getattr(self, 'do_' + event.kind)(index, event, what, span, rng)
 
     def numbered(self, what):
         """Return the servers with these numbers that still exist."""
@@ -146,35 +146,35 @@
             setattr(thing, field, value)
         self.stage.later(span, lambda: [setattr(thing, field, restored) for thing in things])
 
-    def do_slow(self, index, event, what, span, chance):
+    def do_slow(self, index, event, what, span, rng):
         self.set([server.model for server in self.numbered(what)], 'slow', event.size, 1.0, span)
 
-    def do_fetch_slow(self, index, event, what, span, chance):
+    def do_fetch_slow(self, index, event, what, span, rng):
         self.set([self.stage.fleet.origin], 'slow', event.size, 1.0, span)
 
-    def do_hung(self, index, event, what, span, chance):
+    def do_hung(self, index, event, what, span, rng):
         models = [server.model for server in self.numbered(what)]
         for model in models:
             model.hung = True
-        self.stage.later(span, lambda: [model.thaw() for model in models])
+        self.stage.later(span, lambda: [model.end_hang() for model in models])
 
-    def do_garbled(self, index, event, what, span, chance):
+    def do_garbled(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'garbled', min(1.0, event.size / 10), 0.0, span)
 
-    def do_halved(self, index, event, what, span, chance):
+    def do_halved(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'halved', min(1.0, event.size / 10), 0.0, span)
 
-    def do_extra(self, index, event, what, span, chance):
+    def do_extra(self, index, event, what, span, rng):
         self.set(self.numbered(what), 'extra', min(1.0, event.size / 10), 0.0, span)
 
-    def do_crash(self, index, event, what, span, chance):
+    def do_crash(self, index, event, what, span, rng):
         """The server crashes, and restarts cold after the span."""
         for server in self.numbered(what):
             if server.port is not None:
                 server.close('crashed')
                 self.stage.later(span, server.restart)
 
-    def do_refuse(self, index, event, what, span, chance):
+    def do_refuse(self, index, event, what, span, rng):
         """The server stops listening for the span; open connections continue."""
         for server in self.numbered(what):
             if server.port is not None:
@@ -183,17 +183,17 @@
                 self.stage.later(span, self.listen_again, server)
 
     def listen_again(self, server):
-        if server.port is None and not self.stage.closing and self.stage.at_work(server.name):
+        if server.port is None and not self.stage.closing and self.stage.is_member(server.name):
             server.port = self.stage.listen(server, server.address)
 
-    def do_miss(self, index, event, what, span, chance):
+    def do_miss(self, index, event, what, span, rng):
         """Drop random cached values at all servers."""
         for server in self.caches():
             for key in list(server.model.kept):
-                if chance.random() < min(1.0, event.size / 10):
+                if rng.random() < min(1.0, event.size / 10):
                     server.model.void(key)
 
-    def do_drain(self, index, event, what, span, chance):
+    def do_drain(self, index, event, what, span, rng):
         """Servers drain and leave for good."""
         for server in self.numbered(what):
             self.drain(server, span)
@@ -205,7 +205,7 @@
         self.stage.later(span, self.gone, server)
 
     def gone(self, server):
-        if self.stage.at_work(server.name) and not server.model.draining:
+        if self.stage.is_member(server.name) and not server.model.draining:
             server.model.draining = True
             self.stage.roster.put(server.name, 'gone')
             self.stage.later(1_500_000, self.remove, server)
@@ -229,23 +229,23 @@
             speed=model.speed,
             queue=model.queue_limit,
             keeps=model.keeps,
-            connections=min(like.cap, 100_000),
+            connections=min(like.max_connections, 100_000),
         )
-        address = like.address if same_address else (stage.spot(2, stage.made + 5), 8000)
+        address = like.address if same_address else (stage.loopback_address(2, stage.made + 5), 8000)
         made = stage.add_server(name, kind, model.zone, model.cell, stage.clock(), address=address)
         made.number = like.number
         made.open()
         stage.roster.put(name, 'ready')
 
-    def do_replace(self, index, event, what, span, chance):
+    def do_replace(self, index, event, what, span, rng):
         """Remove servers without draining; a cold successor with a new name starts at the same address."""
         for server in self.numbered(what):
-            if self.stage.at_work(server.name) and not server.model.draining:
+            if self.stage.is_member(server.name) and not server.model.draining:
                 self.stage.roster.put(server.name, 'gone')
                 self.remove(server)
                 self.stage.later(50_000, self.join, server, True)  # when the port is free
 
-    def do_deploy(self, index, event, what, span, chance):
+    def do_deploy(self, index, event, what, span, rng):
         """Deploy to a part of the fleet (size in tenths) over the span, in batches of `count`."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         picked = all_[: max(1, int(len(all_) * min(10, event.size) / 10))]
@@ -260,11 +260,11 @@
 
     def deploy_batch(self, batch, span):
         for server in batch:
-            if self.stage.at_work(server.name):
+            if self.stage.is_member(server.name):
                 self.join(server)
                 self.drain(server, span)
 
-    def do_shrink(self, index, event, what, span, chance):
+    def do_shrink(self, index, event, what, span, rng):
         """Remove a part of the fleet (size in tenths), evenly over the span."""
         all_ = sorted(self.caches(), key=lambda server: server.number)
         leaving = all_[len(all_) - min(len(all_) - 1, int(len(all_) * event.size / 10)) :]
@@ -273,7 +273,7 @@
 
     # --- operators --------------------------------------------------------------------------------------
 
-    def do_suspend(self, index, event, what, span, chance):
+    def do_suspend(self, index, event, what, span, rng):
         """Operators suspend servers at every node, restart them, and resume them."""
         for server in self.numbered(what):
             for place in self.stage.places:
@@ -282,16 +282,16 @@
             self.stage.later(span, self.resume_server, server)
 
     def restart_server(self, server):
-        if server.port is not None and self.stage.at_work(server.name):
+        if server.port is not None and self.stage.is_member(server.name):
             server.close('restarted')
             self.stage.later(200_000, server.restart)
 
     def resume_server(self, server):
         for place in self.stage.places:
-            self.stage.see('hand', place.name, 'back', server.name)
+            self.stage.record_event('hand', place.name, 'back', server.name)
             self.stage.staff.tell(place, 'cache-servers/%s/resume' % server.name, 'returned', server.name)
 
-    def do_away(self, index, event, what, span, chance):
+    def do_away(self, index, event, what, span, rng):
         """Operators drain nodes, and clients avoid them 0.3 s later. The nodes are activated again after the
         span, and at least 4.5 s."""
         for place in self.places(what):
@@ -312,8 +312,10 @@
     def record_idle(self, place, running):
         """Record how many idle clients a drained node keeps after 4 s."""
         if place.running is running and place.away and not running.leaving:
-            kept = [seat for seat in self.stage.crowd.idle.get(place, ()) if seat.up and not seat.ending]
-            self.stage.see('hand', place.name, 'kept', str(len(kept)))
+            kept = [
+                seat for seat in self.stage.load_generator.idle.get(place, ()) if seat.up and not seat.ending
+            ]
+            self.stage.record_event('hand', place.name, 'kept', str(len(kept)))
 
     def activate_node(self, place, running):
         if place.running is running and not running.leaving:
@@ -331,9 +333,9 @@
 
     @property
     def network(self):
-        return self.stage.ground.network
+        return self.stage.environment.network
 
-    def do_cut(self, index, event, what, span, chance):
+    def do_cut(self, index, event, what, span, rng):
         """Partition sites from the others, without resets; traffic within a site continues."""
         for number in what:
             zone = self.stage.zones[number]
@@ -343,9 +345,9 @@
                 if where == zone and role in ('server', 'node', 'agent', 'client')
             }
             self.network.cut((index, number), apart)
-            self.stage.later(span, self.network.mend, (index, number))
+            self.stage.later(span, self.network.end_cut, (index, number))
 
-    def do_site_cut(self, index, event, what, span, chance):
+    def do_site_cut(self, index, event, what, span, rng):
         """Partition the nodes of one site from these servers only."""
         zone = self.stage.zones[index % len(self.stage.zones)]
         hosts = frozenset(place.address[0] for place in self.stage.places if place.zone == zone)
@@ -353,7 +355,7 @@
             self.network.apart[index, server.name] = (server.address[0], hosts)
             self.stage.later(span, self.rejoin, (index, server.name))
 
-    def do_vanish(self, index, event, what, span, chance):
+    def do_vanish(self, index, event, what, span, rng):
         """Machines disappear without closing connections, and restart cold."""
         for server in self.numbered(what):
             host = server.address[0]
@@ -362,22 +364,22 @@
             self.stage.later(span, self.network.restore, host)
             self.stage.later(span, server.restart)
 
-    def do_delay(self, index, event, what, span, chance):
+    def do_delay(self, index, event, what, span, rng):
         """Add latency to and from these servers: size in milliseconds."""
-        slower = self.stage.ground.slower
+        slower = self.stage.environment.slower
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
             slower[host] = int(event.size * 1_000)
         self.stage.later(span, lambda: [slower.pop(host, None) for host in hosts])
 
-    def do_resets(self, index, event, what, span, chance):
+    def do_resets(self, index, event, what, span, rng):
         """Reset connections to these servers at random bytes: size is the percentage of messages."""
         hosts = [server.address[0] for server in self.numbered(what)]
         for host in hosts:
-            self.network.resets[host] = (min(1.0, event.size / 100), chance)
+            self.network.resets[host] = (min(1.0, event.size / 100), rng)
         self.stage.later(span, lambda: [self.network.resets.pop(host, None) for host in hosts])
 
-    def do_dribble(self, index, event, what, span, chance):
+    def do_dribble(self, index, event, what, span, rng):
         """Sends of these nodes are accepted a few bytes at a time."""
         taken = [self.stage.places[number].running for number in what]
         processes = [running.process for running in taken if running is not None]
@@ -385,7 +387,7 @@
             self.network.stuck[process] = max(1, int(event.size * 10))
         self.stage.later(span, lambda: [self.network.stuck.pop(process, None) for process in processes])
 
-    def do_deaf(self, index, event, what, span, chance):
+    def do_deaf(self, index, event, what, span, rng):
         """Connects to these servers are not answered, as with full accept queues."""
         hosts = [server.address[0] for server in self.numbered(what)]
         self.network.deaf.update(hosts)
@@ -396,13 +398,13 @@
     def places(self, what):
         return [self.stage.places[number] for number in what]
 
-    def do_kill(self, index, event, what, span, chance):
+    def do_kill(self, index, event, what, span, rng):
         """Kill nodes with SIGKILL; they restart after the span with their old server list."""
         for place in self.places(what):
             self.stage.kill_node(place)
             self.stage.later(max(1, span), self.stage.start_node, place)
 
-    def do_term(self, index, event, what, span, chance):
+    def do_term(self, index, event, what, span, rng):
         """Stop nodes with SIGTERM; they restart once they have exited."""
         for place in self.places(what):
             self.stage.term_node(place)
@@ -414,25 +416,25 @@
         elif not self.stage.closing:
             self.stage.later(250_000, self.restart_node, place)
 
-    def do_hup(self, index, event, what, span, chance):
+    def do_hup(self, index, event, what, span, rng):
         """Send SIGHUP with settings that name another address of discovery."""
         stage = self.stage
         for place in self.places(what):
             if place.running is not None and not place.running.leaving:
                 stage.moves += 1
                 agent = stage.agents[place.number]
-                host = stage.spot(5, stage.moves)
+                host = stage.loopback_address(5, stage.moves)
                 stage.hosts[host] = ('agent', place.zone, place.name)
                 agent.move((host, agent.address[1]))
                 place.running.hup(stage.page(place))
 
-    def do_standstill(self, index, event, what, span, chance):
+    def do_standstill(self, index, event, what, span, rng):
         """Pause the processes, but not their operating systems."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.freeze(span)
 
-    def do_clock(self, index, event, what, span, chance):
+    def do_clock(self, index, event, what, span, rng):
         """The machine's clock runs at `size` times the true rate, within 20 %."""
         rate = min(1.2, max(0.8, event.size))
         for place in self.places(what):
@@ -441,13 +443,13 @@
                 running.reactor.drift(rate)
                 self.stage.later(span, running.reactor.drift, 1.0)
 
-    def do_step(self, index, event, what, span, chance):
+    def do_step(self, index, event, what, span, rng):
         """Step the wall clock ahead: size in seconds."""
         for place in self.places(what):
             if place.running is not None:
                 place.running.reactor.step(event.size)
 
-    def do_calls(self, index, event, what, span, chance):
+    def do_calls(self, index, event, what, span, rng):
         """System calls fail; `size` is the 1-based index in OWN_FAILURES."""
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         for place in self.places(what):
@@ -462,7 +464,7 @@
         process.calls.add(rule)
         self.stage.later(span, process.calls.remove, rule)
 
-    def do_descriptors(self, index, event, what, span, chance):
+    def do_descriptors(self, index, event, what, span, rng):
         """Leave only `size` free descriptors to the process."""
         for place in self.places(what):
             if place.running is not None:
@@ -474,50 +476,50 @@
     # --- planners ---------------------------------------------------------------------------------------
 
     def planners(self, what):
-        return [self.stage.offices[number] for number in what]
+        return [self.stage.planner_slots[number] for number in what]
 
-    def do_kill_planner(self, index, event, what, span, chance):
+    def do_kill_planner(self, index, event, what, span, rng):
         """Kill planners with SIGKILL; they restart after the span without state."""
-        for office in self.planners(what):
-            self.stage.kill_planner(office)
-            self.stage.later(max(1, span), self.stage.start_planner, office)
+        for planner_slot in self.planners(what):
+            self.stage.kill_planner(planner_slot)
+            self.stage.later(max(1, span), self.stage.start_planner, planner_slot)
 
-    def do_stop_planner(self, index, event, what, span, chance):
+    def do_stop_planner(self, index, event, what, span, rng):
         """Pause planners; they continue with the state they had."""
-        for office in self.planners(what):
-            if office.running is not None:
-                office.running.freeze(span)
+        for planner_slot in self.planners(what):
+            if planner_slot.running is not None:
+                planner_slot.running.freeze(span)
 
-    def do_cut_planner(self, index, event, what, span, chance):
+    def do_cut_planner(self, index, event, what, span, rng):
         """Partition planners from everything, without resets."""
-        for office in self.planners(what):
-            self.network.cut((index, office.name), {office.address[0]})
-            self.stage.later(span, self.network.mend, (index, office.name))
+        for planner_slot in self.planners(what):
+            self.network.cut((index, planner_slot.name), {planner_slot.address[0]})
+            self.stage.later(span, self.network.end_cut, (index, planner_slot.name))
 
-    def do_part_planner(self, index, event, what, span, chance):
+    def do_part_planner(self, index, event, what, span, rng):
         """Partition planners from the first half of the nodes."""
         half = [place.address[0] for place in self.stage.places[: max(1, len(self.stage.places) // 2)]]
-        for office in self.planners(what):
-            self.network.apart[index, office.name] = (office.address[0], frozenset(half))
-            self.stage.later(span, self.rejoin, (index, office.name))
+        for planner_slot in self.planners(what):
+            self.network.apart[index, planner_slot.name] = (planner_slot.address[0], frozenset(half))
+            self.stage.later(span, self.rejoin, (index, planner_slot.name))
 
     def rejoin(self, number):
         self.network.apart.pop(number, None)
         self.network.release()
 
-    def do_late_planner(self, index, event, what, span, chance):
+    def do_late_planner(self, index, event, what, span, rng):
         """Add latency to and from planners, in order: size in seconds."""
-        hosts = [office.address[0] for office in self.planners(what)]
-        self.stage.ground.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
-        self.stage.later(span, lambda: [self.stage.ground.slower.pop(host, None) for host in hosts])
+        hosts = [planner_slot.address[0] for planner_slot in self.planners(what)]
+        self.stage.environment.slower.update(dict.fromkeys(hosts, int(event.size * 1e6)))
+        self.stage.later(span, lambda: [self.stage.environment.slower.pop(host, None) for host in hosts])
 
-    def do_planner_clock(self, index, event, what, span, chance):
+    def do_planner_clock(self, index, event, what, span, rng):
         """The planner's clock runs up to 5 % fast or slow."""
-        for office in self.planners(what):
-            if office.running is not None:
-                office.running.reactor.drift(min(1.05, max(0.95, event.size)))
+        for planner_slot in self.planners(what):
+            if planner_slot.running is not None:
+                planner_slot.running.reactor.drift(min(1.05, max(0.95, event.size)))
 
-    def do_lower(self, index, event, what, span, chance):
+    def do_lower(self, index, event, what, span, rng):
         """Operators lower a limit to size tenths of its first value, but not below the seats' own budget.
         It is restored after the span."""
         bounds = self.stage.scenario.planning.bounds
@@ -526,7 +528,7 @@
             self.stage.lower(bound.name, max(bound.own, bound.most * min(10, event.size) / 10))
             self.stage.later(span, self.stage.lower, bound.name, bound.most)
 
-    def do_lie(self, index, event, what, span, chance):
+    def do_lie(self, index, event, what, span, rng):
         """Nodes report all servers to planners as failing (size under 1), slow (under 2) or healthy."""
         for place in self.places(what):
             running = place.running
@@ -537,39 +539,39 @@
 
     # --- clients ----------------------------------------------------------------------------------------
 
-    def do_shift(self, index, event, what, span, chance):
+    def do_shift(self, index, event, what, span, rng):
         """Clients use these nodes only."""
-        self.set([self.stage], 'leaning', tuple(what), (), span)
+        self.set([self.stage], 'preferred_nodes', tuple(what), (), span)
 
-    def do_burst(self, index, event, what, span, chance):
-        self.set([self.stage.crowd], 'factor', event.size, 1.0, span)
+    def do_burst(self, index, event, what, span, rng):
+        self.set([self.stage.load_generator], 'factor', event.size, 1.0, span)
 
-    def do_hot(self, index, event, what, span, chance):
+    def do_hot(self, index, event, what, span, rng):
         """`count` keys get a part of all requests: size in percent."""
-        self.set([self.stage.crowd], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
+        self.set([self.stage.load_generator], 'hot', (event.count, min(1.0, event.size / 100)), None, span)
 
     # --- discovery --------------------------------------------------------------------------------------
 
     def agents(self, what):
         return [self.stage.agents[number] for number in what]
 
-    def do_silence(self, index, event, what, span, chance):
+    def do_silence(self, index, event, what, span, rng):
         for agent in self.agents(what):
-            agent.hush(True)
-            self.stage.later(span, agent.hush, False)
+            agent.set_silent(True)
+            self.stage.later(span, agent.set_silent, False)
 
-    def do_lag(self, index, event, what, span, chance):
+    def do_lag(self, index, event, what, span, rng):
         """Delay the list at all agents: size in seconds."""
         self.set(self.stage.agents, 'lag', int(event.size * 1e6), 0, span)
 
-    def do_stale(self, index, event, what, span, chance):
+    def do_stale(self, index, event, what, span, rng):
         """Delay the list at these agents: size in seconds."""
         self.set(self.agents(what), 'lag', int(event.size * 1e6), 0, span)
 
-    def do_cut_watch(self, index, event, what, span, chance):
+    def do_cut_watch(self, index, event, what, span, rng):
         for agent in self.agents(what):
             agent.cut(False)
 
-    def do_half_line(self, index, event, what, span, chance):
+    def do_half_line(self, index, event, what, span, rng):
         for agent in self.agents(what):
             agent.cut(True)
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -13,9 +13,9 @@
 
 from ..changes import store
 from ..changes.replica import Replica
-from ..changes.writer import NotKeptError, Put, Writer
-from ..plan.book import Book
-from ..values import BadLine
+from ..changes.writer import ChangePut, NotStoredError, Writer
+from ..plan.voter_file import VoterFile
+from ..values import InvalidValueError
 from . import bentfiles
 from .callfaults import ERRNOS, FILE_CALLS, CallFault, CallFaults
 
@@ -88,7 +88,7 @@
 
     def __init__(self, folder):
         self.folder, self.acknowledged, self.unacknowledged = folder, [], []
-        self.limit = mock.patch.object(store, 'LINES', COMPACT_LINES)
+        self.limit = mock.patch.object(store, 'COMPACT_FROM_LINES', COMPACT_LINES)
         with self.limit:
             self.run_lifetime((1, 2, 3))
 
@@ -96,7 +96,7 @@
         """Run one process lifetime of the writer."""
         opened = store.Store(self.folder)
         try:
-            writer = Writer(Replica('w', 'w'), KEYS, opened.keep, opened.lines)
+            writer = Writer(Replica('w', 'w'), KEYS, opened.append_record, opened.lines)
             for value in values:
                 self.put(writer, value)
         finally:
@@ -106,7 +106,7 @@
         self.unacknowledged.append(value)  # until acknowledged, since the process may end
         try:
             writer.put('config', [('limit', str(value))], value)
-        except NotKeptError as err:
+        except NotStoredError as err:
             if 'may come back' not in str(err):
                 self.unacknowledged.remove(value)
         else:
@@ -115,7 +115,7 @@
 
     def run(self):
         """Run with faults injected."""
-        with self.limit, contextlib.suppress(BadLine):  # raised by a failing start
+        with self.limit, contextlib.suppress(InvalidValueError):  # raised by a failing start
             self.run_lifetime((4, 5, 6))
 
     def find_damage(self):
@@ -142,7 +142,7 @@
         """Return the values in a file, in order."""
         found = []
         for line in lines:
-            if isinstance(line, Put):
+            if isinstance(line, ChangePut):
                 found.append(int(line.change.items[0].value))
             elif hasattr(line, 'configuration') and line.configuration:
                 found.append(int(line.configuration['limit']))
@@ -156,22 +156,22 @@
 
     def __init__(self, folder):
         self.folder, self.acknowledged_bound, self.highest = folder, 1, 1
-        Book(folder, 'p0').write(1, ['p0'], 1)
+        VoterFile(folder, 'p0').write(1, ['p0'], 1)
 
     def run(self):
         """Run with faults injected."""
-        book = Book(self.folder, 'p0')
-        with contextlib.suppress(BadLine):
-            book.read()
+        voter_file = VoterFile(self.folder, 'p0')
+        with contextlib.suppress(InvalidValueError):
+            voter_file.read()
             for bound in (1_001, 2_001, 3_001):
                 self.highest = bound
                 with contextlib.suppress(OSError):
-                    book.write(bound, ['p0'], 1)
+                    voter_file.write(bound, ['p0'], 1)
                     self.acknowledged_bound = bound
 
     def find_damage(self):
         """Return what is wrong with the file afterwards, or None."""
-        found = Book(self.folder, 'p0').read().bound
+        found = VoterFile(self.folder, 'p0').read().bound
         if not self.acknowledged_bound <= found <= self.highest:
             return 'file has %d, acknowledged %d' % (found, self.acknowledged_bound)
         return None
@@ -193,7 +193,7 @@
             return 'raised %s: %s' % (type(err).__name__, str(err).replace(folder, ''))
         try:
             return made.find_damage()
-        except (BadLine, OSError) as err:
+        except (InvalidValueError, OSError) as err:
             return 'cannot be read again: %s' % str(err).replace(folder, '')
 
 
--- a/lilacdyke/lab/held.py
+++ b/lilacdyke/lab/held.py
@@ -7,7 +7,10 @@
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
 
-HARM, HARM_SITE = 0.2, 0.25  # largest stated shares of all servers, and of a site's, that may be held down
+MAX_RESTRAINED_SHARE, MAX_RESTRAINED_SITE_SHARE = (
+    0.2,
+    0.25,
+)  # largest stated shares of all servers, and of a site's, that may be held down
 ROW_TOLERANCE = 50_000  # microseconds of tolerance between the end of a hop and its row
 
 
@@ -175,7 +178,9 @@
         here = down[verdict.node][site]
         (here.add if step > 0 else here.discard)(verdict.server)
         total = sum(len(servers) for servers in down[verdict.node].values())
-        if total > HARM * len(count) or len(here) > max(1, HARM_SITE * len(by_site[site])):
+        if total > MAX_RESTRAINED_SHARE * len(count) or len(here) > max(
+            1, MAX_RESTRAINED_SITE_SHARE * len(by_site[site])
+        ):
             yield (
                 'harm',
                 at,
--- a/lilacdyke/lab/measure.py
+++ b/lilacdyke/lab/measure.py
@@ -12,7 +12,7 @@
 
 import click
 
-from . import ground
+from . import environment
 from .judges import COLD_ROOT_FACTOR, Case, cold_periods, judge, load_windows
 from .scenario import (
     Bound,
@@ -55,8 +55,8 @@
 
 def play_run(given, seed):
     """Play and check a scenario; return (rows, stage, violations)."""
-    stage = ground.play(given, seed)
-    return stage.witness.rows, stage, judge(given, stage.witness.rows)
+    stage = environment.play(given, seed)
+    return stage.recorder.rows, stage, judge(given, stage.recorder.rows)
 
 
 def served_share(rows, since, until):
@@ -95,7 +95,9 @@
                 for begin, end in ((0, 2), (4, 9))
             )
             digests = sum(
-                office.running.office.counts['digests'] for office in stage.offices if office.running
+                planner_slot.running.planner_process.counts['digests']
+                for planner_slot in stage.planner_slots
+                if planner_slot.running
             )
             click.echo(
                 '%3d forwarders, %-16s served in the first 2 s %.3f, from 4 to 9 s %.3f; %d digests; broken: %d; %.0f s'
--- a/lilacdyke/lab/mutants.py
+++ b/lilacdyke/lab/mutants.py
@@ -27,10 +27,10 @@
         base = self.drawn(seed, self.kinds, self.most)
         return check(self.fit(base)) if self.fit else base
 
-    def apply(self, ground):
+    def apply(self, environment):
         """Patch the program for a run."""
-        chance = ground.chance('mutant').random
-        self.build(ground.put, chance)
+        uniform = environment.random_source('mutant').random
+        self.build(environment.put, uniform)
 
 
 MUTANTS = {
--- a/lilacdyke/lab/parts/clients.py
+++ b/lilacdyke/lab/parts/clients.py
@@ -77,19 +77,19 @@
 class NodeConnection(HttpConnection):
     """Client connection to a node."""
 
-    def __init__(self, crowd, node, attempt):
+    def __init__(self, load_generator, node, attempt):
         super().__init__()
-        self.crowd, self.node, self.pending, self.attempt = crowd, node, attempt, None
+        self.load_generator, self.node, self.pending, self.attempt = load_generator, node, attempt, None
         self.used, self.ending, self.fresh = 0, False, False
 
     def clock(self):
-        return self.crowd.stage.clock()
+        return self.load_generator.stage.clock()
 
     def connectionMade(self):
         super().connectionMade()
         pending, self.pending = self.pending, None
         if pending is None or pending.connection is not self:
-            self.crowd.mark_idle(self)
+            self.load_generator.mark_idle(self)
         else:
             self.send(pending)
 
@@ -97,31 +97,31 @@
         """Report the attempt that waited for the connection as unreachable."""
         pending, self.pending = self.pending, None
         if pending is not None and pending.connection is self:
-            self.crowd.on_unreachable(pending)
+            self.load_generator.on_unreachable(pending)
 
     def send(self, attempt):
         """Send a request."""
         self.attempt, attempt.connection = attempt, self
         self.used += 1
-        self.crowd.write_request(self, attempt)
+        self.load_generator.write_request(self, attempt)
 
     def on_message(self, begun, start_line, fields, body):
         attempt, self.attempt = self.attempt, None
         if attempt is None:
-            self.crowd.stage.see('stray', self.node.name, 'an answer to nothing')
+            self.load_generator.stage.record_event('stray', self.node.name, 'an answer to nothing')
             self.transport.abortConnection()
             return
         self.ending = fields.get('connection', '').lower() == 'close'
         if len(body) > LARGE_BODY:
-            self.crowd.stage.see('begun', attempt.id, begun)
-        self.crowd.on_answer(self, attempt, start_line, fields, body)
+            self.load_generator.stage.record_event('begun', attempt.id, begun)
+        self.load_generator.on_answer(self, attempt, start_line, fields, body)
 
     def on_malformed(self, err):
-        self.crowd.stage.see('stray', self.node.name, 'not HTTP')
+        self.load_generator.stage.record_event('stray', self.node.name, 'not HTTP')
         self.transport.abortConnection()
 
     def on_close(self):
-        self.crowd.connection_closed(self)
+        self.load_generator.connection_closed(self)
 
 
 class LoadGenerator:
@@ -130,7 +130,7 @@
     def __init__(self, stage):
         self.stage, scenario = stage, stage.scenario
         self.behaviour, self.load = scenario.clients, scenario.load
-        self.rng = stage.chance('clients')
+        self.rng = stage.random_source('clients')
         self.draw = self.rng.random
         self.last_number, self.open = 0, 0
         self.factor, self.hot = 1.0, None  # rate multiplier; (number of hot keys, their share)
@@ -140,7 +140,7 @@
         self.tenants = list(accumulate(t.share * t.asks for t in scenario.tenants))
         self.idle = {}  # node -> idle connections, the latest used last
         self.replay = iter(self.load.replay_s)
-        self.stopped, self.id_prefix = False, stage.chance('names').getrandbits(32)
+        self.stopped, self.id_prefix = False, stage.random_source('names').getrandbits(32)
         self.until = int(scenario.length_s * 1e6)
 
     # --- arrivals ---------------------------------------------------------------------------------------
@@ -262,10 +262,10 @@
         stage.work_of[attempt.id] = tx.work
         now = attempt.sent_at = stage.clock()
         if attempt.crossed_close:
-            stage.see('again', attempt.id)
+            stage.record_event('again', attempt.id)
         else:
             tx.first = now if tx.first is None else tx.first
-            stage.see(
+            stage.record_event(
                 'ask',
                 attempt.id,
                 tx.number,
@@ -308,7 +308,7 @@
         stage, tx, status = self.stage, attempt.tx, int(start_line[1]) if start_line[1].isdigit() else 0
         self.cancel_timers(attempt)
         retry_after = fields.get('retry-after', '')
-        stage.see('answer', attempt.id, status, digest(body), retry_after)
+        stage.record_event('answer', attempt.id, status, digest(body), retry_after)
         if connection.ending or connection.fresh:
             connection.transport.loseConnection()
         else:
@@ -351,7 +351,7 @@
         """
         self.cancel_timers(attempt)
         if attempt.sent_at is not None:
-            self.stage.see('cut', attempt.id)
+            self.stage.record_event('cut', attempt.id)
         attempt.connection = None
         self.retry(attempt.tx, 'refused' if attempt.sent_at is None else 'failed', '')
 
@@ -374,7 +374,7 @@
         if connection is None or connection.attempt is not attempt:
             return
         self.cancel_timers(attempt)
-        self.stage.see('left', attempt.id)
+        self.stage.record_event('left', attempt.id)
         connection.attempt = None
         connection.transport.loseConnection()
         self.finish(attempt.tx, 'left')
@@ -397,13 +397,13 @@
             attempt.crossed_close = True  # closed between requests: send again on a new connection
             self.dispatch(attempt)
             return
-        self.stage.see('cut', attempt.id)
+        self.stage.record_event('cut', attempt.id)
         self.retry(attempt.tx, 'failed', '')
 
     def finish(self, tx, outcome):
         """Record the outcome of a transaction."""
         self.open -= 1
-        self.stage.see('over', tx.number, outcome, self.stage.clock() - tx.since)
+        self.stage.record_event('over', tx.number, outcome, self.stage.clock() - tx.since)
 
     # --- misbehaving clients ----------------------------------------------------------------------------
 
@@ -440,23 +440,23 @@
 class MisbehavingClient(HttpConnection):
     """Connection of a misbehaving client; the node must answer with an error or close it."""
 
-    def __init__(self, crowd, node, kind):
+    def __init__(self, load_generator, node, kind):
         super().__init__()
-        self.crowd, self.node, self.kind, self.since, self.reported = (
-            crowd,
+        self.load_generator, self.node, self.kind, self.since, self.reported = (
+            load_generator,
             node,
             kind,
-            crowd.stage.clock(),
+            load_generator.stage.clock(),
             False,
         )
 
     def clock(self):
-        return self.crowd.stage.clock()
+        return self.load_generator.stage.clock()
 
     def connectionMade(self):
         super().connectionMade()
         self.put(MISBEHAVIOURS[self.kind])
-        self.crowd.stage.later(3_500_000, self.give_up)
+        self.load_generator.stage.later(3_500_000, self.give_up)
 
     def on_connect_failed(self):
         self.report('unreached')
@@ -464,7 +464,9 @@
     def report(self, outcome):
         if not self.reported:
             self.reported = True
-            self.crowd.stage.see('rude', self.kind, self.node.name, outcome, self.clock() - self.since)
+            self.load_generator.stage.record_event(
+                'rude', self.kind, self.node.name, outcome, self.clock() - self.since
+            )
 
     def on_message(self, begun, start_line, fields, body):
         self.report('served' if start_line[1] == '200' else 'error')
--- a/lilacdyke/lab/parts/discovery.py
+++ b/lilacdyke/lab/parts/discovery.py
@@ -17,7 +17,7 @@
 
     def __init__(self, stage):
         self.stage, self.rows, self.version, self.agents = stage, {}, 1, []
-        self.rng = stage.chance('roster')
+        self.rng = stage.random_source('roster')
 
     def put(self, name, state, quiet=False, **fields):
         """Change a server's row. Each agent applies the change after its own delay, or at once if `quiet`."""
@@ -52,7 +52,7 @@
         self.coming, self.next_change_at = [], 0  # earliest time of the next change, to keep the order
         self.log = []  # (version, row) of applied changes
         self.watches, self.silent, self.lag, self.half = {}, False, 0, False
-        self.rng = stage.chance('agent ' + place.name)
+        self.rng = stage.random_source('agent ' + place.name)
         self.roster.agents.append(self)
         self.heartbeat_started = False
 
@@ -88,7 +88,7 @@
 
     def apply_change(self, version, server):
         """Apply a change and send it on all watches."""
-        self.stage.see('due', self.node, server['name'], server['state'])
+        self.stage.record_event('due', self.node, server['name'], server['state'])
         self.version = version
         if server['state'] == 'gone':
             self.rows.pop(server['name'], None)
@@ -105,7 +105,7 @@
         started = server['started']
         return {
             'instanceId': server['name'],
-            'hostPort': self.stage.ground.seen_as(self.number, server['address']),
+            'hostPort': self.stage.environment.seen_as(self.number, server['address']),
             'zone': server['zone'],
             'machineType': server['kind'],
             'cell': server['cell'],
@@ -150,7 +150,7 @@
                 watch.write(b'\n')
         self.stage.later(int(self.stage.scenario.discovery.beat_s * 1e6), self.send_heartbeat)
 
-    def hush(self, on):
+    def set_silent(self, on):
         """Stop sending, or resume and send what was missed."""
         self.silent = on
         if not on:
@@ -204,12 +204,12 @@
         self.write(json.dumps(page).encode() + b'\n')
 
     def record_told(self, page):
-        see, node = self.agent.stage.see, self.agent.node
+        record_event, node = self.agent.stage.record_event, self.agent.node
         states = {value: key for key, value in LIFECYCLES.items()}
         if page['reset']:
-            see('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
+            record_event('told', node, '*', ','.join(server['instanceId'] for server in page['instances']))
         for server in page['instances']:
-            see('told', node, server['instanceId'], states[server['lifecycle']])
+            record_event('told', node, server['instanceId'], states[server['lifecycle']])
 
     def write(self, data):
         if self.watching:
--- a/lilacdyke/lab/witness.py
+++ b/lilacdyke/lab/recorder.py
@@ -55,13 +55,13 @@
 }
 
 
-class Witness:
+class Recorder:
     """Collects the rows of a run."""
 
     def __init__(self, clock):
         self.clock, self.rows = clock, []  # clock: microseconds
 
-    def see(self, kind, *fields):
+    def record_event(self, kind, *fields):
         """Append a row with the current time."""
         self.rows.append((kind, self.clock(), *fields))
 
--- a/lilacdyke/lab/runs.py
+++ b/lilacdyke/lab/runs.py
@@ -11,11 +11,11 @@
 import time
 from concurrent.futures import ProcessPoolExecutor, as_completed
 
-from . import ground
+from . import environment
 from . import scenario as scenarios
 from .judges import judge
+from .recorder import digest
 from .service import figures
-from .witness import digest
 
 
 class Outcome:
@@ -38,10 +38,10 @@
     started = time.perf_counter()
     gc.disable()  # a run makes few cycles but many long-lived objects
     try:
-        stage = ground.play(scenario, seed, patch, progress)
+        stage = environment.play(scenario, seed, patch, progress)
     finally:
         gc.enable()
-    recorded_rows = stage.witness.rows
+    recorded_rows = stage.recorder.rows
     wall = time.perf_counter() - started
     return Outcome(
         name=scenario.name,
@@ -53,7 +53,7 @@
         hash=digest(recorded_rows) if hashed else '',
         wall=wall,
         rows=recorded_rows if rows else None,
-        events=stage.ground.world.done,
+        events=stage.environment.world.done,
     )
 
 
--- a/lilacdyke/lab/stage.py
+++ b/lilacdyke/lab/stage.py
@@ -1,6 +1,6 @@
 """One run of a scenario: its nodes, servers, clients, discovery agents and planners.
 
-Assigns names, addresses and zones, and starts and ends the run. The environment (ground.py simulated,
+Assigns names, addresses and zones, and starts and ends the run. The environment (environment.py simulated,
 loopback.py real) provides the clock, timers, ports, connections and processes. Makes no decision for a node.
 """
 
@@ -12,8 +12,8 @@
 from .parts.model import Fleet, Model
 from .parts.servers import CacheServer
 from .parts.staff import Operators
+from .recorder import Recorder
 from .scenario import Kind
-from .witness import Witness
 
 NODE_PORT, AGENT_PORT, OPERATOR_PORT, PLANNER_PORT = 8000, 8500, 8100, 8200
 EPOCH_MS = 1_700_000_000_000  # Unix time at which simulated runs begin
@@ -45,27 +45,31 @@
 
 
 class Stage:
-    """All parts of one run. ground: ground.Ground or loopback.Ground."""
+    """All parts of one run. environment: environment.Environment or loopback.Environment."""
 
     log1p = staticmethod(log1p)
 
-    def __init__(self, scenario, seed, ground):
-        self.scenario, self.seed, self.ground = scenario, seed, ground
-        self.clock, self.later, self.drop = ground.clock, ground.later, ground.drop
-        self.listen, self.connect, self.chance = ground.listen, ground.connect, ground.chance
-        self.witness = Witness(ground.clock)
-        self.see = self.witness.see
+    def __init__(self, scenario, seed, environment):
+        self.scenario, self.seed, self.environment = scenario, seed, environment
+        self.clock, self.later, self.drop = environment.clock, environment.later, environment.drop
+        self.listen, self.connect, self.random_source = (
+            environment.listen,
+            environment.connect,
+            environment.random_source,
+        )
+        self.recorder = Recorder(environment.clock)
+        self.record_event = self.recorder.record_event
         self.profiles = {profile.name: profile for profile in scenario.profiles}
         self.work_of, self.body_digests, self.last_number = {}, {}, 0
         self.fleet, self.roster = Fleet(), Roster(self)
         self.servers, self.places, self.agents, self.hosts = {}, [], [], {}
         self.closing, self.made, self.moves = False, 0, 0
-        self.leaning = ()  # numbers of the nodes that receive clients; empty: all
+        self.preferred_nodes = ()  # numbers of the nodes that receive clients; empty: all
         self.serve_unknown = False  # whether to serve requests of clients other than the run's
         self.zones = [chr(97 + zone % 26) + str(zone // 26 or '') for zone in range(scenario.zones)]
         self.build()
-        self.crowd, self.staff = LoadGenerator(self), Operators(self)
-        self.faults = getattr(ground, 'faults', Faults)(self)
+        self.load_generator, self.staff = LoadGenerator(self), Operators(self)
+        self.faults = getattr(environment, 'faults', Faults)(self)
 
     def number(self):
         self.last_number += 1
@@ -73,7 +77,7 @@
 
     def unix_ms(self, when):
         """Convert a time of the run to Unix milliseconds."""
-        return self.ground.epoch_ms + when // 1_000
+        return self.environment.epoch_ms + when // 1_000
 
     # --- setup ------------------------------------------------------------------------------------------
 
@@ -95,11 +99,14 @@
         for number in range(scenario.nodes):
             zone = self.zones[number % len(self.zones)]
             place = NodeSlot(
-                number, zone, (self.spot(1, number), NODE_PORT), (self.spot(3, number), AGENT_PORT)
+                number,
+                zone,
+                (self.loopback_address(1, number), NODE_PORT),
+                (self.loopback_address(3, number), AGENT_PORT),
             )
             self.hosts[place.address[0]] = ('node', zone, place.name)
             self.hosts[place.agent[0]] = ('agent', zone, place.name)
-            self.hosts[self.spot(4, number)] = ('client', zone, place.name)
+            self.hosts[self.loopback_address(4, number)] = ('client', zone, place.name)
             self.places.append(place)
             self.agents.append(Agent(self, place))
         self.build_planners()
@@ -107,19 +114,20 @@
     def build_planners(self):
         """Create the planners and set the initial limits."""
         planning = self.scenario.planning
-        self.offices = [
-            PlannerSlot(number, (self.spot(6, number), PLANNER_PORT)) for number in range(planning.planners)
+        self.planner_slots = [
+            PlannerSlot(number, (self.loopback_address(6, number), PLANNER_PORT))
+            for number in range(planning.planners)
         ]
-        for office in self.offices:
-            self.hosts[office.address[0]] = (
+        for planner_slot in self.planner_slots:
+            self.hosts[planner_slot.address[0]] = (
                 'planner',
-                self.zones[office.number % len(self.zones)],
-                office.name,
+                self.zones[planner_slot.number % len(self.zones)],
+                planner_slot.name,
             )
         self.edition, self.limit_values = 1, {bound.name: bound.most for bound in planning.bounds}
 
-    def fleet_file(self, address_of=lambda office: '%s:%d' % office.address):
-        """Return the fleet file as plain values. address_of(office): a planner's address as seen by the
+    def fleet_file(self, address_of=lambda planner_slot: '%s:%d' % planner_slot.address):
+        """Return the fleet file as plain values. address_of(planner_slot): a planner's address as seen by the
         reader."""
         planning = self.scenario.planning
         rows = [
@@ -136,38 +144,41 @@
         return {
             **verdicts,
             'enabled': True,
-            'installation': self.ground.installation,
+            'installation': self.environment.installation,
             'edition': self.edition,
             'seats': planning.seats or self.scenario.nodes,
             'lease_s': planning.lease_s,
             'longest_s': max(profile.limit_s for profile in self.scenario.profiles),
             'limit': rows,
-            'planner': [{'name': office.name, 'address': address_of(office)} for office in self.offices],
+            'planner': [
+                {'name': planner_slot.name, 'address': address_of(planner_slot)}
+                for planner_slot in self.planner_slots
+            ],
         }
 
     # --- planners ---------------------------------------------------------------------------------------
 
-    def start_planner(self, office):
-        if office.running is None and not self.closing:
-            self.see('planner', office.name, 'up')
-            office.running = self.ground.start_planner(office)
+    def start_planner(self, planner_slot):
+        if planner_slot.running is None and not self.closing:
+            self.record_event('planner', planner_slot.name, 'up')
+            planner_slot.running = self.environment.start_planner(planner_slot)
 
-    def kill_planner(self, office):
-        running, office.running = office.running, None
+    def kill_planner(self, planner_slot):
+        running, planner_slot.running = planner_slot.running, None
         if running is not None:
-            self.see('planner', office.name, 'killed')
+            self.record_event('planner', planner_slot.name, 'killed')
             running.kill()
 
     def lower(self, name, most):
         """Change a limit in a new edition of the fleet file and reload all running planners."""
         self.edition, self.limit_values[name] = self.edition + 1, most
-        for office in self.offices:
-            if office.running is not None:
-                office.running.hup()
-        self.see('limit', name, most)
+        for planner_slot in self.planner_slots:
+            if planner_slot.running is not None:
+                planner_slot.running.hup()
+        self.record_event('limit', name, most)
 
     @staticmethod
-    def spot(role, number):
+    def loopback_address(role, number):
         """Return a loopback address for a role and a number."""
         return '127.%d.%d.%d' % (role, number // 250, number % 250 + 1)
 
@@ -184,14 +195,14 @@
             self.clock,
             self.later,
             self.drop,
-            self.chance('model ' + name),
-            self.see,
+            self.random_source('model ' + name),
+            self.record_event,
             started,
             origin,
         )
-        address = address or (self.spot(2, number), NODE_PORT)
+        address = address or (self.loopback_address(2, number), NODE_PORT)
         server = CacheServer(self, model, address, number)
-        server.cap = getattr(kind, 'connections', 1 << 30) if not origin else 1 << 30
+        server.max_connections = getattr(kind, 'connections', 1 << 30) if not origin else 1 << 30
         self.servers[name] = server
         self.hosts[address[0]] = ('server', zone, name)
         if not origin:
@@ -210,21 +221,21 @@
 
     def warm_caches(self):
         """Fill the caches with a random share of all keys, the popular ones first."""
-        scenario, chance = self.scenario, self.chance('warm')
+        scenario, rng = self.scenario, self.random_source('warm')
         names = sorted(self.fleet.servers)
         for rank in range(scenario.load.keys):
             for name in names:
-                if chance.random() < scenario.caches.warm_share:
+                if rng.random() < scenario.caches.warm_share:
                     self.fleet.servers[name].store('k%d' % rank, 0)
 
     def client_address(self, place):
-        return (self.spot(4, place.number), 0)
+        return (self.loopback_address(4, place.number), 0)
 
     def name_of(self, host):
         """Return the name of the host at an address."""
         return self.hosts.get(host, ('', '', host))[2]
 
-    def at_work(self, name):
+    def is_member(self, name):
         """Return whether a server is still part of the run."""
         return name in self.servers
 
@@ -235,7 +246,7 @@
         candidates = [
             place
             for place in self.places
-            if place.open and (not self.leaning or place.number in self.leaning)
+            if place.open and (not self.preferred_nodes or place.number in self.preferred_nodes)
         ] or [place for place in self.places if place.open]
         return candidates[int(draw() * len(candidates))] if candidates else None
 
@@ -244,12 +255,13 @@
         scenario, rules = self.scenario, self.scenario.rules
         agent = self.agents[place.number]
         return {
-            'installation': self.ground.installation,
+            'installation': self.environment.installation,
             'name': place.name,
-            'listen': '%s:%d' % (place.address[0], self.ground.port(place.address[1])),
-            'operator': '%s:%d' % (place.operator_address[0], self.ground.port(place.operator_address[1])),
-            'discovery': '%s:%d' % (agent.address[0], self.ground.port(agent.address[1])),
-            'seed': '%016x' % self.chance('seed %s %d' % (place.name, self.number())).getrandbits(64),
+            'listen': '%s:%d' % (place.address[0], self.environment.port(place.address[1])),
+            'operator': '%s:%d'
+            % (place.operator_address[0], self.environment.port(place.operator_address[1])),
+            'discovery': '%s:%d' % (agent.address[0], self.environment.port(agent.address[1])),
+            'seed': '%016x' % self.random_source('seed %s %d' % (place.name, self.number())).getrandbits(64),
             'limits': {
                 'cores': 1.0,
                 'memory_mb': scenario.limits.memory_mb,
@@ -327,12 +339,12 @@
         for agent in self.agents:
             agent.open()
         for name, most in self.limit_values.items():
-            self.see('limit', name, most)
-        for office in self.offices:
-            self.start_planner(office)
+            self.record_event('limit', name, most)
+        for planner_slot in self.planner_slots:
+            self.start_planner(planner_slot)
         for place in self.places:
             self.start_node(place)
-        self.later(SETTLE_US, self.crowd.begin)
+        self.later(SETTLE_US, self.load_generator.begin)
         self.later(SETTLE_US, self.faults.begin)
         self.later(1_000_000, self.close_idle)
 
@@ -340,8 +352,8 @@
         """Start a node's process; it receives clients a moment later."""
         if place.running is not None or self.closing:
             return
-        self.see('node', place.name, 'up')
-        place.running = self.ground.start_node(place, self.page(place))
+        self.record_event('node', place.name, 'up')
+        place.running = self.environment.start_node(place, self.page(place))
         self.later(300_000, self.open_node, place, place.running)
 
     def open_node(self, place, running):
@@ -357,7 +369,7 @@
         """Kill a node's process; clients are sent there until the death is noticed."""
         running, place.running = place.running, None
         if running is not None:
-            self.see('node', place.name, 'killed')
+            self.record_event('node', place.name, 'killed')
             running.leaving = True
             running.kill()
             place.known = self.agents[place.number].page()
@@ -366,16 +378,16 @@
     def term_node(self, place):
         """Send SIGTERM to a node; new connections arrive for a moment longer."""
         if place.running is not None and not place.running.leaving:
-            self.see('node', place.name, 'term')
+            self.record_event('node', place.name, 'term')
             place.running.leaving = True
             place.running.term()
             self.later(300_000, self.close_node, place)
 
     def exited(self, place, counts):
         """Record that a node's process has exited by itself."""
-        self.see('node', place.name, 'exit')
+        self.record_event('node', place.name, 'exit')
         if counts is not None:
-            self.see('counters', place.name, counts)
+            self.record_event('counters', place.name, counts)
         place.running, place.open = None, False
 
     def close_idle(self):
@@ -386,14 +398,14 @@
 
     def stop_clients(self):
         """Stop new client requests."""
-        self.crowd.stopped = True
+        self.load_generator.stopped = True
 
     def finish(self):
         """Begin the end of the run: send SIGTERM to all nodes."""
         self.closing = True
         for place in self.places:
             if place.running is not None and not place.running.leaving:
-                self.see('node', place.name, 'term')
+                self.record_event('node', place.name, 'term')
                 place.running.leaving = True
                 place.running.term()
 
--- a/lilacdyke/logic.py
+++ b/lilacdyke/logic.py
@@ -68,7 +68,7 @@
 
     def __init__(self, terms, seed, rank):
         super().__init__(terms, seed)
-        self.hint = min(terms.max_return, self.goal)  # delay suggested to rejected clients; 0: none
+        self.retry_delay = min(terms.max_retry_after, self.goal)  # for rejected clients; 0: none
         # ready: transactions to examine; timers: a heap; next_wake: the latest requested wake-up.
         self.ready, self.timers, self.next_wake, self.timer_count = deque(), [], None, 0
         self.arrived, self.interval = 0, 0  # time of the latest transaction, mean time between two
@@ -82,11 +82,11 @@
     def take(self, now, row, key, limit, write, since):
         """Accept a transaction that reached the node at `since`; it gets exactly one final answer."""
         self.arrived, self.interval = now, (7 * self.interval + now - self.arrived) / 8 if self.arrived else 0
-        self.often = 3 * self.interval * len(self.caches) <= 2 * self.goal
-        key_hash = crc32(key.encode()) if key is not None else int(self.chance() * (1 << 32))
+        self.gets_hops_often = 3 * self.interval * len(self.caches) <= 2 * self.goal
+        key_hash = crc32(key.encode()) if key is not None else int(self.uniform() * (1 << 32))
         tx = Tx(self.terms.profiles[row], key, key_hash, since, limit, write)
-        tx.refused = self.shares and self.shares.admits(now, tx.profile)
-        tx.twice = self.terms.may_copy and tx.read  # only idempotent reads are hedged
+        tx.refused = self.fleet_limits and self.fleet_limits.admit(now, tx.profile)
+        tx.hedgeable = self.terms.may_hedge and tx.read  # only idempotent reads are hedged
         if tx.read and key is not None:
             tx.key_seen = self.key_history.add(key_hash)
             self.recent_keys.add(key_hash)
@@ -96,17 +96,17 @@
             )
         self.ready.append(tx)
         if limit is not None:
-            self.alarm(limit, tx)
+            self.set_timer(limit, tx)
         return tx
 
-    def body_came(self, now, tx, limit):
+    def body_received(self, now, tx, limit):
         """Start the clock of a large request whose body is complete; its hop counts as in flight from now."""
         tx.taken, tx.limit = now, limit
         for hop in tx.hops:
             if hop.out:
                 hop.sent, hop.weight = now, 1
                 self.adjust_in_flight(hop.server, 1)
-        self.alarm(limit, tx)
+        self.set_timer(limit, tx)
 
     def hop_ended(self, now, hop, ending, duration, final, note):
         """Record the end of a hop; each hop ends once. final: the transaction has ended too."""
@@ -118,10 +118,10 @@
             self.record_answer(now, hop, duration, ending, note)
         elif ending == 'error':
             # A failing cache may be the fastest to answer; a second error in a row counts as silence.
-            (self.record_silence if server.doubt else self.halve_share)(now, server)
-            server.doubt = max(1, server.doubt)
+            (self.record_silence if server.unanswered_hops else self.halve_share)(now, server)
+            server.unanswered_hops = max(1, server.unanswered_hops)
         elif ending in ('spoilt', 'rejected'):
-            server.doubt = 0  # the server did answer
+            server.unanswered_hops = 0  # the server did answer
         elif (
             ending in ('unreachable', 'lost')
             or ending == 'expired'
@@ -179,7 +179,7 @@
 
     # --- deciding -------------------------------------------------------------------------------------
 
-    def alarm(self, when, tx):
+    def set_timer(self, when, tx):
         """Set a timer for a transaction, or for the server list if tx is None."""
         self.timer_count += 1
         heappush(self.timers, (when, self.timer_count, tx))
@@ -198,13 +198,13 @@
             heappop(self.timers)
             if tx is not None and not stale:
                 self.ready.append(tx)
-        if self.watch_at is not None and now >= self.watch_at:
-            # Request the list again if no answer arrives, in time for terms.ask_within.
-            self.watch_at = now + self.terms.ask_within // 2
-            self.alarm(self.watch_at, None)
+        if self.list_request_at is not None and now >= self.list_request_at:
+            # Request the list again if no answer arrives, in time for terms.list_request_within.
+            self.list_request_at = now + self.terms.list_request_within // 2
+            self.set_timer(self.list_request_at, None)
             return ('watch',)
         while self.ready:
-            decision = self.step(now, self.ready[0])
+            decision = self.next_decision(now, self.ready[0])
             if decision:
                 return decision
             self.ready.popleft()
@@ -213,7 +213,7 @@
             return 'wake', self.next_wake
         return None
 
-    def step(self, now, tx):
+    def next_decision(self, now, tx):
         """Return the decision that a transaction needs now, or None."""
         if tx.done:
             return self.cancel(tx)
@@ -243,7 +243,7 @@
 
     def step_in_flight(self, now, tx):
         """Handle a transaction with a hop in flight: hedge after the delay, or fetch after a miss."""
-        if tx.next_send_at is None or now < tx.next_send_at or not tx.twice:
+        if tx.next_send_at is None or now < tx.next_send_at or not tx.hedgeable:
             return None
         if tx.missed:
             return self.step_fetch(now, tx)
@@ -256,9 +256,9 @@
         """Send a read to the best untried cache; without one, give up unless this is only a copy."""
         if not (copy or tx.retry_cache or self.pay_for_retry(now, tx)):
             return self.give_up(now, tx, 'no budget for another attempt')
-        server = tx.retry_cache or self.pick(now, tx)
+        server = tx.retry_cache or self.choose_cache(now, tx)
         tx.retry_cache = decision = None
-        spare = 1 if self.terms.aside else 0  # a miss needs a hop to the origin
+        spare = 1 if self.terms.cache_aside else 0  # a miss needs a hop to the origin
         if server and len(tx.hops) < self.terms.max_hops - spare:
             decision = self.send(now, tx, server, copy)
         if not decision:
@@ -270,13 +270,15 @@
         else:
             tx.hedge_delay = server.hedge_timer.next_delay(tx.profile.goal // 4, tx.profile.goal // 2)
         tx.next_send_at = now + max(tx.hedge_delay, copy)  # only the first copy may follow at once
-        if tx.twice:
-            self.alarm(tx.next_send_at, tx)
+        if tx.hedgeable:
+            self.set_timer(tx.next_send_at, tx)
         return decision
 
     def step_single(self, now, tx):
         """Send a write or a non-repeatable request, which is retried only if it did not run or may repeat."""
-        server = tx.retry_cache or (self.origin if self.terms.aside and tx.write else self.pick(now, tx))
+        server = tx.retry_cache or (
+            self.origin if self.terms.cache_aside and tx.write else self.choose_cache(now, tx)
+        )
         tx.retry_cache = None
         decision = server and self.pay_for_retry(now, tx) and self.send(now, tx, server, False)
         return decision or self.give_up(now, tx, 'no server may be asked')
@@ -288,7 +290,7 @@
         if leader is not None and leader is not tx and len(tx.hops) < self.terms.max_hops - 1:
             self.followers.setdefault(tx.key, []).append(tx)
             return self.hold(tx)
-        if not self.origin or not self.accepts_read(now, tx, self.origin, self.chance()):
+        if not self.origin or not self.accepts_read(now, tx, self.origin, self.uniform()):
             return self.give_up(now, tx, 'origin is slow')
         if self.origin.out >= self.origin.in_flight_limit:
             mean = self.fetch_times.mean_and_deviation()[0] or self.goal // 4
@@ -307,9 +309,9 @@
     def hold(self, tx):
         """Hold a transaction until another one's fetch ends or the origin has capacity."""
         tx.held = True
-        self.alarm(self.hold_until(tx), tx)
+        self.set_timer(self.hold_until(tx), tx)
 
-    def pick(self, now, tx):
+    def choose_cache(self, now, tx):
         """Return the best-ranked untried cache that is neither overloaded nor set aside, or None.
 
         A read that leaves its home cache probably misses and loads the origin, so it takes from the retry
@@ -320,16 +322,16 @@
         # Writes ignore load limits, except in a wide overload, in which retried writes keep an origin down.
         urgent = tx.write and self.failure_ratio() < 0.5
         busy = BUSY_FACTOR * self.total_out / len(self.caches) + MIN_IN_FLIGHT
-        home, spare, aside, drawn = None, None, 0, self.chance()
+        home, spare, aside, drawn = None, None, 0, self.uniform()
         for server in self.ranked(now, tx):
-            if server in tried or server.state != 'ready' or not self.cold_room(now, server):
+            if server in tried or server.state != 'ready' or not self.cold_budget_allows(now, server):
                 continue
             room = urgent or server.out < server.in_flight_limit and self.accepts_read(now, tx, server, drawn)
             share = self.admitted_share(now, server)
             if share < 1:
                 # Few candidates, and by chance: one hop from each node would keep them all overloaded.
                 aside += 1
-                if aside > self.terms.max_hops or self.chance() >= share:
+                if aside > self.terms.max_hops or self.uniform() >= share:
                     spare = spare or (server if urgent else None)
                     continue
             if room and server.out <= busy:
@@ -346,7 +348,7 @@
 
     def load(self, now, server):
         """Return a sort key: this node's load relative to the server's capacity, set-aside servers last."""
-        size = server.weight * self.presence(now, server) + 1e-9
+        size = server.weight * self.capacity_factor(now, server) + 1e-9
         return self.admitted_share(now, server) < 1, (server.out + 1) / size
 
     def ranked(self, now, tx):
@@ -356,7 +358,7 @@
             for s in self.caches:
                 drawn = (mix64(s.name_hash ^ tx.key_hash) + 1) / (MASK_64 + 2)
                 size = (
-                    self.presence(now, s)
+                    self.capacity_factor(now, s)
                     * s.weight
                     * (ZONE_FACTOR if local and s.zone == self.terms.zone else 1)
                 )
@@ -372,7 +374,7 @@
 
         As waits at the caches or the origin grow, more keys share one home across zones, keys that were not
         read lately first. This depends on the key alone: one with two homes would miss in both."""
-        if self.terms.cross_price <= self.terms.waste_price:
+        if self.terms.cross_zone_fee <= self.terms.waste_fee:
             return False
         bound = 2 - 6 * self.common_wait(now) / self.goal
         if self.origin:
@@ -389,7 +391,7 @@
             return
         eligible = sum(s.zone == self.terms.zone for s in self.caches) if local else len(self.caches)
         spread = min(eligible, int(eligible * share) + 1)
-        first = int(self.chance() * spread) if spread > 1 else 0
+        first = int(self.uniform() * spread) if spread > 1 else 0
         tx.rank[:spread] = tx.rank[first:spread] + tx.rank[:first]
 
     def give_up(self, now, tx, why=None):
@@ -401,5 +403,5 @@
         ran = [hop for hop in tx.hops if hop.ran]
         self.finish(now, tx)
         if not ran or effect == IDEMPOTENT or effect == JOURNALLED and tx.profile.group == 'all':
-            return 'roll_back', tx, self.hint
+            return 'roll_back', tx, self.retry_delay
         return 'abandon', tx
--- a/lilacdyke/net/caches.py
+++ b/lilacdyke/net/caches.py
@@ -15,7 +15,7 @@
 from .http import ANSWER, BadMessage, Reader, request
 from .local_errors import NO_DESCRIPTOR, connecting_errno, local_errno
 from .sockets import Outgoing, buffered_bytes, connect, no_delay, nothing_unread, send_now
-from .tables import Table
+from .tables import SlotTable
 
 IDLE_FRACTION = 0.6  # fraction of the server's idle timeout after which idle connections are closed
 SETTLE_TIME = 100  # ticks after an answer before its connection carries the next hop
@@ -23,7 +23,7 @@
 # its remaining time and at most MAX_HOLD ticks, as all hops that wait reach the server at once.
 MIN_REDIAL_DELAY, MAX_REDIAL_DELAY, HOLD_DIVISOR, MAX_HOLD = 50, 500, 8, 2_500
 SHORT_IDLE_TIME = 3 * SETTLE_TIME  # ticks an idle connection is kept while the server has no free slots
-NOTES = {b'hit': 1, b'miss': 2, b'pending': 3}
+CACHE_STATUSES = {b'hit': 1, b'miss': 2, b'pending': 3}
 
 
 def ending(answer):
@@ -54,14 +54,14 @@
         'leave_by',
         'link',
         'done',
-        'in_part',
+        'on_partial',
         'held_until',
         'leaves',
     )
 
     def __init__(self, pool, message, until, wanted, leave_by, leaves):
         self.pool, self.message, self.until = pool, message, until
-        self.in_part = None  # called for each piece of a buffered answer of unknown length
+        self.on_partial = None  # called for each piece of a buffered answer of unknown length
         # wanted(): whether it may still be sent; leave_by: latest time for that, or None
         self.wanted, self.leave_by = wanted, leave_by
         self.leaves = leaves  # called when its first byte is sent
@@ -87,7 +87,7 @@
     @property
     def whole(self):
         """Whether the request's last byte has been sent."""
-        return bool(self.link) and self.link.left
+        return bool(self.link) and self.link.all_sent
 
     @property
     def unread(self):
@@ -108,7 +108,7 @@
         self.sink = None  # client that receives a streamed answer
         self.flow = None  # large request being streamed
         self.exchange, self.unsent = None, b''  # unsent: bytes not yet accepted by the system
-        self.left = True  # whether the system has accepted the hop's last byte
+        self.all_sent = True  # whether the system has accepted the hop's last byte
         # deadline_at: scheduled idle deadline; 0: none
         self.number, self.idle_until, self.deadline_at = None, None, 0
         self.ready_at = 0  # earliest time of the next hop
@@ -132,13 +132,13 @@
         source = exchange.message.source
         data = b''.join(request(exchange.message, max(1, exchange.until - self.pool.caches.clock())))
         if source:
-            self.left, self.buffered_at_send = False, len(data)
+            self.all_sent, self.buffered_at_send = False, len(data)
             self.transport.write(data)
             self.flow = Flow(source, self.transport, exchange.message.length is None, source.progressed)
             source.attach(self)
             return
         self.unsent = data[send_now(self.transport, data) :]
-        self.left = not self.unsent
+        self.all_sent = not self.unsent
         self.buffered_at_send = len(data) if len(self.unsent) == len(data) else 0
         if self.unsent:
             self.transport.registerProducer(self, False)
@@ -165,7 +165,7 @@
             self.unsent, data = b'', self.unsent
             self.transport.write(data)
         else:
-            self.left = True
+            self.all_sent = True
             self.transport.unregisterProducer()
 
     def stopProducing(self):
@@ -184,7 +184,7 @@
         except BadMessage as err:
             self.pool.caches.broken(self.pool.server, err)
             if self.sink:
-                self.cut_off()
+                self.abort_both()
             else:
                 self.finish('spoilt')
             self.close('answer out of form')
@@ -198,43 +198,43 @@
             self.answered(answer)
         elif self.reader.large:
             self.begin(self.reader.message)
-        elif self.holds_part:
+        elif self.has_partial_answer:
             self.last_piece = self.pool.caches.clock()
             if self.first_piece is None:
                 self.first_piece = self.last_piece
-            if self.exchange.in_part:
-                self.exchange.in_part()
+            if self.exchange.on_partial:
+                self.exchange.on_partial()
 
     @property
-    def holds_part(self):
+    def has_partial_answer(self):
         """Whether a partial 200 answer of unknown length is buffered, which may still become a large
         one. An answer that precedes the end of its request does not count.
         """
         message = self.reader.message
         return (
             self.exchange is not None
-            and self.left
+            and self.all_sent
             and message is not None
             and message.length is None
             and ending(message) == 'committed'
         )
 
-    def still_gives(self, now, spread):
+    def still_receiving(self, now, spread):
         """Return whether a partial answer is still being received: its pieces have spanned at least
         `spread` ticks, and the server has sent something recently or has data unread.
         """
-        if not self.holds_part or self.last_piece - self.first_piece < spread:
+        if not self.has_partial_answer or self.last_piece - self.first_piece < spread:
             return False
         return now < self.last_piece + STALL_TIMEOUT or not nothing_unread(self.transport)
 
-    def pass_on_part(self):
+    def stream_partial_answer(self):
         """Start streaming the partial answer as a large one."""
         self.begin(self.reader.message)
 
     def answered(self, answer):
         """Handle a complete answer."""
-        kept, how = self.left and answer.lasting and not self.reader.has_input, ending(answer)
-        if how == 'refused' and not answer.lasting and not self.used:
+        kept, how = self.all_sent and answer.keep_alive and not self.reader.has_input, ending(answer)
+        if how == 'refused' and not answer.keep_alive and not self.used:
             self.pool.declined()
         self.used = True
         if kept:
@@ -258,20 +258,20 @@
     def stream(self):
         """Forward received data of a large answer."""
         data, whole = self.reader.piece(), self.reader.whole
-        sink, lasting = self.sink, self.reader.message.lasting
+        sink, keep_alive = self.sink, self.reader.message.keep_alive
         if whole:
             self.sink = None
             self.reader.reset()
         sink.write_body(data)
         if whole:
             sink.finish_body()
-            if self.left and lasting and not self.reader.has_input:
+            if self.all_sent and keep_alive and not self.reader.has_input:
                 self.transport.resumeProducing()
                 self.pool.release(self)
             else:
                 self.close('closed after answer')
 
-    def cut_off(self):
+    def abort_both(self):
         """Abort a large answer that will not be completed."""
         sink, self.sink = self.sink, None
         sink.abort()
@@ -305,7 +305,7 @@
 
     def ended(self):
         """Handle an orderly end of the connection, which completes an answer delimited by it."""
-        answer = self.reader.end() if self.left else None
+        answer = self.reader.end() if self.all_sent else None
         if answer and self.sink:
             sink, self.sink = self.sink, None
             sink.finish_body()
@@ -325,7 +325,7 @@
         """
         self.closed_for = self.closed_for or why
         self.pool.forget(self)
-        if self.left:
+        if self.all_sent:
             self.transport.loseConnection()
         else:
             self.transport.abortConnection()
@@ -340,10 +340,10 @@
         if reason is not None and reason.check(ConnectionDone):
             self.ended()
         if self.sink:
-            self.cut_off()
+            self.abort_both()
         if self.exchange:
             # The hop surely did not run only if its last byte was not sent.
-            self.finish('lost' if self.left else 'unreachable')
+            self.finish('lost' if self.all_sent else 'unreachable')
 
 
 class Pool:
@@ -386,14 +386,14 @@
 
     def may_dial(self):
         """Return whether the fleet's limit on connections to this server permits another one."""
-        shares = self.caches.shares
-        return shares is None or shares.links(self.caches.clock(), self.server)
+        fleet_limits = self.caches.fleet_limits
+        return fleet_limits is None or fleet_limits.links(self.caches.clock(), self.server)
 
     def count(self, more):
         """Adjust the number of connections."""
         self.links += more
-        if self.caches.shares is not None:
-            self.caches.shares.linked(self.caches.clock(), self.server, more)
+        if self.caches.fleet_limits is not None:
+            self.caches.fleet_limits.linked(self.caches.clock(), self.server, more)
 
     def declined(self):
         """Handle a new connection that was refused and closed at its first hop: the server has no
@@ -412,10 +412,10 @@
         opening = connect(caches.reactor, self.address, link)
         number = caches.dialling.add(opening)
         caches.deadlines.at(caches.clock() + caches.connect_timeout, caches.dial_due, number)
-        opening.addCallbacks(self.dialled, self.failed, (number,), None, (number, link))
+        opening.addCallbacks(self.connection_up, self.failed, (number,), None, (number, link))
         opening.addErrback(caches.fault)
 
-    def dialled(self, link, number):
+    def connection_up(self, link, number):
         """Assign an established connection to the first waiting hop."""
         self.dials -= 1
         self.caches.dialling.remove(number)
@@ -578,19 +578,19 @@
     """All connections to servers, within a budget of descriptors."""
 
     def __init__(
-        self, reactor, deadlines, clock, place, budget, broken, fault, returned, events, call_failed
+        self, reactor, deadlines, clock, config, budget, broken, fault, returned, events, call_failed
     ):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.connect_timeout, self.idle_ticks = place.connect_within, int(place.idle * IDLE_FRACTION)
+        self.connect_timeout, self.idle_ticks = config.connect_within, int(config.idle * IDLE_FRACTION)
         self.budget = budget
         self.broken, self.fault = broken, fault  # called for malformed answers and for internal errors
         self.returned = returned  # called for a server that accepts connections again after refusing them
-        self.pools, self.table, self.dialling = {}, Table(), Table()
-        self.redials = Table()  # pools with a scheduled attempt to connect
+        self.pools, self.table, self.dialling = {}, SlotTable(), SlotTable()
+        self.redials = SlotTable()  # pools with a scheduled attempt to connect
         self.idle_links = {}  # idle connections by number, longest idle first
         self.call_failed = call_failed  # called for local failures
         self.events = events  # log of individual connections (events.py)
-        self.shares = None  # this node's share of the fleet's limits; None: no fleet
+        self.fleet_limits = None  # this node's share of the fleet's limits; None: no fleet
 
     @property
     def open(self):
--- a/lilacdyke/net/discovery.py
+++ b/lilacdyke/net/discovery.py
@@ -7,13 +7,13 @@
 import json
 import re
 
-from ..decode import address, find
-from ..values import STATES, BadLine, up
+from ..decode import get_setting, parse_address
+from ..values import STATES, InvalidValueError, to_ticks_ceil
 from .http import ANSWER, BadMessage, Chunks, Reader
 from .local_errors import local_errno
-from .logs import LOG, warn
+from .logs import LOG, log_warning
 from .sockets import Outgoing, connect, no_delay
-from .tables import Table
+from .tables import SlotTable
 
 # Timeouts in ticks. A hanging watch, one backoff and one prompt call together have to stay below the 6 s
 # after which a change counts as announced (docs/architecture.md).
@@ -41,16 +41,16 @@
     __slots__ = ('name', 'address', 'zone', 'kind', 'cell', 'state', 'weight', 'started')
 
     def __init__(self, row):
-        self.name = find(row, 'instanceId', str)
-        self.address = address(find(row, 'hostPort', str))
-        self.zone = find(row, 'zone', str)
-        self.kind = find(row, 'machineType', str)
-        self.cell = find(row, 'cell', int)
-        self.state = STATES.get(find(row, 'lifecycle', str))
-        self.weight = find(row, 'weight', (int, float))
-        self.started = find(row, 'startedAtMs', (int, float))
+        self.name = get_setting(row, 'instanceId', str)
+        self.address = parse_address(get_setting(row, 'hostPort', str))
+        self.zone = get_setting(row, 'zone', str)
+        self.kind = get_setting(row, 'machineType', str)
+        self.cell = get_setting(row, 'cell', int)
+        self.state = STATES.get(get_setting(row, 'lifecycle', str))
+        self.weight = get_setting(row, 'weight', (int, float))
+        self.started = get_setting(row, 'startedAtMs', (int, float))
         if self.state is None or not self.name or not 0 <= self.weight < 1e9 or not 0 <= self.started < 1e15:
-            raise BadLine('malformed entry: %r' % row)
+            raise InvalidValueError('malformed entry: %r' % row)
 
     def row(self):
         """Return the entry in discovery's format."""
@@ -69,8 +69,12 @@
 
 def read_list(tree):
     """Parse a list or a set of changes: (version, whether it is a complete list, entries)."""
-    rows = find(tree, 'instances', list)
-    return find(tree, 'generation', int), find(tree, 'reset', bool), [Entry(row) for row in rows]
+    rows = get_setting(tree, 'instances', list)
+    return (
+        get_setting(tree, 'generation', int),
+        get_setting(tree, 'reset', bool),
+        [Entry(row) for row in rows],
+    )
 
 
 def nesting_change(line):
@@ -101,7 +105,7 @@
                 self.discovery.last_received = self.discovery.clock()
                 self.line += self.chunks.read(self.reader.buffer)
                 self.process_lines()
-        except (BadMessage, BadLine, ValueError, RecursionError) as err:
+        except (BadMessage, InvalidValueError, ValueError, RecursionError) as err:
             self.discovery.lost(self, 'invalid answer: %s' % err)
         except Exception:
             LOG.exception('fault')
@@ -125,13 +129,13 @@
             del self.line[: end + 1]
             if not line and self.partial_list:
                 # An empty line is a heartbeat and cannot be part of a list.
-                raise BadLine('incomplete list')
+                raise InvalidValueError('incomplete list')
             if line and (whole := self.assemble_list(line)):
-                self.discovery.told(read_list(json.loads(whole)))
+                self.discovery.apply_list(read_list(json.loads(whole)))
             if not self.partial_list:
-                self.discovery.last_complete = self.discovery.last_word = self.discovery.last_received
+                self.discovery.last_complete = self.discovery.last_line_at = self.discovery.last_received
         if len(self.line) + len(self.partial_list) > MAX_LIST:
-            raise BadLine('line too long')
+            raise InvalidValueError('line too long')
         if self.chunks.ended:
             self.discovery.lost(self, 'ended')
 
@@ -155,14 +159,14 @@
 class Discovery:
     """Keeps a watch open, and tracks the version that the node has been given."""
 
-    def __init__(self, reactor, deadlines, clock, place, chance, node):
+    def __init__(self, reactor, deadlines, clock, config, uniform, node):
         self.reactor, self.deadlines, self.clock = reactor, deadlines, clock
-        self.target, self.chance, self.table = place.discovery, chance, Table()
+        self.target, self.uniform, self.table = config.discovery, uniform, SlotTable()
         self.node = node
         # If not set, the router decides when to open a watch; retries are made here in either mode.
-        self.pushed = not place.terms.watched
+        self.pushed = not config.terms.list_on_request
         self.backoff, self.max_backoff = (
-            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(place.stop_within * part))) for part in BACKOFF
+            max(MIN_BACKOFF, min(HEAD_TIMEOUT, int(config.stop_sending_timeout * part))) for part in BACKOFF
         )
         self.head_timeout = HEAD_TIMEOUT if self.pushed else QUEUED_HEAD_TIMEOUT
         # failures: consecutive; throttled: those rejected for load
@@ -172,7 +176,7 @@
         self.last_received, self.last_complete = 0, 0
         self.attempt = 0  # number of watches opened; a retry scheduled for an earlier one is void
         self.backing_off = False  # whether a retry is scheduled
-        self.last_word = None  # time of the last complete line; None: never
+        self.last_line_at = None  # time of the last complete line; None: never
         self.redials = 0  # consecutive local failures
 
     def close(self):
@@ -267,7 +271,7 @@
         else:
             self.deadlines.at(due, self.silent, number)
 
-    def told(self, lines):
+    def apply_list(self, lines):
         """Pass a list or change to the node."""
         self.redials = 0
         self.node.listed(*lines[1:])
@@ -279,14 +283,14 @@
             return
         self.close()
         self.failures += 1
-        warn('watch lost', why=why, failures=self.failures, version=self.version)
+        log_warning('watch lost', why=why, failures=self.failures, version=self.version)
         self.node.list_lost()
         self.throttled += watch.throttled
         wait = min(self.max_backoff, self.backoff << min(self.failures - 1, 8))
         if watch.throttled:
             wait = min(THROTTLED_BACKOFF, THROTTLED_BACKOFF // 8 << min(self.throttled, 8))
         self.backing_off = True
-        self.deadlines.at(self.clock() + int(wait * (0.5 + self.chance() / 2)), self.retry, self.attempt)
+        self.deadlines.at(self.clock() + int(wait * (0.5 + self.uniform() / 2)), self.retry, self.attempt)
 
 
 def started(entry, offset):
@@ -294,4 +298,4 @@
 
     offset: that clock minus Unix time.
     """
-    return up(entry.started / 1000) + offset if entry.started else None
+    return to_ticks_ceil(entry.started / 1000) + offset if entry.started else None
--- a/lilacdyke/net/logs.py
+++ b/lilacdyke/net/logs.py
@@ -10,7 +10,7 @@
 LOG = logging.getLogger('lilacdyke')
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Format a record as `at=… level=… event=…` followed by the fields of the event."""
 
     def format(self, record):
@@ -31,7 +31,7 @@
         return json.dumps(text)
 
 
-class Sparse(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Limit each event of level warning and above to MOST lines a minute, by the monotonic clock.
 
     Keeps the log readable when every request runs into the same fault.
@@ -55,20 +55,20 @@
         return self.counts[event] <= self.MOST
 
 
-def begin(level):
+def configure(level):
     """Log to standard error in this format: this package from `level` on, other libraries from warning on."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
-    handler.addFilter(Sparse())
+    handler.setFormatter(KeyValueFormatter())
+    handler.addFilter(RateLimitFilter())
     logging.basicConfig(level=logging.WARNING, handlers=[handler], force=True)
     LOG.setLevel(level.upper())
 
 
-def say(event, level=logging.INFO, **fields):
+def log_event(event, level=logging.INFO, **fields):
     """Log an event with its fields."""
     LOG.log(level, event, extra={'fields': fields})
 
 
-def warn(event, **fields):
+def log_warning(event, **fields):
     """Log an event at level warning, for operators to look at."""
-    say(event, logging.WARNING, **fields)
+    log_event(event, logging.WARNING, **fields)
--- a/lilacdyke/plan/forwarder.py
+++ b/lilacdyke/plan/forwarder.py
@@ -6,10 +6,10 @@
 must never delay one; leases reach transactions through the ledger.
 """
 
-from .ledger import longer
+from .ledger import max_elapsed
 
 UP, DOWN, DIALLING = 'up', 'down', 'dialling'
-SAYS = 4  # digests sent per lease
+DIGESTS_PER_LEASE = 4  # digests sent per lease
 SILENT_LEASES = 2  # leases without a plan after which a link is closed
 # Backoff between dials starts at lease / FIRST_BACKOFF_DIVISOR and ends at lease * MAX_BACKOFF_LEASES.
 FIRST_BACKOFF_DIVISOR, MAX_BACKOFF_LEASES = 4, 4
@@ -39,12 +39,12 @@
 class Forwarder:
     """The links of one forwarder."""
 
-    def __init__(self, now, fleet, purse, needs, used, chance):
-        self.purse, self.needs, self.used, self.chance = purse, needs, used, chance
+    def __init__(self, now, fleet, forwarder_ledger, needs, used, uniform):
+        self.forwarder_ledger, self.needs, self.used, self.uniform = forwarder_ledger, needs, used, uniform
         self.lease = fleet.lease
         self.accepts_limits, self.edition, self.mosts = fleet.accepts_limits, fleet.edition, fleet.mosts()
         self.planners = {
-            row.name: PlannerState(row.name, now + int(self.lease * chance() / FIRST_BACKOFF_DIVISOR))
+            row.name: PlannerState(row.name, now + int(self.lease * uniform() / FIRST_BACKOFF_DIVISOR))
             for row in fleet.planner
         }
         self.scheduled_wake = None  # time of the pending wake-up
@@ -53,13 +53,13 @@
 
     # --- inputs -----------------------------------------------------------------------------------------
 
-    def up(self, now, name):
+    def link_up(self, now, name):
         """Handle an established link."""
         planner = self.planners[name]
         planner.state, planner.state_since, planner.written = UP, now, True
-        planner.next_action = now + int(self.lease * self.chance() / SAYS)  # spreads first digests of a fleet
+        planner.next_action = now + int(self.lease * self.uniform() / DIGESTS_PER_LEASE)  # spreads them
 
-    def down(self, now, name):
+    def link_down(self, now, name):
         """Handle a closed link or a failed dial. Exponential backoff with jitter keeps a fleet from dialling
         a recovered planner all at once."""
         planner = self.planners[name]
@@ -75,28 +75,28 @@
         planner.state, planner.state_since, planner.next_action = (
             DOWN,
             now,
-            now + int(backoff * (0.5 + self.chance())),
+            now + int(backoff * (0.5 + self.uniform())),
         )
 
     def written(self, name, whole):
         """Set whether the send buffer of a link is empty. Nothing is sent to a peer that does not read."""
         self.planners[name].written = whole
 
-    def planned(self, now, name, plan):
+    def apply_plan(self, now, name, plan):
         """Process a plan. Return whether it was used."""
-        planner, request = self.planners[name], self.purse.sent.get(plan['seq'])
-        if not self.purse.planned(now, name, plan):
+        planner, request = self.planners[name], self.forwarder_ledger.sent.get(plan['seq'])
+        if not self.forwarder_ledger.apply_plan(now, name, plan):
             return False
         planner.last_plan_at = now
         # A planner whose limits are not adopted here is not reported as heard: others would count it as
         # reachable without having learned its edition.
-        if self.hear(plan['edition'], plan['mosts']):
+        if self.adopt_limits(plan['edition'], plan['mosts']):
             planner.digest_sent_at = request[1]
         if self.view:
-            self.view.planned(now, name, plan, request[1])
+            self.view.apply_plan(now, name, plan, request[1])
         return True
 
-    def hear(self, edition, mosts):
+    def adopt_limits(self, edition, mosts):
         """Adopt the limits of a newer edition, which later digests pass on to all planners. Return whether
         this edition, or a newer one, is in force."""
         if edition > self.edition and self.accepts_limits(mosts):
@@ -127,8 +127,8 @@
         for planner in self.planners.values():
             if planner.state == UP and now >= max(
                 planner.state_since, planner.last_plan_at or 0
-            ) + SILENT_LEASES * longer(self.lease):
-                self.down(now, planner.name)
+            ) + SILENT_LEASES * max_elapsed(self.lease):
+                self.link_down(now, planner.name)
                 return 'end', planner.name, 'silent'
             if now < planner.next_action:
                 continue
@@ -136,9 +136,9 @@
                 planner.state, planner.state_since, planner.next_action = DIALLING, now, now + self.lease
                 return 'dial', planner.name
             if planner.state == DIALLING:
-                self.down(now, planner.name)
+                self.link_down(now, planner.name)
                 return 'end', planner.name, 'no answer'
-            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.chance()) / SAYS)
+            planner.next_action = now + int(self.lease * (0.75 + 0.5 * self.uniform()) / DIGESTS_PER_LEASE)
             if planner.written:
                 return 'say', planner.name, self.digest(now, planner.name)
         first = min(planner.next_action for planner in self.planners.values())
@@ -149,10 +149,10 @@
 
     def digest(self, now, name):
         """Return the next digest for a planner."""
-        if self.needs_at is None or now >= self.needs_at + self.lease // (2 * SAYS):
+        if self.needs_at is None or now >= self.needs_at + self.lease // (2 * DIGESTS_PER_LEASE):
             self.needs_at, self.cached_needs = now, self.needs(now)
         spare, wants = self.cached_needs
-        used, account = self.used(), self.purse.account(name)
+        used, account = self.used(), self.forwarder_ledger.account(name)
         lent = (
             {}
             if account is None
@@ -160,9 +160,10 @@
         )
         # Leases from other planners count against what is wanted from this one.
         shortfall = {
-            key: amount - self.purse.borrowed(now, key) + lent.get(key, 0) for key, amount in wants.items()
+            key: amount - self.forwarder_ledger.leased(now, key) + lent.get(key, 0)
+            for key, amount in wants.items()
         }
-        digest = self.purse.digest(
+        digest = self.forwarder_ledger.digest(
             now, name, spare, {key: amount for key, amount in shortfall.items() if amount > 0}, used
         )
         if self.view:
--- a/lilacdyke/plan/leases.py
+++ b/lilacdyke/plan/leases.py
@@ -15,7 +15,7 @@
 that they recorded before. A voter persists an upper bound on these numbers across restarts.
 """
 
-from .ledger import longer, shorter
+from .ledger import max_elapsed, min_elapsed
 
 MAX_TASKS, MAX_WAITING, MAX_LIVES = 1_024, 1_024, 1_024  # bounds on what a voter remembers
 NUMBER_BLOCK = 1_000  # numbers reserved by one write to disk
@@ -27,13 +27,13 @@
 
 def promise_duration(lease):
     """Return how long a voter's promise lasts."""
-    return longer(lease)
+    return max_elapsed(lease)
 
 
 def startup_silence(lease):
     """Return how long a restarted voter must not answer: the longest that a promise of its previous life can
     last, allowing for a different clock rate."""
-    return longer(promise_duration(lease)) + 1
+    return max_elapsed(promise_duration(lease)) + 1
 
 
 class Promise:
@@ -53,26 +53,36 @@
     lease that a previous life may have promised.
     """
 
-    __slots__ = ('life', 'lease', 'persist', 'highest', 'bound', 'mute', 'promises', 'latest', 'waiting')
+    __slots__ = (
+        'life',
+        'lease',
+        'persist',
+        'highest',
+        'bound',
+        'silent_until',
+        'promises',
+        'latest',
+        'waiting',
+    )
 
     def __init__(self, now, life, lease, persist, bound, before=0):
         self.life, self.lease, self.persist = life, lease, persist
         self.highest = self.bound = bound
-        self.mute = now + startup_silence(max(lease, before))
+        self.silent_until = now + startup_silence(max(lease, before))
         # By task: the promise; the lives that were refused, in order of arrival.
         self.promises, self.waiting = {}, {}
         self.latest = {}  # by (task, life): (last sequence number processed, when this entry may be dropped)
 
     def votes(self, now):
         """Return whether this voter may answer yet."""
-        return self.highest is not None and now > self.mute
+        return self.highest is not None and now > self.silent_until
 
     def promise(self, now, task):
         """Return the task's unexpired promise, or None."""
         found = self.promises.get(task)
         return found if found is not None and now <= found.until else None
 
-    def told(self, now, message):
+    def on_message(self, now, message):
         """Process a seeker's message. Return (the answer or None, lives to notify that the task is free)."""
         task, life, seq, verb = message['task'], message['life'], message['seq'], message['verb']
         if not self.votes(now) or not self.is_new(now, task, life, seq):
@@ -188,13 +198,13 @@
         'life',
         'voters',
         'lease',
-        'chance',
+        'uniform',
         'seq',
         'wanted',
         'verb',
         'sent',
-        'yes',
-        'no',
+        'granted',
+        'denied',
         'number',
         'until',
         'next_round',
@@ -204,10 +214,10 @@
         'wakeup_at',
     )
 
-    def __init__(self, now, task, life, voters, lease, chance):
-        self.task, self.life, self.voters, self.lease, self.chance = task, life, list(voters), lease, chance
+    def __init__(self, now, task, life, voters, lease, uniform):
+        self.task, self.life, self.voters, self.lease, self.uniform = task, life, list(voters), lease, uniform
         self.seq, self.wanted, self.outbox = 0, False, []
-        self.verb, self.sent, self.yes, self.no = None, None, {}, set()  # the current round
+        self.verb, self.sent, self.granted, self.denied = None, None, {}, set()  # the current round
         self.number, self.until = None, None  # the current lease, or the last one held
         self.next_round, self.failures = now, 0  # when to start the next round
         # The lease number that 'got' reported to the host; the last wake-up requested from it.
@@ -239,7 +249,7 @@
         if self.wanted and self.until is None and self.verb is None:
             self.next_round = now
 
-    def told(self, now, voter, answer):
+    def on_answer(self, now, voter, answer):
         """Process a voter's answer; one that does not belong to the current round is ignored."""
         if (
             self.verb is None
@@ -249,18 +259,18 @@
         ):
             return
         if answer['yes']:
-            self.yes[voter] = answer['number']
+            self.granted[voter] = answer['number']
         else:
-            self.no.add(voter)
-            self.yes.pop(voter, None)
-        if len(self.yes) >= self.most:
+            self.denied.add(voter)
+            self.granted.pop(voter, None)
+        if len(self.granted) >= self.most:
             getattr(self, 'most_' + self.verb)(now)
-        elif len(self.voters) - len(self.no) < self.most:
+        elif len(self.voters) - len(self.denied) < self.most:
             self.round_failed(now)
 
     def most_ask(self, now):
         """A majority has promised: have the voters record a number above all of theirs."""
-        self.start_round(CONFIRM, now, max(self.yes.values()) + 1)
+        self.start_round(CONFIRM, now, max(self.granted.values()) + 1)
 
     def most_confirm(self, now):
         """A majority has recorded the number: the lease is held, unless it has expired already."""
@@ -275,7 +285,7 @@
             self.end_round()
 
     def holds(self):
-        self.until = self.sent + shorter(self.lease)
+        self.until = self.sent + min_elapsed(self.lease)
         self.next_round = self.sent + self.lease // RENEWALS_PER_LEASE
         self.end_round()
 
@@ -285,7 +295,7 @@
         """Start a round: send the request to all voters."""
         self.number = number if verb == CONFIRM else self.number
         self.send_all(verb, now, number)
-        self.verb, self.sent, self.yes, self.no = verb, now, {}, set()
+        self.verb, self.sent, self.granted, self.denied = verb, now, {}, set()
         self.next_round = now + max(1, self.lease // ROUND_PARTS)
 
     def send_all(self, verb, now, number=0):
@@ -297,7 +307,7 @@
         ]
 
     def end_round(self):
-        self.verb, self.yes, self.no = None, {}, set()
+        self.verb, self.granted, self.denied = None, {}, set()
 
     def round_failed(self, now):
         """Handle a round without a majority: release what was promised and retry after a randomized, growing
@@ -309,7 +319,7 @@
             return
         self.send_all(RELEASE, now)
         self.failures = min(4, self.failures + 1)
-        self.next_round = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.chance())))
+        self.next_round = now + max(1, int(self.lease * self.failures / 8 * (0.2 + self.uniform())))
 
     def decide(self, now):
         """Return the next decision for the host, or None."""
--- a/lilacdyke/plan/link.py
+++ b/lilacdyke/plan/link.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from ..net.logs import LOG, warn
+from ..net.logs import LOG, log_warning
 from ..net.sockets import Outgoing, no_delay, waiting
 from .frames import (
     ASK,
@@ -24,11 +24,11 @@
 )
 
 
-class Speaker(Protocol):
-    """One end of a link. heard: maps each kind of frame accepted here to the name of the method that handles
-    its fields."""
+class FrameProtocol(Protocol):
+    """One end of a link. handlers: maps each kind of frame accepted here to the name of the method that
+    handles its fields."""
 
-    heard = {}
+    handlers = {}
 
     def __init__(self):
         self.frames, self.ended = Frames(), False
@@ -41,8 +41,8 @@
             return
         try:
             for kind, fields in self.frames.feed(data):
-                if kind in self.heard and not self.ended:
-                    getattr(self, self.heard[kind])(fields)
+                if kind in self.handlers and not self.ended:
+                    getattr(self, self.handlers[kind])(fields)
         except UnsupportedVersionError as err:
             self.protocol_error('link refused', err)
         except BadFrameError as err:
@@ -53,8 +53,10 @@
 
     def protocol_error(self, event, err):
         """Log and count a malformed frame, and close this link."""
-        self.count_bad()
-        warn(event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err)
+        self.count_bad_frame()
+        log_warning(
+            event, peer='%s:%d' % (self.transport.getPeer().host, self.transport.getPeer().port), reason=err
+        )
         self.end()
 
     def say(self, kind, fields):
@@ -72,20 +74,20 @@
                 self.transport.abortConnection()
 
 
-class ToPlanner(Speaker, Outgoing):
+class ToPlanner(FrameProtocol, Outgoing):
     """A forwarder's end of a link."""
 
-    heard = {PLAN: 'plan_received'}
+    handlers = {PLAN: 'plan_received'}
 
-    def __init__(self, share, name):
+    def __init__(self, fleet_member, name):
         super().__init__()
-        self.share, self.name = share, name
+        self.fleet_member, self.name = fleet_member, name
 
     def plan_received(self, plan):
-        self.share.on_plan(self.name, plan)
+        self.fleet_member.on_plan(self.name, plan)
 
-    def count_bad(self):
-        self.share.node.count('bad_frames')
+    def count_bad_frame(self):
+        self.fleet_member.node.count('bad_frames')
 
     def send_digest(self, fields):
         """Send a digest unless earlier data is still buffered; the next digest supersedes it.
@@ -95,13 +97,13 @@
 
     def connectionLost(self, reason=None):
         self.ended = True
-        self.share.link_lost(self)
+        self.fleet_member.link_lost(self)
 
 
-class ToForwarder(Speaker):
+class ToForwarder(FrameProtocol):
     """A planner's end of a link."""
 
-    heard = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
+    handlers = {DIGEST: 'digest_received', ASK: 'status_requested', SEEK: 'vote_requested'}
 
     def __init__(self, factory):
         super().__init__()
@@ -130,7 +132,7 @@
         """Answer an operator's status request."""
         self.say(STATUS, self.factory.status())
 
-    def count_bad(self):
+    def count_bad_frame(self):
         self.factory.counts['bad_frames'] += 1
 
     def connectionLost(self, reason=None):
--- a/lilacdyke/plan/process.py
+++ b/lilacdyke/plan/process.py
@@ -12,18 +12,18 @@
 
 from twisted.internet.error import CannotListenError
 
-from ..net.logs import say, warn
+from ..net.logs import log_event, log_warning
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
-from ..values import SECOND, BadLine
-from . import book
-from .book import BookUnreadableError
+from ..values import SECOND, InvalidValueError
+from . import voter_file
 from .lease import Lease
 from .leases import Voter
 from .limits import FORWARDERS_PER_SEAT, address, read
 from .link import PlannerFactory
 from .planner import Planner
+from .voter_file import VoterFileUnreadableError
 
 COUNTS_INTERVAL = 10 * SECOND  # between two log lines of counts
 STORE_RETRY = SECOND // 2  # delay before a voter's file that could not be read is read again
@@ -31,7 +31,7 @@
 SEEKERS = 1_024  # links of processes that request task leases, in addition to the forwarders' links
 
 
-class Office:
+class PlannerProcess:
     """The process of a planner, without starting and stopping its reactor."""
 
     def __init__(self, fleet, index, reactor, system=System, life=None):
@@ -49,7 +49,7 @@
             self.fleet_status,
             self.vote,
         )
-        self.voter, self.book = None, None
+        self.voter, self.voter_file = None, None
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         if fleet.tasks is not None and self.name in fleet.voters:
             self.start_voter()
@@ -61,7 +61,7 @@
     def begin(self, host, port):
         """Start listening. Binding the address keeps a second process of the same planner from starting."""
         self.port = self.reactor.listenTCP(port, self.factory, backlog=1024, interface=host)
-        say(
+        log_event(
             'planner serves',
             planner=self.name,
             address='%s:%d' % (host, port),
@@ -74,7 +74,7 @@
 
     def digest_received(self, digest):
         """Return the plan that answers a digest, or None."""
-        return self.planner.told(self.clock(), digest)
+        return self.planner.process_digest(self.clock(), digest)
 
     def fleet_status(self):
         """Return the fields of the answer to an operator's status request."""
@@ -110,13 +110,17 @@
         if not self.reporter_lease.held() or self.reporter_lease.number != number:
             return
         now = self.clock()
-        verdicts = self.planner.sight.now_held(now).values() if self.planner.sight else ()
+        verdicts = (
+            self.planner.verdict_tracker.current_verdicts(now).values()
+            if self.planner.verdict_tracker
+            else ()
+        )
         kinds = Counter(verdict.kind for verdict in verdicts)
-        say(
+        log_event(
             'fleet',
             number=number,
             edition=self.planner.edition,
-            forwarders=len(self.planner.bank.holders),
+            forwarders=len(self.planner.planner_ledger.holders),
             backed=self.planner.has_quorum(now),
             **{'servers_' + kind: count for kind, count in sorted(kinds.items())},
         )
@@ -127,57 +131,59 @@
     def start_voter(self, _=0):
         """Start voting from the stored state of an earlier process. Do not vote, and log a warning, if that
         is missing or if more than one voter has changed since. Retry after a transient disk error."""
-        self.book = book.Book(self.fleet.tasks.folder, self.name)
+        self.voter_file = voter_file.VoterFile(self.fleet.tasks.folder, self.name)
         try:
-            self.book.read()
-            if not book.step(self.book.voters, self.fleet.voters):
-                raise BadLine('voters: more than one has changed; they were %s' % ', '.join(self.book.voters))
-            previous_lease, lease = self.book.lease, self.fleet.task_lease
-            if (self.book.voters, previous_lease) != (self.fleet.voters, lease):
-                self.book.write(self.book.bound, self.fleet.voters, max(lease, previous_lease))
-        except (BookUnreadableError, OSError) as err:
-            warn('does not vote yet', reason=err)
+            self.voter_file.read()
+            if not voter_file.step(self.voter_file.voters, self.fleet.voters):
+                raise InvalidValueError(
+                    'voters: more than one has changed; they were %s' % ', '.join(self.voter_file.voters)
+                )
+            previous_lease, lease = self.voter_file.lease, self.fleet.task_lease
+            if (self.voter_file.voters, previous_lease) != (self.fleet.voters, lease):
+                self.voter_file.write(self.voter_file.bound, self.fleet.voters, max(lease, previous_lease))
+        except (VoterFileUnreadableError, OSError) as err:
+            log_warning('does not vote yet', reason=err)
             self.deadlines.at(self.clock() + STORE_RETRY, self.start_voter, 0)
             return
-        except BadLine as err:
-            warn('does not vote', reason=err)
+        except InvalidValueError as err:
+            log_warning('does not vote', reason=err)
             return
         self.voter = Voter(
-            self.clock(), self.life, lease, self.persist_bound, self.book.bound, previous_lease
+            self.clock(), self.life, lease, self.persist_bound, self.voter_file.bound, previous_lease
         )
 
     def persist_bound(self, bound):
         """Store an upper bound on lease numbers. Return whether it was stored."""
         try:
-            self.book.write(bound, self.book.voters, self.fleet.task_lease)
+            self.voter_file.write(bound, self.voter_file.voters, self.fleet.task_lease)
         except OSError as err:
-            warn('number not kept', reason=err)
+            log_warning('number not kept', reason=err)
             return False
         return True
 
     def vote(self, message):
         """Return (the voter's answer or None, lives of those to notify that the task is free)."""
-        return (None, []) if self.voter is None else self.voter.told(self.clock(), message)
+        return (None, []) if self.voter is None else self.voter.on_message(self.clock(), message)
 
-    def reread(self, path):
+    def reload(self, path):
         """Reload the fleet file on SIGHUP, for a new edition of the limits. A file that is unreadable or
         rejected changes nothing."""
         try:
-            why = self.planner.reread(read(path))
-        except BadLine as err:
+            why = self.planner.reload(read(path))
+        except InvalidValueError as err:
             why = err
         if why:
-            warn('fleet file not taken', reason=why)
+            log_warning('fleet file not taken', reason=why)
         else:
-            say('edition', edition=self.planner.edition, **self.planner.mosts)
+            log_event('edition', edition=self.planner.edition, **self.planner.mosts)
 
     def log_counts(self, _):
         """Log a line of counts."""
         now = self.clock()
-        say(
+        log_event(
             'figures',
             links=len(self.factory.links),
-            forwarders=len(self.planner.bank.holders),
+            forwarders=len(self.planner.planner_ledger.holders),
             edition=self.planner.edition,
             backed=self.planner.has_quorum(now),
             memory_kb=self.system.memory_kb(),
@@ -194,17 +200,17 @@
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
-    planner_process = Office(fleet, index, reactor)
+    planner_process = PlannerProcess(fleet, index, reactor)
     for signum in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signum, lambda *_: reactor.callFromThread(reactor.stop))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(planner_process.reread, path))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(planner_process.reload, path))
     try:
         planner_process.begin(*address(fleet.planner[index].address))
     except CannotListenError as err:
-        warn('cannot listen', reason=err)
+        log_warning('cannot listen', reason=err)
         return 1
     gc.collect()
     gc.freeze()
     reactor.run(installSignalHandlers=False)
-    say('stopped', **planner_process.counts)
+    log_event('stopped', **planner_process.counts)
     return 0
--- a/lilacdyke/plan/staff.py
+++ b/lilacdyke/plan/status_cli.py
@@ -10,9 +10,9 @@
 
 import click
 
-from ..values import SECOND, BadLine
+from ..values import SECOND, InvalidValueError
 from . import limits
-from .belief import BACK, LEFT, SLOW, WELL
+from .active_verdicts import RECOVERED_SHARE, REMAINING_SHARE, SLOW, WELL
 from .frames import ASK, STATUS, BadFrameError, Frames, pack
 
 TIMEOUT = 2.0  # seconds to wait for the answer of a planner
@@ -25,13 +25,13 @@
         settings = limits.read(path)
         for name in tables:
             if getattr(settings, name) is None:
-                raise BadLine('%s: no such table' % name)
+                raise InvalidValueError('%s: no such table' % name)
         return settings
-    except BadLine as err:
-        wrong(path, err)
+    except InvalidValueError as err:
+        exit_invalid(path, err)
 
 
-def wrong(path, why):
+def exit_invalid(path, why):
     """Print one line to stderr, and exit with 2."""
     click.echo('lilacdyke: %s: %s' % (path, why), err=True)
     sys.exit(2)
@@ -53,7 +53,7 @@
     raise OSError('no answer in %g s' % timeout)
 
 
-def asked_of(row):
+def query_planner(row):
     """Query a planner of the fleet file. Return its answer, or print one line and return None."""
     try:
         return ask(limits.address(row.address))
@@ -65,8 +65,8 @@
 def effect_text(kind, factor, weight):
     """Describe the effect of a verdict at a forwarder that applies it."""
     if kind == WELL:
-        return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * BACK * weight)
-    share = 1 / factor if kind == SLOW else LEFT[kind]
+        return 'at least %.0f%% of its turns, where a forwarder doubts it' % (100 * RECOVERED_SHARE * weight)
+    share = 1 / factor if kind == SLOW else REMAINING_SHARE[kind]
     return 'keeps %.0f%% of its turns%s' % (
         100 * share**weight,
         ', its wait is expected' if kind == SLOW else '',
@@ -112,7 +112,7 @@
     """Show the verdict on each server, its evidence, age, weight and effect."""
     rows = [row for row in fleet_file(path).planner if name in (None, row.name)]
     if not rows:
-        wrong(path, 'planner: no %s' % name)
+        exit_invalid(path, 'planner: no %s' % name)
     while True:
         code = query_once(rows, as_json, watch)
         if not watch:
@@ -126,7 +126,7 @@
 def query_once(rows, as_json, clear):
     """Query planners until one answers, print its status, and return the exit code."""
     for row in rows:
-        status = asked_of(row)
+        status = query_planner(row)
         if status is None:
             continue
         if as_json:
--- a/lilacdyke/plan/tasks.py
+++ b/lilacdyke/plan/tasks.py
@@ -18,15 +18,15 @@
 import click
 import msgspec
 
-from ..net.logs import begin, say, warn
+from ..net.logs import configure, log_event, log_warning
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
-from ..values import SECOND, down
-from .book import Book
+from ..values import SECOND, to_ticks_floor
 from .lease import Lease
 from .sites import Name
-from .staff import asked_of, fleet_file, wrong
+from .status_cli import exit_invalid, fleet_file, query_planner
+from .voter_file import VoterFile
 
 LEASE_LOST_TERM, LEASE_LOST_KILL, NOT_ACQUIRED = 70, 71, 75
 TERM_PARTS, KILL_PARTS = 4, 12  # SIGTERM and SIGKILL are sent with 1 / PARTS of the lease left
@@ -39,12 +39,14 @@
 
     def __init__(self, fleet, task, command, wait, reactor):
         self.command, self.reactor = command, reactor
-        self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
+        self.zero, self.uniform = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.task, self.popen, self.code, self.term_sent = task, None, None, False
-        self.lease = Lease(reactor, self.deadlines, self.clock, fleet, task, self.chance, self.got, self.lost)
+        self.lease = Lease(
+            reactor, self.deadlines, self.clock, fleet, task, self.uniform, self.got, self.lost
+        )
         if wait is not None:
-            self.deadlines.at(self.clock() + down(wait), self.wait_expired, 0)
+            self.deadlines.at(self.clock() + to_ticks_floor(wait), self.wait_expired, 0)
         self.lease.acquire()
 
     def clock(self):
@@ -52,7 +54,7 @@
 
     def got(self, number):
         """Start the command, unless the lease has expired already."""
-        say('lease acquired', task=self.task, number=number)
+        log_event('lease acquired', task=self.task, number=number)
         if self.popen is None and self.code is None and self.lease.held():
             try:
                 self.popen = subprocess.Popen(
@@ -61,13 +63,13 @@
                     start_new_session=True,
                 )
             except OSError as err:
-                warn('cannot run the command', reason=err)
+                log_warning('cannot run the command', reason=err)
                 return self.finish(2)
             self.poll_command(0)
 
     def lost(self, number):
         """Kill the command: the lease has expired or was released."""
-        say('lease ended', task=self.task, number=number)
+        log_event('lease ended', task=self.task, number=number)
         if self.popen is not None and self.code is None:
             self.kill(LEASE_LOST_KILL)
 
@@ -83,7 +85,9 @@
             return self.kill(LEASE_LOST_KILL)
         if left < span // TERM_PARTS and not self.term_sent:
             self.term_sent = True
-            warn('lease is expiring, terminating the command', task=self.task, number=self.lease.number)
+            log_warning(
+                'lease is expiring, terminating the command', task=self.task, number=self.lease.number
+            )
             self.signal(signal.SIGTERM)
         self.deadlines.at(self.clock() + SECOND // POLLS_PER_S, self.poll_command, 0)
 
@@ -127,7 +131,7 @@
 def read(path):
     """Return the fleet file's settings. Exit with status 2 unless it is enabled and has tasks."""
     if not fleet_file(path).enabled:
-        wrong(path, 'enabled: is false')
+        exit_invalid(path, 'enabled: is false')
     return fleet_file(path, 'tasks')
 
 
@@ -144,9 +148,9 @@
     try:
         msgspec.convert(name, Name)
     except msgspec.ValidationError:
-        wrong('task', 'invalid name: %.60r' % name)
+        exit_invalid('task', 'invalid name: %.60r' % name)
     fleet = read(path)
-    begin('info')
+    configure('info')
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     reactor = Reactor()
     installReactor(reactor)
@@ -163,7 +167,7 @@
     """List voters, lease holders, lease numbers and the time left."""
     fleet, seen, voting = read(path), {}, []
     for row in fleet.planner:
-        found = asked_of(row)
+        found = query_planner(row)
         if found is None or row.name not in fleet.voters:
             continue
         voting.append('%s %s' % (row.name, 'votes' if found['votes'] else 'does not vote'))
@@ -198,12 +202,12 @@
 def voter(path, name, above):
     """Create the voter's number file, once, on the planner's host."""
     fleet = read(path)
-    book = Book(fleet.tasks.folder, name)
-    if name not in fleet.voters or os.path.exists(book.path):
+    voter_file = VoterFile(fleet.tasks.folder, name)
+    if name not in fleet.voters or os.path.exists(voter_file.path):
         click.echo(
             'lilacdyke: %s'
             % (
-                '%s: exists already' % book.path
+                '%s: exists already' % voter_file.path
                 if name in fleet.voters
                 else '%s: tasks: no voter %s' % (path, name)
             ),
@@ -211,7 +215,7 @@
         )
         sys.exit(2)
     try:
-        book.write(above, fleet.voters, fleet.task_lease)
+        voter_file.write(above, fleet.voters, fleet.task_lease)
     except OSError as err:
-        click.echo('lilacdyke: %s: %s' % (book.path, err.strerror), err=True)
+        click.echo('lilacdyke: %s: %s' % (voter_file.path, err.strerror), err=True)
         sys.exit(2)
--- a/lilacdyke/plan/view.py
+++ b/lilacdyke/plan/view.py
@@ -4,10 +4,10 @@
 Must never send, choose a server, change anything of a server but its word, or delay a transaction.
 """
 
-from ..known import NO_WORD
-from ..net.logs import say
+from ..known import NO_FLEET_BOUNDS
+from ..net.logs import log_event
 from ..values import SECOND
-from .belief import FAILING, SILENT, Belief, Seen
+from .active_verdicts import FAILING, SILENT, ActiveVerdicts, Seen
 
 MAX_UNANSWERED_REPORTS = 8  # reports to one planner that wait for a plan
 SLOW_GOAL_DIVISOR = 4  # answers are slow from 1/SLOW_GOAL_DIVISOR of the shortest goal on
@@ -30,21 +30,21 @@
 
     def __init__(self, node, span, planners):
         self.node, self.clock, self.span = node, node.clock, span
-        self.site = 'z%s' % node.place.terms.zone
+        self.site = 'z%s' % node.config.terms.zone
         self.slow_after = node.router.goal // SLOW_GOAL_DIVISOR
         self.seen = Seen(self.clock(), span, self.slow_after)
-        self.belief = Belief(span, node.chance, self.slow_after)
+        self.active_verdicts = ActiveVerdicts(span, node.uniform, self.slow_after)
         self.pending_reports = {name: {} for name in planners}  # by planner: reports by digest number
         self.acknowledged = {
             name: (None, {}) for name in planners
         }  # by planner: its life, and the evidence it has received
         # By server: (kind, whether it concerns only the network path from this site, until) of active words.
-        self.words, self.refresh_scheduled = {}, False
+        self.bounds_by_server, self.refresh_scheduled = {}, False
         self.next_log_at = 0  # verdict changes before this time are not logged
 
     # --- evidence ---------------------------------------------------------------------------------------
 
-    def ident(self, server):
+    def server_id(self, server):
         """Return (name, start time) as in discovery's list, or None if this node knows that the server is
         another process by now."""
         entry = self.node.entries.get(server.name)
@@ -62,21 +62,21 @@
     def ended(self, now, hop, how, lasted):
         """Record the end of a hop as evidence on its server."""
         server = hop.server
-        outcome, ident = (
+        outcome, server_id = (
             self.classify(hop, how, lasted, self.node.router.over(now, hop.tx)),
-            self.ident(server),
+            self.server_id(server),
         )
-        if outcome is None or ident is None or server.origin:
+        if outcome is None or server_id is None or server.origin:
             return
         quick = outcome == WELL and lasted < self.slow_after
-        self.saw(now, ident, outcome, lasted, quick)
-        if server.word is not NO_WORD and quick is (server.word[1] == 0):
-            self.look(now)
+        self.observe(now, server_id, outcome, lasted, quick)
+        if server.fleet_bounds is not NO_FLEET_BOUNDS and quick is (server.fleet_bounds[1] == 0):
+            self.apply_verdicts(now)
 
-    def saw(self, now, ident, outcome, lasted, quick):
+    def observe(self, now, server_id, outcome, lasted, quick):
         """Record one observation. quick: whether it was a fast success."""
-        self.seen.ended(now, ident, outcome, lasted)
-        self.belief.saw(now, ident, quick)
+        self.seen.ended(now, server_id, outcome, lasted)
+        self.active_verdicts.observe(now, server_id, quick)
 
     def report(self, now, planner, seq, life):
         """Return the evidence that has changed since the last report that this planner answered. life: the
@@ -96,52 +96,56 @@
         """Return servers to which this node sends less than their share, because of its own observations."""
         router = self.node.router
         return [
-            list(ident)
+            list(server_id)
             for server in router.caches
-            if router.turns(now, server) < 1 and (ident := self.ident(server))
+            if router.current_share(now, server) < 1 and (server_id := self.server_id(server))
         ]
 
     # --- verdicts ---------------------------------------------------------------------------------------
 
-    def planned(self, now, planner, plan, asked):
+    def apply_plan(self, now, planner, plan, asked):
         """Process a plan that answers the digest sent at `asked`."""
         life, versions = self.pending_reports[planner].pop(plan['seq'], (None, {}))
         self.acknowledged[planner] = (plan['life'], versions if life == plan['life'] else {})
         if plan['verdicts']:
-            self.belief.planned(asked, plan['verdicts'])
-        if plan['verdicts'] or self.words:
-            self.look(now)
+            self.active_verdicts.apply_plan(asked, plan['verdicts'])
+        if plan['verdicts'] or self.bounds_by_server:
+            self.apply_verdicts(now)
 
-    def look(self, now):
+    def apply_verdicts(self, now):
         """Set the words that follow from the current verdicts."""
-        idents = {server: ident for server in self.node.router.caches if (ident := self.ident(server))}
-        active_words = self.belief.words(now, {ident: server.zone for server, ident in idents.items()})
-        for server in self.node.router.known.values():
-            held, server.word = active_words.get(idents.get(server), (None, NO_WORD))
+        idents = {
+            server: server_id for server in self.node.router.caches if (server_id := self.server_id(server))
+        }
+        active_words = self.active_verdicts.bounds_by_server(
+            now, {server_id: server.zone for server, server_id in idents.items()}
+        )
+        for server in self.node.router.servers_by_name.values():
+            held, server.fleet_bounds = active_words.get(idents.get(server), (None, NO_FLEET_BOUNDS))
             self.update_word(
-                now, server.name, held.kind if held else None, bool(held and held.way), server.word[0]
+                now, server.name, held.kind if held else None, bool(held and held.way), server.fleet_bounds[0]
             )
-        for name in self.words.keys() - self.node.router.known.keys():
+        for name in self.bounds_by_server.keys() - self.node.router.servers_by_name.keys():
             self.update_word(now, name, None, False, 0)
-        if self.words and not self.refresh_scheduled:
+        if self.bounds_by_server and not self.refresh_scheduled:
             self.refresh_scheduled = True
             self.node.deadlines.at(now + max(1, self.span // REFRESHES_PER_SPAN), self.refresh_words, 0)
 
     def refresh_words(self, _):
         """Recompute words, since verdicts lose weight with age."""
         self.refresh_scheduled = False
-        self.look(self.clock())
+        self.apply_verdicts(self.clock())
 
     def update_word(self, now, name, kind, way, until):
         """Record the word of a server, and log changes at a limited rate."""
-        previous = self.words.pop(name, None)
+        previous = self.bounds_by_server.pop(name, None)
         if kind is not None:
-            self.words[name] = (kind, way, until)
+            self.bounds_by_server[name] = (kind, way, until)
         if (previous and previous[:2]) != (kind and (kind, way)) and now >= self.next_log_at:
             self.next_log_at = now + SECOND // LOG_LINES_PER_SECOND
-            say('verdict', server=name, kind=kind or 'none', way=way)
+            log_event('verdict', server=name, kind=kind or 'none', way=way)
 
-    def out(self, now, server):
+    def is_down(self, now, server):
         """Return whether the fleet considers a server down."""
-        word = self.words.get(server.name)
+        word = self.bounds_by_server.get(server.name)
         return word is not None and word[0] in (SILENT, FAILING) and now < word[2]
--- a/lilacdyke/scale/datapath.py
+++ b/lilacdyke/scale/datapath.py
@@ -28,20 +28,20 @@
         tenants=[],
         nodes=nodes,
         zone=0,
-        aside=False,
-        watched=False,
-        may_copy=True,
+        cache_aside=False,
+        list_on_request=False,
+        may_hedge=True,
         may_cancel=True,
         max_hops=5,
-        max_return=0,
-        ask_within=10 * SECOND,
+        max_retry_after=0,
+        list_request_within=10 * SECOND,
         fall_multiple=3,
-        fall_window=SECOND,
+        overload_window=SECOND,
         cold_from=0.2,
-        warm_up=10 * SECOND,
+        warm_up_time=10 * SECOND,
         tick=10,
-        cross_price=0,
-        waste_price=0,
+        cross_zone_fee=0,
+        waste_fee=0,
     )
 
 
@@ -117,7 +117,7 @@
 def changed_entry(servers, seed):
     """Milliseconds of processor time for one changed entry of the list."""
     router = bare_router(servers, seed)
-    known, rng = list(router.known.values()), Random(seed)
+    known, rng = list(router.servers_by_name.values()), Random(seed)
 
     def value():
         started = time.process_time()
--- a/lilacdyke/terms.py
+++ b/lilacdyke/terms.py
@@ -11,16 +11,16 @@
 class Profile:
     """Profile of a kind of transaction: its effect, goal and limits."""
 
-    __slots__ = ('name', 'effect', 'group', 'window', 'goal', 'late_revenue', 'hard')
+    __slots__ = ('name', 'effect', 'group', 'window', 'goal', 'late_revenue', 'hard_limit')
 
-    def __init__(self, name, effect, group, window, goal, late_revenue, hard=0):
+    def __init__(self, name, effect, group, window, goal, late_revenue, hard_limit=0):
         self.name = name
         self.effect = effect
         self.group = group  # 'all', 'zone' or 'cell': the servers among which journalled repeats are dropped
         self.window = window  # time after the first hop during which they are dropped
         self.goal = goal
         self.late_revenue = late_revenue
-        self.hard = hard  # hard limit of a client's total wait
+        self.hard_limit = hard_limit  # hard limit of a client's total wait
 
 
 class Tenant:
@@ -36,7 +36,7 @@
 class SiteTerms:
     """Terms of a site for its nodes: profiles, tenants, permissions, limits and prices.
 
-    cross_price is charged per transaction with one hop across zones, waste_price per transaction whose work
+    cross_zone_fee is charged per transaction with one hop across zones, waste_fee per transaction whose work
     is wasted once.
     """
 
@@ -45,20 +45,20 @@
         'tenants',
         'nodes',
         'zone',
-        'aside',
-        'watched',
-        'may_copy',
+        'cache_aside',
+        'list_on_request',
+        'may_hedge',
         'may_cancel',
         'max_hops',
-        'max_return',
-        'ask_within',
+        'max_retry_after',
+        'list_request_within',
         'fall_multiple',
-        'fall_window',
+        'overload_window',
         'cold_from',
-        'warm_up',
+        'warm_up_time',
         'tick',
-        'cross_price',
-        'waste_price',
+        'cross_zone_fee',
+        'waste_fee',
     )
 
     def __init__(self, **given):
--- a/lilacdyke/trial/draw.py
+++ b/lilacdyke/trial/draw.py
@@ -57,40 +57,44 @@
     'burst': (1.5, 3),
 }
 LEASE_S = 0.5
-KILL_STEPS = ('>plan.ledger:Bank.receive', '>plan.planner:Planner.told', '<plan.ledger:Bank.plan')
+KILL_STEPS = (
+    '>plan.ledger:PlannerLedger.record_deposits',
+    '>plan.planner:Planner.process_digest',
+    '<plan.ledger:PlannerLedger.plan',
+)
 
 
 def scenario(seed, kinds=None, most=5, length=6.0):
     """Return the trial of a seed. kinds: weight of each kind of fault in its timeline."""
-    chance = Random('trial/%d' % seed)
-    rate = chance.choice([60.0, 100.0])
+    rng = Random('trial/%d' % seed)
+    rate = rng.choice([60.0, 100.0])
     bounds = [
-        chance.choice(
+        rng.choice(
             [
-                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8)), profile='read'),
-                Bound(name='reads', most=round(rate * chance.uniform(0.4, 0.8))),
-                Bound(name='open', most=chance.randint(3, 8), what='open'),
-                Bound(name='fetches', most=round(rate * chance.uniform(0.1, 0.3)), what='fetches'),
+                Bound(name='reads', most=round(rate * rng.uniform(0.4, 0.8)), profile='read'),
+                Bound(name='reads', most=round(rate * rng.uniform(0.4, 0.8))),
+                Bound(name='open', most=rng.randint(3, 8), what='open'),
+                Bound(name='fetches', most=round(rate * rng.uniform(0.1, 0.3)), what='fetches'),
             ]
         )
     ]
-    if chance.random() < 0.4:
-        bounds.append(Bound(name='links', most=chance.randint(9, 20), what='links'))
+    if rng.random() < 0.4:
+        bounds.append(Bound(name='links', most=rng.randint(9, 20), what='links'))
     kinds, events = dict(kinds or KINDS), []
     if bounds[0].what == 'open':
         kinds.update(SERVER_LINK_KINDS)
     names = sorted(kinds)
-    for _ in range(chance.randint(2, most)):
-        kind = chance.choices(names, [kinds[name] for name in names])[0]
+    for _ in range(rng.randint(2, most)):
+        kind = rng.choices(names, [kinds[name] for name in names])[0]
         low, high = SIZE_RANGES.get(kind, (4, 4))
-        span = chance.uniform(0.3, 10 * LEASE_S if kind in ('stop_planner', 'standstill') else 3.0)
+        span = rng.uniform(0.3, 10 * LEASE_S if kind in ('stop_planner', 'standstill') else 3.0)
         events.append(
             Event(
-                at_s=round(chance.uniform(0.3, length * 0.7), 2),
+                at_s=round(rng.uniform(0.3, length * 0.7), 2),
                 kind=kind,
-                count=chance.choice([1, 1, 2]),
+                count=rng.choice([1, 1, 2]),
                 for_s=round(span, 2),
-                size=round(chance.uniform(low, high), 2),
+                size=round(rng.uniform(low, high), 2),
             )
         )
     return check(
@@ -197,10 +201,10 @@
 
 def server_verdicts(base):
     """Two sites with verdicts on servers, and mostly faults of servers and links."""
-    chance = Random('watched/%d' % base.seed)
+    rng = Random('watched/%d' % base.seed)
     names, events = sorted(VERDICT_KINDS), []
-    for _ in range(chance.randint(2, 5)):
-        kind = chance.choices(names, [VERDICT_KINDS[name] for name in names])[0]
+    for _ in range(rng.randint(2, 5)):
+        kind = rng.choices(names, [VERDICT_KINDS[name] for name in names])[0]
         low, high = SIZE_RANGES.get(
             kind,
             (0, 3)
@@ -214,14 +218,14 @@
         longest = 10 * LEASE_S if kind in ('stop_planner', 'standstill') else 3.0
         events.append(
             Event(
-                at_s=round(chance.uniform(0.3, 5.5), 2),
+                at_s=round(rng.uniform(0.3, 5.5), 2),
                 kind=kind,
-                count=chance.choice([1, 1, 2]),
-                for_s=round(chance.uniform(0.5, longest), 2),
-                size=round(chance.uniform(low, high), 2),
+                count=rng.choice([1, 1, 2]),
+                for_s=round(rng.uniform(0.5, longest), 2),
+                size=round(rng.uniform(low, high), 2),
             )
         )
-    bounds = [Bound(name='tries', what='tries', most=2.0)] if chance.random() < 0.3 else []
+    bounds = [Bound(name='tries', what='tries', most=2.0)] if rng.random() < 0.3 else []
     return replace(
         base,
         length_s=8.0,
@@ -229,7 +233,7 @@
         kinds=[Kind(count=6, cores=4)],
         load=Load(rate=120.0, keys=300),
         events=sorted(events, key=lambda event: event.at_s),
-        planning=replace(base.planning, seats=4, bounds=bounds, span_s=chance.choice([1.2, 1.5, 2.0])),
+        planning=replace(base.planning, seats=4, bounds=bounds, span_s=rng.choice([1.2, 1.5, 2.0])),
     )
 
 
@@ -257,18 +261,16 @@
     """Return the launcher's faults by process name: clock rates up to 5 % apart, steps of the wall clock, and
     planners that are killed between two operations, such as after recording a deposit and before lending
     it."""
-    chance = Random('bends/%d' % seed)
+    rng = Random('bends/%d' % seed)
     names = ['n%d' % number for number in range(trial_scenario.nodes)] + [
         'p%d' % number for number in range(trial_scenario.planning.planners)
     ]
     found = {}
     for name in names:
-        if chance.random() < 0.4:
-            found[name] = {'rate': chance.choice([0.976, 1.024])}  # relative to real time
-        if chance.random() < 0.2:
-            found.setdefault(name, {})['jumps'] = [
-                [chance.uniform(1, 5), chance.choice([-3600.0, 3600.0, -1.0])]
-            ]
-        if name[0] == 'p' and chance.random() < 0.25:
-            found.setdefault(name, {})['dies'] = {chance.choice(KILL_STEPS): chance.randint(2, 60)}
+        if rng.random() < 0.4:
+            found[name] = {'rate': rng.choice([0.976, 1.024])}  # relative to real time
+        if rng.random() < 0.2:
+            found.setdefault(name, {})['jumps'] = [[rng.uniform(1, 5), rng.choice([-3600.0, 3600.0, -1.0])]]
+        if name[0] == 'p' and rng.random() < 0.25:
+            found.setdefault(name, {})['dies'] = {rng.choice(KILL_STEPS): rng.randint(2, 60)}
     return found
