--- a/lilacdyke/trial/ground.py
+++ b/lilacdyke/trial/environment.py
@@ -51,25 +51,25 @@
     """A planner process that may be killed at a step; it is then restarted without its state and without that
     fault."""
 
-    def __init__(self, ground, office):
-        super().__init__(ground, office)
+    def __init__(self, environment, planner_slot):
+        super().__init__(environment, planner_slot)
         self.check_exit()
 
     def check_exit(self):
         """Restart the planner if its process has exited."""
-        stage = self.ground.stage
-        if self.office.running not in (None, self) or stage.closing:
+        stage = self.environment.stage
+        if self.planner_slot.running not in (None, self) or stage.closing:
             return
-        if self.popen.poll() is not None and self.office.running is self:
-            stage.see('planner', self.office.name, 'died')
-            self.ground.process_faults.get(self.office.name, {}).pop('dies', None)
-            self.office.running = None
-            self.ground.later(300_000, stage.start_planner, self.office)
+        if self.popen.poll() is not None and self.planner_slot.running is self:
+            stage.record_event('planner', self.planner_slot.name, 'died')
+            self.environment.process_faults.get(self.planner_slot.name, {}).pop('dies', None)
+            self.planner_slot.running = None
+            self.environment.later(300_000, stage.start_planner, self.planner_slot)
         else:
-            self.ground.later(50_000, self.check_exit)
+            self.environment.later(50_000, self.check_exit)
 
 
-class Ground(loopback.Ground):
+class Environment(loopback.Environment):
     """Real processes with relays between them. process_faults: launch.py's faults by process name."""
 
     def __init__(self, scenario, seed, reactor, process_faults=None, mutant=None):
@@ -80,8 +80,8 @@
     def faults(self, stage):
         return TrialFaults(stage)
 
-    def start_planner(self, office):
-        return Planning(self, office)
+    def start_planner(self, planner_slot):
+        return Planning(self, planner_slot)
 
     def program(self, name):
         options = dict(
@@ -135,12 +135,14 @@
             relay.open()
         return relay
 
-    def planner_for(self, place, office):
+    def planner_for(self, place, planner_slot):
         listen_address = (
-            '127.%d.%d.1' % (64 + place.number, office.number + 1),
-            self.port(office.address[1]),
+            '127.%d.%d.1' % (64 + place.number, planner_slot.number + 1),
+            self.port(planner_slot.address[1]),
+        )
+        self.relay_between(
+            place.name, planner_slot.name, listen_address, (planner_slot.address[0], listen_address[1])
         )
-        self.relay_between(place.name, office.name, listen_address, (office.address[0], listen_address[1]))
         return '%s:%d' % listen_address
 
     def histories(self):
@@ -164,7 +166,7 @@
     environments = []
 
     def build(*given):
-        environments.append(Ground(*given, process_faults, mutant))
+        environments.append(Environment(*given, process_faults, mutant))
         return environments[0]
 
     stage = loopback.play(scenario, seed, build=build, around=StallMonitor)
--- a/lilacdyke/trial/faults.py
+++ b/lilacdyke/trial/faults.py
@@ -29,14 +29,14 @@
     def plays(self, kind):
         return kind not in self.unsupported
 
-    def planner_links(self, event, what, chance):
+    def planner_links(self, event, what, rng):
         """Return the relays between these nodes and a random subset of the planners."""
-        offices = self.stage.offices
-        some = chance.sample(offices, chance.randint(1, len(offices))) if offices else []
+        planner_slots = self.stage.planner_slots
+        some = rng.sample(planner_slots, rng.randint(1, len(planner_slots))) if planner_slots else []
         return [
-            self.stage.ground.relays[self.stage.places[number].name, office.name]
+            self.stage.environment.relays[self.stage.places[number].name, planner_slot.name]
             for number in what
-            for office in some
+            for planner_slot in some
         ]
 
     def apply_for(self, relays, change, span):
@@ -56,70 +56,70 @@
             else relay.directions[: UP + 1]
         )
 
-    def do_way_cut(self, index, event, what, span, chance):
+    def do_way_cut(self, index, event, what, span, rng):
         """Drop traffic silently, in one direction or both."""
         self.apply_for(
-            self.planner_links(event, what, chance),
+            self.planner_links(event, what, rng),
             lambda relay: [
                 setattr(direction, 'cut', True) for direction in self.directions(relay, event.size)
             ],
             span,
         )
 
-    def do_way_tear(self, index, event, what, span, chance):
+    def do_way_tear(self, index, event, what, span, rng):
         """Cut a link after some more bytes, which may be in the middle of a frame."""
         self.apply_for(
-            self.planner_links(event, what, chance),
+            self.planner_links(event, what, rng),
             lambda relay: [
-                setattr(direction, 'cut_after', chance.randint(1, 60))
+                setattr(direction, 'cut_after', rng.randint(1, 60))
                 for direction in self.directions(relay, event.size)
             ],
             span,
         )
 
-    def do_way_late(self, index, event, what, span, chance):
+    def do_way_late(self, index, event, what, span, rng):
         """Delay traffic by up to seconds, without reordering."""
 
         def change(relay):
             for direction in relay.directions:
                 direction.delay, direction.jitter = int(event.size * 5e5), int(event.size * 5e5)
 
-        self.apply_for(self.planner_links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, rng), change, span)
 
-    def do_way_thin(self, index, event, what, span, chance):
+    def do_way_thin(self, index, event, what, span, rng):
         """Throttle a link to few bytes per second."""
         self.apply_for(
-            self.planner_links(event, what, chance),
+            self.planner_links(event, what, rng),
             lambda relay: [
                 setattr(direction, 'bytes_per_s', 20 + 100 * event.size) for direction in relay.directions
             ],
             span,
         )
 
-    def do_way_reset(self, index, event, what, span, chance):
-        self.apply_for(self.planner_links(event, what, chance), lambda relay: relay.reset(), span)
+    def do_way_reset(self, index, event, what, span, rng):
+        self.apply_for(self.planner_links(event, what, rng), lambda relay: relay.reset(), span)
 
-    def do_way_refuse(self, index, event, what, span, chance):
+    def do_way_refuse(self, index, event, what, span, rng):
         def change(relay):
             relay.refuse()
             relay.reset()
 
-        self.apply_for(self.planner_links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, rng), change, span)
 
-    def do_way_replay(self, index, event, what, span, chance):
+    def do_way_replay(self, index, event, what, span, rng):
         """Reset a link; the next connection starts with the first bytes of an earlier one."""
 
         def change(relay):
             relay.reset()
             relay.replays = True
 
-        self.apply_for(self.planner_links(event, what, chance), change, span)
+        self.apply_for(self.planner_links(event, what, rng), change, span)
 
-    def do_cut_planner(self, index, event, what, span, chance):
+    def do_cut_planner(self, index, event, what, span, rng):
         """Partition planners from all nodes."""
         self.part(what, self.stage.places, span)
 
-    def do_part_planner(self, index, event, what, span, chance):
+    def do_part_planner(self, index, event, what, span, rng):
         """Partition planners from the first half of the nodes."""
         self.part(what, self.stage.places[: max(1, len(self.stage.places) // 2)], span)
 
@@ -130,30 +130,30 @@
 
         self.apply_for(
             [
-                self.stage.ground.relays[place.name, office.name]
+                self.stage.environment.relays[place.name, planner_slot.name]
                 for place in places
-                for office in self.planners(what)
+                for planner_slot in self.planners(what)
             ],
             change,
             span,
         )
 
-    def do_late_planner(self, index, event, what, span, chance):
+    def do_late_planner(self, index, event, what, span, rng):
         def change(relay):
             for direction in relay.directions:
                 direction.delay = int(event.size * 5e5)
 
         self.apply_for(
             [
-                self.stage.ground.relays[place.name, office.name]
+                self.stage.environment.relays[place.name, planner_slot.name]
                 for place in self.stage.places
-                for office in self.planners(what)
+                for planner_slot in self.planners(what)
             ],
             change,
             span,
         )
 
-    def do_cut(self, index, event, what, span, chance):
+    def do_cut(self, index, event, what, span, rng):
         """Partition the nodes and caches of some zones from the others; planners belong to no zone."""
         zones = {self.stage.zones[number] for number in what}
 
@@ -164,7 +164,7 @@
         self.apply_for(
             [
                 relay
-                for (name, other), relay in self.stage.ground.relays.items()
+                for (name, other), relay in self.stage.environment.relays.items()
                 if self.apart(name, other, zones)
             ],
             change,
@@ -176,7 +176,7 @@
         server = self.stage.servers.get(other)
         return server is not None and (place.zone in zones) != (server.model.zone in zones)
 
-    def do_site_cut(self, index, event, what, span, chance):
+    def do_site_cut(self, index, event, what, span, rng):
         """Partition one zone from these servers, in one direction or both; other zones still reach them."""
         zone, names = (
             self.stage.zones[index % len(self.stage.zones)],
@@ -186,7 +186,7 @@
         self.apply_for(
             [
                 relay
-                for (name, other), relay in self.stage.ground.relays.items()
+                for (name, other), relay in self.stage.environment.relays.items()
                 if name in nodes and other in names
             ],
             lambda relay: [
@@ -195,7 +195,7 @@
             span,
         )
 
-    def do_delay(self, index, event, what, span, chance):
+    def do_delay(self, index, event, what, span, rng):
         names = {server.name for server in self.numbered(what)}
 
         def change(relay):
@@ -203,10 +203,12 @@
                 direction.delay = int(event.size * 1_000)
 
         self.apply_for(
-            [relay for (_, other), relay in self.stage.ground.relays.items() if other in names], change, span
+            [relay for (_, other), relay in self.stage.environment.relays.items() if other in names],
+            change,
+            span,
         )
 
-    def do_starve(self, index, event, what, span, chance):
+    def do_starve(self, index, event, what, span, rng):
         """Starve a process of CPU: it runs for a few milliseconds between longer stops."""
         end = self.stage.clock() + span
         for place in self.places(what):
--- a/lilacdyke/trial/gaps.py
+++ b/lilacdyke/trial/gaps.py
@@ -204,7 +204,7 @@
             time.sleep(1.5)
             fleet, zero = limits.read(path), time.monotonic() - 1
             deadlines = Deadlines(lambda: int((time.monotonic() - zero) * SECOND), reactor.callLater)
-            chance, measured = Random(1).random, {}
+            uniform, measured = Random(1).random, {}
             for number in range(seekers):
                 Lease(
                     reactor,
@@ -212,7 +212,7 @@
                     deadlines.clock,
                     fleet,
                     'task-%d' % (number % tasks),
-                    chance,
+                    uniform,
                     lambda number: counts.update(['got']),
                     lambda number: counts.update(['lost']),
                 ).acquire()
--- a/lilacdyke/trial/holders.py
+++ b/lilacdyke/trial/holders.py
@@ -24,9 +24,9 @@
 from ..lab.loopback import write_fleet
 from ..net.sockets import Reactor
 from ..net.system import System
-from ..plan.book import Book
 from ..plan.leases import Seeker, Voter
-from .ground import MAX_STALL_S, StallMonitor
+from ..plan.voter_file import VoterFile
+from .environment import MAX_STALL_S, StallMonitor
 from .relay import DOWN, UP, Relay
 
 VOTERS, SEEKERS, LEASE, LENGTH_S = 3, 4, 0.4, 9.0
@@ -53,7 +53,7 @@
 
     def begin(self, now, *given):
         original(self, now, *given)
-        self.mute = now - 1
+        self.silent_until = now - 1
 
     put(Voter, '__init__', begin)
 
@@ -69,21 +69,21 @@
 
 def reuses_number(put):
     def most_ask(self, now):
-        self.number = max(self.yes.values())
+        self.number = max(self.granted.values())
         self.holds()
 
     put(Seeker, 'most_ask', most_ask)
 
 
 def ignores_file(put):
-    original = Book.read
+    original = VoterFile.read
 
     def read(self):
         original(self)
         self.bound = 0
         return self
 
-    put(Book, 'read', read)
+    put(VoterFile, 'read', read)
 
 
 def never_expires(put):
@@ -197,7 +197,7 @@
     def later(self, wait, call, *given):
         return self.reactor.callLater(max(0, wait) / 1e6, call, *given)
 
-    def chance(self, name):
+    def random_source(self, name):
         return Random('%d/%s' % (self.seed, name))
 
     # --- processes --------------------------------------------------------------------------------------
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -19,8 +19,8 @@
 from ..net.sockets import Reactor
 from ..net.tables import Deadlines
 from ..plan import limits
-from ..plan.fleet import Share
-from ..plan.link import Speaker
+from ..plan.fleet import FleetMember
+from ..plan.link import FrameProtocol
 from ..terms import IDEMPOTENT, Profile
 from ..values import SECOND
 
@@ -35,12 +35,12 @@
     def __init__(self, number, reactor, profile):
         self.reactor, self.number = reactor, number
         self.zero = time.monotonic()
-        self.chance = Random(number).random
+        self.uniform = Random(number).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.system = self.place = self.terms = self
         self.rank, self.name, self.profiles = number, 'n%d' % number, [profile]
         self.caches = self.router = self
-        self.shares, self.counts = None, Counter()
+        self.fleet_limits, self.counts = None, Counter()
 
     def clock(self):
         return int((time.monotonic() - self.zero) * SECOND) + SECOND
@@ -60,7 +60,7 @@
     def send_requests(self, _):
         """Admit requests, at some forwarders more than their share."""
         for _ in range(1 + self.number % 3):
-            if self.shares.admits(self.clock(), self.profiles[0]) is None:
+            if self.fleet_limits.admit(self.clock(), self.profiles[0]) is None:
                 self.count('admitted')
         self.deadlines.at(self.clock() + SECOND // 2, self.send_requests, 0)
 
@@ -102,20 +102,20 @@
             [sys.executable, '-m', 'lilacdyke.trial.launch', '{}', 'plan', '--file', path, '--name', 'p0'],
             stderr=subprocess.DEVNULL,
         )
-        received, original = Counter(), Speaker.dataReceived
+        received, original = Counter(), FrameProtocol.dataReceived
 
         def counted(self, data):
             received['bytes'] += len(data)
             received['frames'] += 1
             original(self, data)
 
-        Speaker.dataReceived = counted
+        FrameProtocol.dataReceived = counted
         try:
             time.sleep(1.0)
             fleet, profile = limits.read(path), Profile('read', IDEMPOTENT, 'all', 0, 5000, 0, 10_000)
             fake_nodes = [FakeNode(number, reactor, profile) for number in range(forwarders)]
             for fake_node in fake_nodes:
-                fake_node.fleet = Share(fake_node, fleet)
+                fake_node.fleet = FleetMember(fake_node, fleet)
                 fake_node.send_requests(0)
             found = {}
 
--- a/lilacdyke/trial/relay.py
+++ b/lilacdyke/trial/relay.py
@@ -51,7 +51,7 @@
     def hold(self, data):
         """Queue bytes, or None for the end of the stream."""
         direction, now = self.relay.directions[self.direction], self.relay.clock()
-        due = now + direction.delay + int(direction.jitter * self.relay.chance.random())
+        due = now + direction.delay + int(direction.jitter * self.relay.rng.random())
         if direction.bytes_per_s and data:
             due = max(due, self.free) + int(len(data) * 1e6 / direction.bytes_per_s)
         self.free = due = max(self.free, due)
@@ -114,15 +114,19 @@
 
     noisy = False
 
-    def __init__(self, ground, name, listen_address, target, bind=None):
-        self.ground, self.name, self.listen_address, self.target, self.bind = (
-            ground,
+    def __init__(self, environment, name, listen_address, target, bind=None):
+        self.environment, self.name, self.listen_address, self.target, self.bind = (
+            environment,
             name,
             listen_address,
             target,
             bind,
         )
-        self.clock, self.later, self.chance = ground.clock, ground.later, ground.chance('relay ' + name)
+        self.clock, self.later, self.rng = (
+            environment.clock,
+            environment.later,
+            environment.random_source('relay ' + name),
+        )
         self.directions, self.ends, self.port = (Direction(), Direction()), {}, None
         # The first upstream bytes of an ended connection, sent to the next one if `replays` is set.
         self.replay_bytes = None
@@ -130,7 +134,7 @@
 
     def open(self):
         if self.port is None:
-            self.port = self.ground.reactor.listenTCP(
+            self.port = self.environment.reactor.listenTCP(
                 self.listen_address[1], self, 256, self.listen_address[0]
             )
 
@@ -144,7 +148,7 @@
         asked = RelayEnd(self, UP)
         asked.other = RelayEnd(self, DOWN)
         asked.other.other = asked
-        self.ground.reactor.connectTCP(
+        self.environment.reactor.connectTCP(
             *self.target, OutboundFactory(asked.other), timeout=5, bindAddress=self.bind
         )
         return asked
--- a/lilacdyke/trial/runs.py
+++ b/lilacdyke/trial/runs.py
@@ -16,7 +16,7 @@
 from ..lab.loopback import real
 from ..lab.service import figures
 from . import draw
-from .ground import MAX_STALL_S, play
+from .environment import MAX_STALL_S, play
 
 MAX_ATTEMPTS = 3
 SLACK_MS = 150.0  # tolerance of the time bounds that are checked
@@ -49,7 +49,7 @@
         real(scenario), rules=msgspec.structs.replace(scenario.rules, slack_ms=SLACK_MS)
     )
     stage, still = play(scenario, seed, draw.process_faults(seed, scenario), mutant)
-    rows = stage.witness.rows
+    rows = stage.recorder.rows
     found = [(broken.rule, broken.when / 1e6, broken.text) for broken in judge(scenario, rows)]
     return Verdict(
         seed=seed,
--- a/lilacdyke/trial/seeker.py
+++ b/lilacdyke/trial/seeker.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..net.logs import begin
+from ..net.logs import configure
 from ..net.sockets import Reactor
 from ..net.system import System
 from ..net.tables import Deadlines
@@ -56,11 +56,11 @@
             None,
             keep_probability,
         )
-        self.zero, self.chance = System.elapsed() - 1, Random(os.urandom(8)).random
+        self.zero, self.uniform = System.elapsed() - 1, Random(os.urandom(8)).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
         self.acts_left, self.acting = 0, False
         self.lease = Lease(
-            reactor, self.deadlines, self.clock, fleet, 'job', self.chance, self.on_got, self.on_lost
+            reactor, self.deadlines, self.clock, fleet, 'job', self.uniform, self.on_got, self.on_lost
         )
         self.lease.acquire()
 
@@ -73,7 +73,7 @@
     def on_got(self, number):
         self.history.record('got', number=number, until=self.lease.left())
         self.acts_left = (
-            LONG_HOLD_ACTS if self.chance() < self.keep_probability else 1 + int(MAX_ACTS * self.chance())
+            LONG_HOLD_ACTS if self.uniform() < self.keep_probability else 1 + int(MAX_ACTS * self.uniform())
         )
         self.act(0)
 
@@ -87,7 +87,7 @@
         if self.acts_left <= 0 or self.resource is None:
             self.lease.release()
             self.deadlines.at(
-                self.clock() + int(SECOND // 100 * self.chance()), lambda _: self.lease.acquire(), 0
+                self.clock() + int(SECOND // 100 * self.uniform()), lambda _: self.lease.acquire(), 0
             )
             return
         self.acts_left, self.acting = self.acts_left - (self.keep_probability <= 1), True
@@ -115,7 +115,7 @@
 def main(path, name, host, port, history, keep_probability):
     """Run until killed. keep_probability: probability of holding the lease for long; above 1: until it is
     lost."""
-    begin('error')
+    configure('error')
     reactor = Reactor()
     worker = Worker(reactor, limits.read(path), name, History(history), float(keep_probability))
     reactor.connectTCP(host, int(port), worker, timeout=5)
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -20,7 +20,7 @@
 from msgspec.structs import replace
 
 from ..changes import settings, store
-from ..changes.writer import Put
+from ..changes.writer import ChangePut
 from ..lab import loopback
 from ..lab.callsweep import NEEDED
 from ..lab.draw import STEPS_S
@@ -30,9 +30,9 @@
 from ..lab.scenario import Event, check
 from ..scale.fleet_run import free_ports
 from . import draw
+from .environment import Environment as TrialEnvironment
+from .environment import StallMonitor
 from .faults import TrialFaults
-from .ground import Ground as TrialGround
-from .ground import StallMonitor
 from .shim import Board
 
 # Weight of each kind of fault in the timeline.
@@ -97,26 +97,26 @@
     faults: list[str] = []
 
 
-def draw_size(kind, chance):
+def draw_size(kind, rng):
     """Draw the size of a fault of this kind."""
     if kind == 'step':
-        return chance.choice(STEPS_S)
+        return rng.choice(STEPS_S)
     if kind == 'calls':
-        return chance.randint(1, len(OWN_FAILURES))
-    return round(chance.uniform(*draw.SIZE_RANGES.get(kind, (4, 4))), 2)
+        return rng.randint(1, len(OWN_FAILURES))
+    return round(rng.uniform(*draw.SIZE_RANGES.get(kind, (4, 4))), 2)
 
 
 def draw_run(seed, seconds, nodes):
     """Return (scenario, extra faults) of a seed."""
-    chance = Random('soak/%d' % seed)
+    rng = Random('soak/%d' % seed)
     base, events, extra_faults = draw.scenario(seed), [], []
     for _ in range(max(2, int(seconds / MEAN_INTERVAL_S))):
-        kind = chance.choices(sorted(KINDS), [KINDS[name] for name in sorted(KINDS)])[0]
-        at, span = round(chance.uniform(0.5, seconds * 0.85), 2), round(chance.uniform(0.1, 3.0), 2)
+        kind = rng.choices(sorted(KINDS), [KINDS[name] for name in sorted(KINDS)])[0]
+        at, span = round(rng.uniform(0.5, seconds * 0.85), 2), round(rng.uniform(0.1, 3.0), 2)
         if kind in EXTRA_KINDS:
-            extra_faults.append(ExtraFault(at, kind, span, chance.randrange(1, 100)))
+            extra_faults.append(ExtraFault(at, kind, span, rng.randrange(1, 100)))
             continue
-        count, size = chance.choice((1, 1, 2, 3)), draw_size(kind, chance)
+        count, size = rng.choice((1, 1, 2, 3)), draw_size(kind, rng)
         events.append(Event(at_s=at, kind=kind, count=count, for_s=span, size=size))
     scenario = replace(
         base,
@@ -138,23 +138,23 @@
     def plays(self, kind):
         return kind in ('step', 'calls') or super().plays(kind)
 
-    def do_step(self, index, event, what, span, chance):
+    def do_step(self, index, event, what, span, rng):
         for place in self.places(what):
-            self.stage.ground.process_shim(place.name).step(event.size)
+            self.stage.environment.process_shim(place.name).step(event.size)
 
-    def do_calls(self, index, event, what, span, chance):
+    def do_calls(self, index, event, what, span, rng):
         call, number = OWN_FAILURES[(int(event.size) - 1) % len(OWN_FAILURES)]
         if call in NEEDED:
             span = min(span, MAX_NEEDED_FAILURE_US)
         for place in self.places(what):
-            self.stage.ground.process_shim(place.name).fail(span, {'call': call, 'errno': number})
+            self.stage.environment.process_shim(place.name).fail(span, {'call': call, 'errno': number})
 
 
 class ProcessShim:
     """Controls the shim of one process: combines overlapping faults on one board."""
 
-    def __init__(self, ground, path):
-        self.ground, self.board = ground, Board(path)
+    def __init__(self, environment, path):
+        self.environment, self.board = environment, Board(path)
         self.wall_s, self.calls = 0.0, []
 
     def put(self):
@@ -169,14 +169,14 @@
         """Apply call rules for so many microseconds."""
         self.calls += rules
         self.put()
-        self.ground.later(span, self.heal, rules)
+        self.environment.later(span, self.heal, rules)
 
     def heal(self, rules):
         self.calls = [rule for rule in self.calls if rule not in rules]
         self.put()
 
 
-class Ground(TrialGround):
+class Environment(TrialEnvironment):
     """The environment of a trial, with a shim in each process."""
 
     def __init__(self, scenario, seed, reactor, extra_faults, seconds):
@@ -216,24 +216,24 @@
 class WriterProcesses:
     """The writer, its relays, and the process that sends changes and records their results."""
 
-    def __init__(self, ground, seconds):
-        self.ground, self.processes = ground, {}
+    def __init__(self, environment, seconds):
+        self.environment, self.processes = environment, {}
         ports = free_ports(1 + RELAYS)
-        self.path = os.path.join(ground.folder, 'changes.toml')
+        self.path = os.path.join(environment.folder, 'changes.toml')
         relays = ''.join(RELAY_ENTRY % (number, ports[1 + number]) for number in range(RELAYS))
         with open(self.path, 'w', encoding='utf-8') as file:
-            file.write(CHANGES_FILE % (ports[0], ground.folder, relays))
+            file.write(CHANGES_FILE % (ports[0], environment.folder, relays))
         for name in ('w0', *('r%d' % number for number in range(RELAYS))):
             self.start(name)
-        self.results_path = os.path.join(ground.folder, 'told.jsonl')
+        self.results_path = os.path.join(environment.folder, 'told.jsonl')
         self.putter = subprocess.Popen(
             [sys.executable, '-m', 'lilacdyke.trial.putter', self.path, self.results_path, str(seconds)]
         )
 
     def start(self, name):
         command = ('change', 'run', '--file', self.path, '--name', name, '--log-level', 'error')
-        with open(os.path.join(self.ground.folder, name + '.log'), 'ab') as log:
-            self.processes[name] = subprocess.Popen([*self.ground.program(name), *command], stderr=log)
+        with open(os.path.join(self.environment.folder, name + '.log'), 'ab') as log:
+            self.processes[name] = subprocess.Popen([*self.environment.program(name), *command], stderr=log)
 
     def inject(self, kind, span):
         """Kill the writer and restart it later, or stop it for a while."""
@@ -241,10 +241,10 @@
         if kind == 'kill_writer':
             writer.kill()
             writer.wait()
-            self.ground.later(span, self.start, 'w0')
+            self.environment.later(span, self.start, 'w0')
         else:
             writer.send_signal(signal.SIGSTOP)
-            self.ground.later(span, writer.send_signal, signal.SIGCONT)
+            self.environment.later(span, writer.send_signal, signal.SIGCONT)
 
     def end(self):
         """End all processes; return (number of changes reported as kept, error in the writer's file or
@@ -263,7 +263,7 @@
         kept = [row['value'] for row in rows if row['told'] == 'kept']
         refused = {row['value'] for row in rows if row['told'] == 'refused'}
         lines = store.read(settings.read(self.path).named('w0').folder)
-        stored = [int(line.change.items[0].value) for line in lines if isinstance(line, Put)]
+        stored = [int(line.change.items[0].value) for line in lines if isinstance(line, ChangePut)]
         missing, extra = set(kept) - set(stored), refused & set(stored)
         if missing or extra or stored != sorted(stored):
             wrong = 'reported as kept but missing: %s; reported as refused but present: %s' % (
@@ -281,7 +281,7 @@
     environments = []
 
     def build(real_scenario, seed_, reactor):
-        environments.append(Ground(real_scenario, seed_, reactor, extra_faults, seconds))
+        environments.append(Environment(real_scenario, seed_, reactor, extra_faults, seconds))
         return environments[0]
 
     ended = []
@@ -293,7 +293,7 @@
         return monitor
 
     stage = loopback.play(scenario, seed, build=build, around=around)
-    rows = stage.witness.rows
+    rows = stage.recorder.rows
     broken = judge(scenario, rows)
     kept, wrong = ended[0]
     violations = [(found.rule, found.when / 1e6, found.text) for found in broken]
--- a/tests/changes/test_search.py
+++ b/tests/changes/test_search.py
@@ -68,9 +68,9 @@
 
 def persists_late(self, kind, items, at):
     """Send a change before it is stored, at the next put."""
-    kept, self.keep = self.keep, self.late.append
+    kept, self.append_record = self.append_record, self.late.append
     change = real_put(self, kind, items, at)
-    self.keep = kept
+    self.append_record = kept
     for line in self.late[:-1]:
         kept(line)
     del self.late[:-1]
@@ -153,7 +153,7 @@
     ],
     "ignores a relay's age": [(Replica, 'update_freshness', ignores_relay_age)],
     'fresh without a lease': [(Replica, 'age', fresh_without_a_lease)],
-    'ignores clock drift': [(replicas, 'longer', lambda span: span)],
+    'ignores clock drift': [(replicas, 'max_elapsed', lambda span: span)],
     'complete without children': [(Replica, 'complete', own_position_as_complete)],
     'snapshot ahead of its state': [(ChangeLog, 'snapshot', snapshot_ahead_of_state)],
     'unbounded tail': [(ChangeLog, 'covers', unbounded_tail)],
--- a/tests/lab/test_callsweep.py
+++ b/tests/lab/test_callsweep.py
@@ -24,7 +24,7 @@
         )
 
     def test_detects_a_node_that_closes_connections_on_enomem(self):
-        with mock.patch.object(transports, 'MOVING', frozenset()):
+        with mock.patch.object(transports, 'RETRIED_IO_ERRNOS', frozenset()):
             found = [callsweep.play(Point('recv', number, errno.ENOMEM, ONCE)) for number in range(20, 30)]
         self.assertTrue(any(found))
 
--- a/tests/lab/test_filesweep.py
+++ b/tests/lab/test_filesweep.py
@@ -8,7 +8,7 @@
 
 from lilacdyke.changes import store
 from lilacdyke.lab import filesweep
-from lilacdyke.plan.book import VERSION, Book
+from lilacdyke.plan.voter_file import VERSION, VoterFile
 
 EVERY = 13  # every 13th prefix of a write
 
@@ -43,11 +43,11 @@
             self.assertTrue(filesweep.sweep('writer', EVERY)[1])
 
     def test_detects_a_store_that_leaves_refused_lines(self):
-        with mock.patch.object(store.Store, 'cut_back', lambda self: None):
+        with mock.patch.object(store.Store, 'truncate_to_stored', lambda self: None):
             self.assertTrue(filesweep.sweep('writer', EVERY)[1])
 
     def test_detects_a_voter_that_overwrites_its_file(self):
-        with mock.patch.object(Book, 'write', write_in_place):
+        with mock.patch.object(VoterFile, 'write', write_in_place):
             self.assertTrue(filesweep.sweep('voter', EVERY)[1])
 
     def test_point_reproduces_its_run(self):
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,8 +8,8 @@
 from click.testing import CliRunner
 
 from lilacdyke.__main__ import main
-from lilacdyke.decode import place
-from lilacdyke.values import BadLine
+from lilacdyke.decode import parse_config
+from lilacdyke.values import InvalidValueError
 
 from .helpers import SETTINGS, page
 
@@ -21,14 +21,14 @@
 
 class Pages(unittest.TestCase):
     def test_valid_page(self):
-        config = place(page())
+        config = parse_config(page())
         self.assertEqual(
             (config.listen, config.seed, config.origin_kind, config.idle, config.connect_within),
             (('127.0.0.1', 9000), 0x8C1F, 'origin', 150_000, 2_500),
         )
 
     def test_tick_leaves_time_to_connect_within_repeat_window(self):
-        self.assertEqual(place(page()).terms.tick, 2_550)
+        self.assertEqual(parse_config(page()).terms.tick, 2_550)
 
     def test_error_names_invalid_key(self):
         limits = dict(SETTINGS['limits'], connIdleS='soon')
@@ -46,8 +46,8 @@
             page_with(balancers=0): 'no node',
         }
         for text, expected in cases.items():
-            with self.subTest(expected=expected), self.assertRaisesRegex(BadLine, expected):
-                place(text)
+            with self.subTest(expected=expected), self.assertRaisesRegex(InvalidValueError, expected):
+                parse_config(text)
 
 
 class Shapes(unittest.TestCase):
@@ -64,7 +64,7 @@
 
     def test_both_shapes_are_valid(self):
         pool = self.page_with_keys(balancers=3, dcs=['a', 'b', 'c'], fees={'crossZone': 0.014, 'probe': 0.01})
-        office = self.page_with_keys(
+        planner_slot = self.page_with_keys(
             balancers=400,
             rank=399,
             dcs=['room'],
@@ -80,8 +80,8 @@
             fees={'crossZone': 0.06},
             limits={'probing': False},
         )
-        for text, zones in ((pool, 3), (office, 1), (files, 4)):
-            self.assertEqual(len(place(text).zones), zones)
+        for text, zones in ((pool, 3), (planner_slot, 1), (files, 4)):
+            self.assertEqual(len(parse_config(text).zones), zones)
 
     def test_mixed_shape_is_refused_with_key(self):
         unprobed = {'probing': False}
@@ -97,8 +97,11 @@
             'fees.waste': dict(fees={'waste': 'x'}),
         }
         for key, mix in cases.items():
-            with self.subTest(key=key), self.assertRaisesRegex(BadLine, '(shapes|form): %s: ' % key):
-                place(self.page_with_keys(**mix))
+            with (
+                self.subTest(key=key),
+                self.assertRaisesRegex(InvalidValueError, '(shapes|form): %s: ' % key),
+            ):
+                parse_config(self.page_with_keys(**mix))
 
 
 class Commands(unittest.TestCase):
--- a/tests/trial/test_holders.py
+++ b/tests/trial/test_holders.py
@@ -9,9 +9,9 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from lilacdyke.plan.book import Book, step
+from lilacdyke.plan.voter_file import VoterFile, step
 from lilacdyke.trial import holders
-from lilacdyke.values import BadLine
+from lilacdyke.values import InvalidValueError
 
 from ..test_upgrade import free
 
@@ -142,25 +142,25 @@
         self.assertEqual(self.start('task hold', '--wait', '0.5', 'job', '--', 'true').wait(8), 75)
 
 
-class VoterFile(unittest.TestCase):
+class VoterFileTests(unittest.TestCase):
     """The file that keeps a voter's state across restarts."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.book = Book(folder.name, 'p0')
+        self.voter_file = VoterFile(folder.name, 'p0')
 
     def test_last_complete_write_is_read_despite_a_partial_new_file(self):
-        self.book.write(7, ['p0'], 100)
-        self.book.write(1_000, ['p0', 'p1'], 200)
-        with open(self.book.path + '.new', 'w', encoding='utf-8') as file:
+        self.voter_file.write(7, ['p0'], 100)
+        self.voter_file.write(1_000, ['p0', 'p1'], 200)
+        with open(self.voter_file.path + '.new', 'w', encoding='utf-8') as file:
             file.write('{"vers')
-        found = Book(self.book.folder, 'p0').read()
+        found = VoterFile(self.voter_file.folder, 'p0').read()
         self.assertEqual((found.bound, found.voters, found.lease), (1_000, ['p0', 'p1'], 200))
 
     def test_missing_or_invalid_file_raises(self):
-        with self.assertRaises(BadLine):
-            self.book.read()
+        with self.assertRaises(InvalidValueError):
+            self.voter_file.read()
         for text in (
             '',
             '{"bound": 1}',
@@ -170,10 +170,10 @@
             'null',
             '\0',
         ):
-            with open(self.book.path, 'w', encoding='utf-8') as file:
+            with open(self.voter_file.path, 'w', encoding='utf-8') as file:
                 file.write(text)
-            with self.subTest(text=text), self.assertRaises(BadLine):
-                self.book.read()
+            with self.subTest(text=text), self.assertRaises(InvalidValueError):
+                self.voter_file.read()
 
     def test_only_one_voter_may_change_at_a_time(self):
         three, other = ['p0', 'p1', 'p2'], ['p0', 'p1', 'p3']
@@ -183,12 +183,12 @@
         )
 
     def test_planner_without_its_file_or_after_a_skipped_change_does_not_vote(self):
-        self.book.write(5, ['p7', 'p8', 'p9'], 100)
-        path = os.path.join(self.book.folder, 'fleet.toml')
+        self.voter_file.write(5, ['p7', 'p8', 'p9'], 100)
+        path = os.path.join(self.voter_file.folder, 'fleet.toml')
         for name in ('p0', 'p1'):
             with open(path, 'w', encoding='utf-8') as file:
                 file.write(
-                    FILE % self.book.folder
+                    FILE % self.voter_file.folder
                     + ''.join(
                         '[[planner]]\nname = "%s"\naddress = "127.0.0.1:%d"\n' % (other, free())
                         for other in ('p0', 'p1')
@@ -203,7 +203,7 @@
             process.kill()
             process.communicate()
             self.assertIn('"does not vote"', line)
-        self.assertEqual(Book(self.book.folder, 'p0').read().bound, 5)
+        self.assertEqual(VoterFile(self.voter_file.folder, 'p0').read().bound, 5)
 
 
 if __name__ == '__main__':
--- a/tests/trial/test_trial.py
+++ b/tests/trial/test_trial.py
@@ -105,7 +105,7 @@
             directions = (Direction(), Direction())
             clock = staticmethod(lambda: int(clock.seconds() * 1e6))
             later = staticmethod(lambda wait, call, *given: clock.callLater(wait / 1e6, call, *given))
-            chance, replays, replay_bytes = __import__('random').Random(1), False, None
+            rng, replays, replay_bytes = __import__('random').Random(1), False, None
             opened = closed = staticmethod(lambda end: None)
 
         self.link, self.asked, self.there = Link, RelayEnd(Link, UP), RelayEnd(Link, DOWN)
