--- a/lilacdyke/lab/environment.py
+++ b/lilacdyke/lab/environment.py
@@ -18,7 +18,7 @@
 from ..plan import limits as fleets
 from ..plan import process as planning
 from ..plan.fleet import FleetMember
-from . import eyes
+from . import observations
 from .network import Network, Process
 from .reactor import SimReactor
 from .stage import EPOCH_MS, Stage
@@ -285,7 +285,7 @@
     try:
         with tempfile.TemporaryDirectory() as environment.folder:
             if scenario.planning.span_s:
-                eyes.open_up(environment.put, environment.record)
+                observations.open_up(environment.put, environment.record)
             if patch is not None:
                 patch(environment)
             environment.stage = stage = Stage(scenario, seed, environment)
--- a/lilacdyke/lab/filesweep.py
+++ b/lilacdyke/lab/filesweep.py
@@ -16,7 +16,7 @@
 from ..changes.writer import ChangePut, NotStoredError, Writer
 from ..plan.voter_file import VoterFile
 from ..values import InvalidValueError
-from . import bentfiles
+from . import file_faults
 from .callfaults import ERRNOS, FILE_CALLS, CallFault, CallFaults
 
 KEYS = {'limit': 'number'}
@@ -54,7 +54,7 @@
 
 
 class SweepFaults:
-    """The faults of a point, in the form that bentfiles.py consults; also counts calls."""
+    """The faults of a point, in the form that file_faults.py consults; also counts calls."""
 
     def __init__(self, rules=()):
         self.calls = CallFaults()
@@ -73,12 +73,12 @@
     @contextlib.contextmanager
     def injected(self):
         """Inject these faults into the file calls of this process."""
-        originals = bentfiles.current_functions()
-        bentfiles.bend_files(self)
+        originals = file_faults.current_functions()
+        file_faults.bend_files(self)
         try:
             yield
         finally:
-            bentfiles.restore_functions(originals)
+            file_faults.restore_functions(originals)
 
 
 class WriterScenario:
--- a/lilacdyke/lab/recorder.py
+++ b/lilacdyke/lab/recorder.py
@@ -2,7 +2,7 @@
 
 Defines the kinds of rows and their fields, the record file of JSON lines, and its hash. Times are whole
 microseconds since the start of the run. Nothing comes from inside a node but the counters at its exit and the
-rows 'seen' and 'word' (eyes.py).
+rows 'seen' and 'word' (observations.py).
 """
 
 import hashlib
@@ -47,8 +47,8 @@
     'planner': ('planner', 'what'),
     'limit': ('name', 'most'),  # in force from now on
     'seats': ('server', 'count'),  # connections there, after one more was opened
-    # forwarders with verdicts (eyes.py): the result of a hop; a verdict on a server that takes effect; left:
-    # for how long
+    # forwarders with verdicts (observations.py): the result of a hop; a verdict on a server that takes
+    # effect; left: for how long
     'seen': ('node', 'server', 'how', 'lasted', 'quick'),
     'word': ('node', 'server', 'least', 'most', 'wait', 'left', 'kind'),
     'error': ('node', 'text'),
--- a/lilacdyke/trial/launch.py
+++ b/lilacdyke/trial/launch.py
@@ -10,7 +10,7 @@
     stops    {step: times}: the process stops itself (SIGSTOP) the first so many times it reaches the step
     dies     {step: n}: the process is killed (SIGKILL) the n-th time it reaches the step
     steps    [step, ...]: steps that are only recorded in the history
-    eyes     true: record in the history what the process observes of servers (lab/eyes.py)
+    eyes     true: record in the history what the process observes of servers (lab/observations.py)
     history  path of a file that gets a JSON line per event, stamped with the machine's monotonic clock
     mutant   name of a mutant in lab/mutants.py or holders.py
 A step is `module:Class.method` under lilacdyke, prefixed with `<` for its entry or `>` for its return.
@@ -136,9 +136,9 @@
         apply_mutant(process_faults['mutant'])
     history = History(process_faults.get('history'))
     if process_faults.get('eyes'):
-        from ..lab import eyes
+        from ..lab import observations
 
-        eyes.open_up(setattr, lambda kind, *fields: history.record('eyes', row=[kind, *fields]))
+        observations.open_up(setattr, lambda kind, *fields: history.record('eyes', row=[kind, *fields]))
     stops, dies = process_faults.get('stops', {}), process_faults.get('dies', {})
     for step in dict.fromkeys([*stops, *dies, *process_faults.get('steps', [])]):
         hook_step(step, history, stops.get(step, 0), dies.get(step, 0))
--- a/lilacdyke/trial/load.py
+++ b/lilacdyke/trial/load.py
@@ -37,7 +37,7 @@
         self.zero = time.monotonic()
         self.uniform = Random(number).random
         self.deadlines = Deadlines(self.clock, reactor.callLater)
-        self.system = self.place = self.terms = self
+        self.system = self.config = self.terms = self
         self.rank, self.name, self.profiles = number, 'n%d' % number, [profile]
         self.caches = self.router = self
         self.fleet_limits, self.counts = None, Counter()
--- a/lilacdyke/trial/shim.py
+++ b/lilacdyke/trial/shim.py
@@ -26,8 +26,8 @@
 import sys
 import time
 
-from ..lab.bentfiles import bend_files, failing
 from ..lab.callfaults import CallFaults, parsed
+from ..lab.file_faults import bend_files, failing
 
 SIZE = 65_536
 HEAD = struct.Struct('<QI')  # version, length of the JSON text
--- a/lilacdyke/trial/soak.py
+++ b/lilacdyke/trial/soak.py
@@ -1,7 +1,7 @@
 """The soak test: dozens of real processes with random, overlapping faults of links, processes and system
 calls, checked against the invariants.
 
-Adds to the trials (ground.py, faults.py) the boards of the processes' shims (shim.py) and a writer with
+Adds to the trials (environment.py, faults.py) the boards of the processes' shims (shim.py) and a writer with
 relays. Must never fail a run by timing alone: time bounds have the slack of the lab's runs on loopback.
 
     python -m lilacdyke.trial.soak '[SEED, SECONDS, NODES]'    # one run in this process; prints its verdict
